--- a/plankroute/__main__.py
+++ b/plankroute/__main__.py
@@ -8,10 +8,13 @@
     """A bare call imports nothing of the command line."""
     if len(sys.argv) > 1:
         from plankroute.cli.main import cli
+
         return cli()
     from plankroute.net import early
+
     early.heed()  # before the rest is imported, which takes a tenth of a second
     from plankroute.net.service import main as serve
+
     return serve()
 
 
--- a/plankroute/cli/learned.py
+++ b/plankroute/cli/learned.py
@@ -52,6 +52,7 @@
 
 def from_address(where: str, group: str) -> list[Found] | Unread:
     """Asks a running steward, as another steward would."""
+
     async def ask() -> list[Found]:
         found = []
         async with asyncio.timeout(WAIT_S):
@@ -64,8 +65,11 @@
             finally:
                 writer.transport.abort()
         return found
+
     try:
-        return asyncio.run(ask()) or Unread("no answer; is it of this group, with a learned section?")
+        return asyncio.run(ask()) or Unread(
+            "no answer; is it of this group, with a learned section?"
+        )
     except (OSError, TimeoutError) as error:
         return Unread(f"no answer: {error}".strip(": "))
 
@@ -91,21 +95,48 @@
     rows = [("host", "age", "weight", "voided", "shut", "counts for")]
     for facts in sorted(view.hosts, key=lambda facts: (not facts.is_bad(), facts.uid)):
         age_s, part = age_of(facts, found), facts.voided / facts.tries if facts.tries else 0.0
-        rows.append((facts.uid, "?" if age_s is None else f"{age_s:.1f} s", f"{facts.weight:.2f}",
-                     f"{part:.0%}", "yes" if facts.is_shut else "no", counts_for(facts, found, limit_s)))
+        rows.append(
+            (
+                facts.uid,
+                "?" if age_s is None else f"{age_s:.1f} s",
+                f"{facts.weight:.2f}",
+                f"{part:.0%}",
+                "yes" if facts.is_shut else "no",
+                counts_for(facts, found, limit_s),
+            )
+        )
     widths = [max(len(row[column]) for row in rows) for column in range(len(rows[0]))]
-    lines = ["  ".join(cell.ljust(width) for cell, width in zip(row, widths, strict=True)).rstrip()
-             for row in rows]
+    lines = [
+        "  ".join(cell.ljust(width) for cell, width in zip(row, widths, strict=True)).rstrip()
+        for row in rows
+    ]
     closed = [f"{uid}: {state.lower()} by the list" for uid, state in view.closed]
     return "\n".join([head, *lines, *closed])
 
 
 def as_json_text(found: Found, limit_s: float) -> str:
     view = found.view
-    hosts = [{"host": facts.uid, "boot_ms": facts.boot_ms, "age_s": age_of(facts, found),
-              "weight": facts.weight, "tries": facts.tries, "voided": facts.voided, "shut": facts.is_shut,
-              "needed": facts.needed, "counts_for": counts_for(facts, found, limit_s)}
-             for facts in view.hosts]
+    hosts = [
+        {
+            "host": facts.uid,
+            "boot_ms": facts.boot_ms,
+            "age_s": age_of(facts, found),
+            "weight": facts.weight,
+            "tries": facts.tries,
+            "voided": facts.voided,
+            "shut": facts.is_shut,
+            "needed": facts.needed,
+            "counts_for": counts_for(facts, found, limit_s),
+        }
+        for facts in view.hosts
+    ]
     written_s = None if found.age_us is None else found.age_us / 1e6
-    return msgspec.json.encode({"steward": view.name, "revision": view.revision, "written_s_ago": written_s,
-                                "hosts": hosts, "closed": dict(view.closed)}).decode()
+    return msgspec.json.encode(
+        {
+            "steward": view.name,
+            "revision": view.revision,
+            "written_s_ago": written_s,
+            "hosts": hosts,
+            "closed": dict(view.closed),
+        }
+    ).decode()
--- a/plankroute/cli/main.py
+++ b/plankroute/cli/main.py
@@ -33,10 +33,12 @@
     "path",
     type=FILE,
     envvar="PLANKROUTE_FILE",
-    help="Our own JSON file (deploy/plankroute.example.json); without one all it switches on is off.")
+    help="Our own JSON file (deploy/plankroute.example.json); without one all it switches on is off.",
+)
 def run(path: Path | None) -> None:
     """One real steward, as operators start it; GW_CONFIG names its configuration."""
     from plankroute.net.service import OWN_FILE, main
+
     if path is not None:
         os.environ[OWN_FILE] = str(path)
     sys.exit(main())
@@ -67,13 +69,23 @@
 @cli_group.command()
 @click.argument("address", required=False)
 @click.option("--group", help="The group's name, with ADDRESS.")
-@click.option("--file", "path", type=FILE, envvar="PLANKROUTE_FILE",
-              help="Our own JSON file, instead of ADDRESS and --group.")
+@click.option(
+    "--file",
+    "path",
+    type=FILE,
+    envvar="PLANKROUTE_FILE",
+    help="Our own JSON file, instead of ADDRESS and --group.",
+)
 @click.option("--json", "as_json", is_flag=True, help="One JSON object, for machines.")
-@click.option("--wait", default=1.0, show_default=True, help="Seconds to wait for each part of the answer.")
-def members(address: str | None, group: str | None, path: Path | None, as_json: bool, wait: float) -> None:
+@click.option(
+    "--wait", default=1.0, show_default=True, help="Seconds to wait for each part of the answer."
+)
+def members(
+    address: str | None, group: str | None, path: Path | None, as_json: bool, wait: float
+) -> None:
     """Who is there? Asks the steward at ADDRESS (its membership address, on this machine)."""
     from plankroute.cli.view import ask, as_table, as_json_text
+
     if address is None and path is not None:
         part = checked(path).membership
         if part is None:
@@ -100,11 +112,24 @@
 @click.argument("where", metavar="FILE|ADDRESS")
 @click.option("--group", help="The group's name, with ADDRESS (where the steward takes links).")
 @click.option("--json", "as_json", is_flag=True, help="One JSON object, for machines.")
-@click.option("--limit", "limit_s", default=900.0, show_default=True,
-              help="Seconds after which news count for nothing, as `learned.limit_s` has it.")
+@click.option(
+    "--limit",
+    "limit_s",
+    default=900.0,
+    show_default=True,
+    help="Seconds after which news count for nothing, as `learned.limit_s` has it.",
+)
 def state_show(where: str, group: str | None, as_json: bool, limit_s: float) -> None:
     """What is kept, how old it is, and what it would count for now."""
-    from plankroute.cli.learned import Unread, as_json_text, as_table, from_address, from_file, is_address
+    from plankroute.cli.learned import (
+        Unread,
+        as_json_text,
+        as_table,
+        from_address,
+        from_file,
+        is_address,
+    )
+
     if is_address(where) and not Path(where).exists():
         if group is None:
             raise Mistake("state show: ADDRESS needs --group")
@@ -123,12 +148,15 @@
 def state_check(path: Path) -> None:
     """Would a steward of the name that FILE holds start from it?"""
     from plankroute.cli.learned import Unread, from_file
+
     found = from_file(path)
     if isinstance(found, Unread):
         click.echo(f"{path}: {found.why}", err=True)
         sys.exit(FAILED)
     view = found[0].view
-    click.echo(f"{path}: good; {view.name}, {len(view.hosts)} hosts, list of revision {view.revision}")
+    click.echo(
+        f"{path}: good; {view.name}, {len(view.hosts)} hosts, list of revision {view.revision}"
+    )
 
 
 @cli_group.group()
@@ -137,24 +165,54 @@
 
 
 @lab.command("membership")
-@click.option("--members", "sizes", multiple=True, type=click.IntRange(2, 2000), default=(12, 300),
-              show_default=True, help="Sizes of groups in simulated time; may be given again.")
-@click.option("--seeds", default=3, show_default=True, type=click.IntRange(1, 100), help="Runs of each kind.")
-@click.option("--minutes", default=1.0, show_default=True, help="Simulated length of the runs with losses.")
-@click.option("--ways", default="plankroute,heartbeats,swim,lifeguard", show_default=True,
-              help="Ways to compare, by comma.")
-@click.option("--parts", default="killed,lossy,paused,healed,load", show_default=True,
-              help="What to measure, by comma.")
+@click.option(
+    "--members",
+    "sizes",
+    multiple=True,
+    type=click.IntRange(2, 2000),
+    default=(12, 300),
+    show_default=True,
+    help="Sizes of groups in simulated time; may be given again.",
+)
+@click.option(
+    "--seeds", default=3, show_default=True, type=click.IntRange(1, 100), help="Runs of each kind."
+)
+@click.option(
+    "--minutes", default=1.0, show_default=True, help="Simulated length of the runs with losses."
+)
+@click.option(
+    "--ways",
+    default="plankroute,heartbeats,swim,lifeguard",
+    show_default=True,
+    help="Ways to compare, by comma.",
+)
+@click.option(
+    "--parts",
+    default="killed,lossy,paused,healed,load",
+    show_default=True,
+    help="What to measure, by comma.",
+)
 @click.option("--jobs", default=os.cpu_count() or 1, show_default=True, help="Processes at once.")
 @click.option("--json", "out", type=FILE, help="Write all figures there as well.")
-def lab_membership(sizes: tuple[int, ...], seeds: int, minutes: float, ways: str, parts: str, jobs: int,
-                   out: Path | None) -> None:
+def lab_membership(
+    sizes: tuple[int, ...],
+    seeds: int,
+    minutes: float,
+    ways: str,
+    parts: str,
+    jobs: int,
+    out: Path | None,
+) -> None:
     """The chosen way of membership beside the plain ones: the same seeds, faults and figures."""
     from plankroute.lab.measure import KINDS, WAYS, measure, table
+
     asked, wanted = ways.split(","), parts.split(",")
-    if unknown := [name
-                   for name in asked if name not in WAYS] + [name for name in wanted if name not in KINDS]:
-        raise Mistake(f"not known: {', '.join(unknown)}; ways: {', '.join(WAYS)}; parts: {', '.join(KINDS)}")
+    if unknown := [name for name in asked if name not in WAYS] + [
+        name for name in wanted if name not in KINDS
+    ]:
+        raise Mistake(
+            f"not known: {', '.join(unknown)}; ways: {', '.join(WAYS)}; parts: {', '.join(KINDS)}"
+        )
     figures = measure(sizes, seeds, minutes, asked, wanted, jobs, progress=sys.stderr.isatty())
     click.echo(table(figures))
     if out:
@@ -164,16 +222,21 @@
 
 
 @lab.command("trial")
-@click.option("--scenario", "names", multiple=True, help="One of the scenarios by name; may be given again.")
+@click.option(
+    "--scenario", "names", multiple=True, help="One of the scenarios by name; may be given again."
+)
 @click.option("--processes", default=12, show_default=True, type=click.IntRange(4, 300))
 @click.option("--seed", default=1, show_default=True)
-@click.option("--full", is_flag=True, help="Pauses for 39 s, as operators have seen them, instead of 13 s.")
+@click.option(
+    "--full", is_flag=True, help="Pauses for 39 s, as operators have seen them, instead of 13 s."
+)
 @click.option("--json", "as_json", is_flag=True)
 def lab_trial(names: tuple[str, ...], processes: int, seed: int, full: bool, as_json: bool) -> None:
     """Real stewards on loopback with faulty links between them: scenarios, histories, verdicts."""
     import asyncio
 
     from plankroute.lab.scenarios import SCENARIOS, report, run_all
+
     if unknown := [name for name in names if name not in SCENARIOS]:
         raise Mistake(f"not known: {', '.join(unknown)}; scenarios: {', '.join(SCENARIOS)}")
     results = asyncio.run(run_all(names or tuple(SCENARIOS), processes, seed, full))
@@ -185,21 +248,38 @@
 @lab.command("coldstart")
 @click.option("--stewards", default=30, show_default=True, type=click.IntRange(2, 300))
 @click.option("--hosts", default=500, show_default=True, type=click.IntRange(1, 2000))
-@click.option("--rate", default=20.0, show_default=True, help="Calls that the list service answers a second.")
-@click.option("--outage",
-              default=0.0,
-              show_default=True,
-              help="Seconds for which the service is down at first.")
-@click.option("--peers/--alone", default=True, show_default=True, help="Whether stewards talk to each other.")
-@click.option("--today/--no-today",
-              default=True,
-              show_default=True,
-              help="A start without our own file beside it.")
+@click.option(
+    "--rate", default=20.0, show_default=True, help="Calls that the list service answers a second."
+)
+@click.option(
+    "--outage",
+    default=0.0,
+    show_default=True,
+    help="Seconds for which the service is down at first.",
+)
+@click.option(
+    "--peers/--alone", default=True, show_default=True, help="Whether stewards talk to each other."
+)
+@click.option(
+    "--today/--no-today",
+    default=True,
+    show_default=True,
+    help="A start without our own file beside it.",
+)
 @click.option("--seed", default=1, show_default=True)
 @click.option("--json", "out", type=FILE, help="Write what was seen there.")
 @click.option("--report", type=FILE, help="Write a page with curves there (HTML).")
-def lab_coldstart(stewards: int, hosts: int, rate: float, outage: float, peers: bool, today: bool, seed: int,
-                  out: Path | None, report: Path | None) -> None:
+def lab_coldstart(
+    stewards: int,
+    hosts: int,
+    rate: float,
+    outage: float,
+    peers: bool,
+    today: bool,
+    seed: int,
+    out: Path | None,
+    report: Path | None,
+) -> None:
     """A whole site starts at one moment: real stewards, a list service, hosts that count their probes."""
     import asyncio
 
@@ -207,12 +287,18 @@
 
     from plankroute.lab import coldreport
     from plankroute.lab.cold import Case, down_until, run_case
+
     rows = []
     for way in ["peers" if peers else "alone"] + ["today"] * today:
         if sys.stderr.isatty():
             click.echo(f"{way}: {stewards} stewards ...", err=True)
-        rows.append(asyncio.run(run_case(Case(way, stewards, hosts, down_until(outage, rate), seed,
-                                              with_hosts=True))))
+        rows.append(
+            asyncio.run(
+                run_case(
+                    Case(way, stewards, hosts, down_until(outage, rate), seed, with_hosts=True)
+                )
+            )
+        )
     click.echo(coldreport.table(rows))
     if out:
         out.write_bytes(msgspec.json.format(msgspec.json.encode(rows), indent=2) + b"\n")
@@ -223,21 +309,50 @@
 
 
 @lab.command("restart")
-@click.option("--ways", default="nothing,snapshot,peer,both,wrong", show_default=True, help="By comma.")
+@click.option(
+    "--ways", default="nothing,snapshot,peer,both,wrong", show_default=True, help="By comma."
+)
 @click.option("--hosts", default=50, show_default=True, type=click.IntRange(5, 500))
-@click.option("--bad", default=0.2, show_default=True, help="Part of the hosts that void all they get.")
-@click.option("--warm", "warm_s", default=20.0, show_default=True, help="Seconds before the restart.")
+@click.option(
+    "--bad", default=0.2, show_default=True, help="Part of the hosts that void all they get."
+)
+@click.option(
+    "--warm", "warm_s", default=20.0, show_default=True, help="Seconds before the restart."
+)
 @click.option("--seeds", default=1, show_default=True, type=click.IntRange(1, 20))
-@click.option("--kill/--term", "is_killed", default=False, show_default=True,
-              help="SIGKILL instead of SIGTERM.")
-@click.option("--proxies-too/--proxies-stay", default=False, show_default=True,
-              help="Whether the proxies restart with it and hold nothing.")
-@click.option("--probes-fail/--probes-good", default=True, show_default=True,
-              help="Whether hosts that void all answer probes with an error.")
+@click.option(
+    "--kill/--term",
+    "is_killed",
+    default=False,
+    show_default=True,
+    help="SIGKILL instead of SIGTERM.",
+)
+@click.option(
+    "--proxies-too/--proxies-stay",
+    default=False,
+    show_default=True,
+    help="Whether the proxies restart with it and hold nothing.",
+)
+@click.option(
+    "--probes-fail/--probes-good",
+    default=True,
+    show_default=True,
+    help="Whether hosts that void all answer probes with an error.",
+)
 @click.option("--json", "out", type=FILE, help="Write what was seen there.")
 @click.option("--report", type=FILE, help="Write a page with curves there (HTML).")
-def lab_restart(ways: str, hosts: int, bad: float, warm_s: float, seeds: int, is_killed: bool,
-                proxies_too: bool, probes_fail: bool, out: Path | None, report: Path | None) -> None:
+def lab_restart(
+    ways: str,
+    hosts: int,
+    bad: float,
+    warm_s: float,
+    seeds: int,
+    is_killed: bool,
+    proxies_too: bool,
+    probes_fail: bool,
+    out: Path | None,
+    report: Path | None,
+) -> None:
     """What the restart of a steward costs, with nothing known and with what was learned before."""
     import asyncio
 
@@ -245,6 +360,7 @@
 
     from plankroute.lab import restart
     from plankroute.lab.traffic import Mix
+
     asked = tuple(ways.split(","))
     if unknown := [way for way in asked if way not in restart.WAYS]:
         raise Mistake(f"not known: {', '.join(unknown)}; ways: {', '.join(restart.WAYS)}")
@@ -252,9 +368,20 @@
     for seed in range(1, seeds + 1):
         if sys.stderr.isatty():
             click.echo(f"seed {seed} of {seeds}: {warm_s + restart.LOOK_S:.0f} s ...", err=True)
-        rows.append(asyncio.run(restart.run_ways(
-            asked, hosts=hosts, bad_part=bad, warm_s=warm_s, seed=seed, is_killed=is_killed,
-            proxies_too=proxies_too, mix=Mix(probes_fail=probes_fail))))
+        rows.append(
+            asyncio.run(
+                restart.run_ways(
+                    asked,
+                    hosts=hosts,
+                    bad_part=bad,
+                    warm_s=warm_s,
+                    seed=seed,
+                    is_killed=is_killed,
+                    proxies_too=proxies_too,
+                    mix=Mix(probes_fail=probes_fail),
+                )
+            )
+        )
     summed = restart.summed(rows)
     click.echo(restart.table(summed))
     if out:
@@ -271,6 +398,7 @@
     import asyncio
 
     from plankroute.lab.kills import run_kills
+
     seen = asyncio.run(run_kills(kills, seed))
     click.echo(seen.said())
     if seen.mixtures or seen.failed:
--- a/plankroute/cli/view.py
+++ b/plankroute/cli/view.py
@@ -31,7 +31,9 @@
                 return lines
 
 
-def ask_piece(asking: socket.socket, where: tuple[str, int], codec: Codec, first: int) -> ViewPiece | None:
+def ask_piece(
+    asking: socket.socket, where: tuple[str, int], codec: Codec, first: int
+) -> ViewPiece | None:
     for _ in range(TRIES):
         try:
             asking.sendto(codec.write(ViewAsked(first)), where)
@@ -49,16 +51,41 @@
 
 
 def as_json_text(lines: list[Line]) -> str:
-    return orjson.dumps({"steward": lines[0].record.name if lines else None, "members": [
-        {"name": line.record.name, "address": line.record.address, "zone": line.record.zone,
-         "state": state_of(line), "for_s": round(line.for_us / 1e6, 3), "life": line.record.life,
-         "incarnation": line.record.incarnation} for line in lines]}, option=orjson.OPT_INDENT_2).decode()
+    return orjson.dumps(
+        {
+            "steward": lines[0].record.name if lines else None,
+            "members": [
+                {
+                    "name": line.record.name,
+                    "address": line.record.address,
+                    "zone": line.record.zone,
+                    "state": state_of(line),
+                    "for_s": round(line.for_us / 1e6, 3),
+                    "life": line.record.life,
+                    "incarnation": line.record.incarnation,
+                }
+                for line in lines
+            ],
+        },
+        option=orjson.OPT_INDENT_2,
+    ).decode()
 
 
 def as_table(lines: list[Line]) -> str:
     rows = [("name", "state", "for", "zone", "address", "incarnation")]
-    rows += [(line.record.name, state_of(line), f"{line.for_us / 1e6:.1f} s", line.record.zone,
-              line.record.address, str(line.record.incarnation)) for line in lines]
+    rows += [
+        (
+            line.record.name,
+            state_of(line),
+            f"{line.for_us / 1e6:.1f} s",
+            line.record.zone,
+            line.record.address,
+            str(line.record.incarnation),
+        )
+        for line in lines
+    ]
     widths = [max(len(row[column]) for row in rows) for column in range(len(rows[0]))]
-    return "\n".join("  ".join(cell.ljust(width) for cell, width in zip(row, widths, strict=True)).rstrip()
-                     for row in rows)
+    return "\n".join(
+        "  ".join(cell.ljust(width) for cell, width in zip(row, widths, strict=True)).rstrip()
+        for row in rows
+    )
--- a/plankroute/coldstart/calls.py
+++ b/plankroute/coldstart/calls.py
@@ -10,7 +10,9 @@
 
 SECOND_US = 1_000_000
 SLACK = 1.05  # of a round: calls come a little slower than the service can answer
-LEAST_ROUND_US = SECOND_US // 2  # a small group's: half a second between calls to a service in trouble
+LEAST_ROUND_US = (
+    SECOND_US // 2
+)  # a small group's: half a second between calls to a service in trouble
 STEADY_ROUNDS, GROWTH = 3, 1.5  # rounds of the same length first: most outages are over by then
 LONGEST = 4  # rounds grow up to that many windows, as far as the stated longest pause allows
 BURST = 3  # calls beyond one a round: watches that break soon after they came up
@@ -82,7 +84,9 @@
                 asked_us = min(retry_after_us or 0, self.facts.retry_after_most_us)
                 return self.repeat(now_us, now_us + asked_us)
             case Broke(lasted_us):
-                if lasted_us < self.window_us:  # a service that takes calls and drops them is in trouble too
+                if (
+                    lasted_us < self.window_us
+                ):  # a service that takes calls and drops them is in trouble too
                     self.rounds += 1
                     return self.repeat(now_us, now_us)
                 self.rounds = 0
@@ -111,7 +115,9 @@
 
     def next_length_us(self) -> int:
         grown = self.window_us * GROWTH ** max(0, self.rounds - STEADY_ROUNDS + 1)
-        return int(max(self.window_us, min(grown, LONGEST * self.window_us, self.facts.pause_most_us)))
+        return int(
+            max(self.window_us, min(grown, LONGEST * self.window_us, self.facts.pause_most_us))
+        )
 
 
 def retry_after_us(text: bytes | None, unix_s: float) -> int | None:
--- a/plankroute/coldstart/early.py
+++ b/plankroute/coldstart/early.py
@@ -8,8 +8,12 @@
 from plankroute.interface.notes import HostState
 
 SECOND_US = 1_000_000
-MOST_PART = 0.5  # of the hosts that are listed: a peer's word alone must leave proxies somebody to pick
-HOLD_US = 60 * SECOND_US  # without the list that it announced: as long as a first list may take (`follow.py`)
+MOST_PART = (
+    0.5  # of the hosts that are listed: a peer's word alone must leave proxies somebody to pick
+)
+HOLD_US = (
+    60 * SECOND_US
+)  # without the list that it announced: as long as a first list may take (`follow.py`)
 
 
 @dataclass(frozen=True, slots=True)
@@ -33,8 +37,15 @@
         self.told: dict[str, Told] = {}
         self.refused = 0  # beyond what is believed ahead of a list: they come with it
 
-    def hear(self, now_us: int, name: str, revision: int, closed: Iterable[tuple[str, HostState]], held: int,
-             listed: int) -> list[str]:
+    def hear(
+        self,
+        now_us: int,
+        name: str,
+        revision: int,
+        closed: Iterable[tuple[str, HostState]],
+        held: int,
+        listed: int,
+    ) -> list[str]:
         """Those that are new and believed; `held`: the revision of this steward's list, of `listed` hosts."""
         taken = []
         for uid, state in closed if revision > held else ():
@@ -50,8 +61,13 @@
 
     def settle(self, revision: int | None) -> list[str]:
         """A list of that revision is believed (None: one that began anew): it says what holds."""
-        return self.drop({uid for uid, told in self.told.items()
-                          if revision is None or told.revision <= revision})
+        return self.drop(
+            {
+                uid
+                for uid, told in self.told.items()
+                if revision is None or told.revision <= revision
+            }
+        )
 
     def left(self, name: str) -> list[str]:
         """The service knows nothing of what that steward claimed."""
--- a/plankroute/coldstart/follow.py
+++ b/plankroute/coldstart/follow.py
@@ -13,18 +13,26 @@
 READY_PART = 0.8  # of the stated stewards: with so many in view the watchers are the same ones for nearly all
 SETTLE_US = 4 * SECOND_US  # without them: a group of hundreds has come together by then
 QUIET_US = 3 * SECOND_US // 2  # in company, and nobody new for so long: this is all there is
-AVOID_US = 10 * SECOND_US  # who was left: two patiences of membership, which tells by then if it is gone
+AVOID_US = (
+    10 * SECOND_US
+)  # who was left: two patiences of membership, which tells by then if it is gone
 LIAR_US = 60 * SECOND_US  # who claimed a revision that the service does not know
 FRESH_US = 3 * SECOND_US  # the service's word is no older: signs of life come each 2 s
 NO_WORD_US = 1 << 40  # the age of a word that never came
 OLD_US = 5 * SECOND_US  # behind the others' word: it is cut off from the service
 STALE_US = 10 * SECOND_US  # all that are followed may be cut off from the service: it is asked then
-DIFFER_US = 2 * SECOND_US  # two that are followed have different revisions: beyond what is on its way
+DIFFER_US = (
+    2 * SECOND_US
+)  # two that are followed have different revisions: beyond what is on its way
 ALONE_US = 3 * SECOND_US  # without anybody to follow, before the service itself is called
 SLOW_US = 60 * SECOND_US  # a first list that takes longer never ends: 3 MB on a link of 50 KB/s
-LATER_US = 2 * SECOND_US  # a watcher that is none any more goes on for so long: the next one comes up
+LATER_US = (
+    2 * SECOND_US
+)  # a watcher that is none any more goes on for so long: the next one comes up
 BEAT_US = SECOND_US // 10
-MOST_BEAT_US = 3 * BEAT_US  # of a time in which this steward itself stood still, what counts against others
+MOST_BEAT_US = (
+    3 * BEAT_US
+)  # of a time in which this steward itself stood still, what counts against others
 
 
 def ranked(names: Iterable[str], key: str) -> list[str]:
@@ -32,9 +40,11 @@
     first.
 
     Everyone with the same names finds the same order without a vote; one that goes moves nobody else."""
-    return sorted(names,
-                  key=lambda name: (xxhash.xxh3_64_intdigest(f"{key}\0{name}".encode()), name),
-                  reverse=True)
+    return sorted(
+        names,
+        key=lambda name: (xxhash.xxh3_64_intdigest(f"{key}\0{name}".encode()), name),
+        reverse=True,
+    )
 
 
 class Role(Enum):
@@ -195,7 +205,7 @@
             case Living(names) if names != self.names:
                 self.names, self.changed_us = names, now_us
                 group = self.facts.group
-                self.watchers = ranked({*names, self.facts.name}, group)[:self.facts.watchers]
+                self.watchers = ranked({*names, self.facts.name}, group)[: self.facts.watchers]
             case Moved(name) if name in links:
                 links[name].moved_us, links[name].is_moving = now_us, True
             case Said(name, revision, age_us) if name in links:
@@ -214,14 +224,21 @@
             return
         self.is_asking = False
         for name, link in list(self.state.links.items()):
-            if link.revision is not None and link.revision > revision and now_us - link.said_us < SECOND_US:
+            if (
+                link.revision is not None
+                and link.revision > revision
+                and now_us - link.said_us < SECOND_US
+            ):
                 self.leave(now_us, name, "ahead", LIAR_US)
 
     def is_settled(self, now_us: int) -> bool:
         """Guards against calls of all while nobody knows anybody yet."""
         assert self.began_us is not None
-        return (1 + len(self.names) >= READY_PART * self.facts.stewards or now_us - self.began_us >= SETTLE_US
-                or (len(self.names) > 0 and now_us - self.changed_us >= QUIET_US))
+        return (
+            1 + len(self.names) >= READY_PART * self.facts.stewards
+            or now_us - self.began_us >= SETTLE_US
+            or (len(self.names) > 0 and now_us - self.changed_us >= QUIET_US)
+        )
 
     def look(self, now_us: int) -> None:
         if self.role is Role.WAITING and not self.is_settled(now_us):
@@ -269,8 +286,11 @@
 
     def fill(self, now_us: int) -> None:
         """Two are followed, one for its lists, one as a witness of what it says."""
-        mine = [name for name in ranked(self.watchers, self.facts.name)
-                if self.state.avoided_us.get(name, 0) <= now_us]
+        mine = [
+            name
+            for name in ranked(self.watchers, self.facts.name)
+            if self.state.avoided_us.get(name, 0) <= now_us
+        ]
         links = self.state.links
         for light in (False, True):
             free = [name for name in mine if name not in links]
@@ -278,7 +298,9 @@
                 links[free[0]] = Link(light, now_us, now_us)
                 self.out.append(Dial(free[0], light))
         if not any(not link.light for link in links.values()):
-            for name, link in list(links.items())[:1]:  # the witness alone is left: its lists are wanted now
+            for name, link in list(links.items())[
+                :1
+            ]:  # the witness alone is left: its lists are wanted now
                 self.dial_anew(now_us, name, False)
 
     def dial_anew(self, now_us: int, name: str, anew: bool) -> None:
@@ -315,7 +337,11 @@
                     self.leave(now_us, main, "behind")
                 else:
                     self.is_asking = True
-        elif one.revision is not None and 0 <= one.revision < self.revision and not self.is_lower(one):
+        elif (
+            one.revision is not None
+            and 0 <= one.revision < self.revision
+            and not self.is_lower(one)
+        ):
             self.leave(now_us, main, "old")  # cut off from the service, and behind what is held
         else:
             self.differs_us = None
@@ -329,7 +355,11 @@
         return one.age_us > other.age_us + OLD_US and now_us - one.since_us > OLD_US
 
     def is_lower(self, link: Link) -> bool:
-        return link.revision is not None and 0 <= link.revision < self.revision and link.age_us < FRESH_US
+        return (
+            link.revision is not None
+            and 0 <= link.revision < self.revision
+            and link.age_us < FRESH_US
+        )
 
     def lasts(self, now_us: int) -> bool:
         """A difference that is on its way is none."""
@@ -357,7 +387,9 @@
             return link.is_moving
         return link.revision >= 0 and link.age_us <= STALE_US
 
-    def leave(self, now_us: int, name: str, why: str, avoid_us: int = AVOID_US, hang: bool = True) -> None:
+    def leave(
+        self, now_us: int, name: str, why: str, avoid_us: int = AVOID_US, hang: bool = True
+    ) -> None:
         self.out.append(Noted(f"left_{why}", name))
         self.state.avoided_us[name] = now_us + avoid_us
         if len(self.state.avoided_us) > 4 * self.facts.watchers:
--- a/plankroute/coldstart/frames.py
+++ b/plankroute/coldstart/frames.py
@@ -101,14 +101,14 @@
         out: list[Frame | None] = []
         self.held += data
         while not self.is_spoilt and len(self.held) >= LENGTH.size:
-            size, = LENGTH.unpack_from(self.held)
+            (size,) = LENGTH.unpack_from(self.held)
             if size > MOST_FRAME:
                 self.spoil(out)
             elif len(self.held) < LENGTH.size + size:
                 break
             else:
-                body = bytes(self.held[LENGTH.size:LENGTH.size + size])
-                del self.held[:LENGTH.size + size]
+                body = bytes(self.held[LENGTH.size : LENGTH.size + size])
+                del self.held[: LENGTH.size + size]
                 try:
                     out.append(DECODER.decode(body))
                 except (msgspec.MsgspecError, RecursionError):
--- a/plankroute/coldstart/lists.py
+++ b/plankroute/coldstart/lists.py
@@ -7,7 +7,9 @@
 
 import orjson
 
-MOST_CHANGES = 4096  # kept: more than an hour of releases; who is further behind gets the whole list
+MOST_CHANGES = (
+    4096  # kept: more than an hour of releases; who is further behind gets the whole list
+)
 DELETED = "DELETED"
 CLOSED = frozenset({"DRAINING", DELETED})
 
@@ -26,7 +28,9 @@
     def take(self, raw: dict[str, Any]) -> None:
         """A list that this steward has come to believe; its form was checked."""
         targets = [
-            item for item in raw["targets"] if isinstance(item, dict) and isinstance(item.get("uid"), str)
+            item
+            for item in raw["targets"]
+            if isinstance(item, dict) and isinstance(item.get("uid"), str)
         ]
         if raw["all"]:
             self.entries = {item["uid"]: item for item in targets}
@@ -44,8 +48,13 @@
     def whole(self) -> bytes:
         if self.cached is None:
             entries = [self.entries[uid] for uid in sorted(self.entries)]
-            self.cached = self.revision, orjson.dumps(
-                {"rev": self.revision, "all": True, "targets": entries}, option=orjson.OPT_SORT_KEYS)
+            self.cached = (
+                self.revision,
+                orjson.dumps(
+                    {"rev": self.revision, "all": True, "targets": entries},
+                    option=orjson.OPT_SORT_KEYS,
+                ),
+            )
         return self.cached[1]
 
     def since(self, revision: int) -> bytes | None:
@@ -76,7 +85,9 @@
         """Revision, check sum and bytes that are there of a whole list, for who can go on with it."""
         return (self.revision, self.check, len(self.data)) if self.is_whole and self.data else None
 
-    def begin(self, revision: int, is_whole: bool, size: int, check: int, offset: int) -> str | None:
+    def begin(
+        self, revision: int, is_whole: bool, size: int, check: int, offset: int
+    ) -> str | None:
         """Why it can't be taken, if so."""
         if not 0 <= size <= self.most:
             return "too large"
--- a/plankroute/coldstart/probers.py
+++ b/plankroute/coldstart/probers.py
@@ -31,8 +31,12 @@
     near = ranked([name for name, zone in zones.items() if zone == host_zone], host)
     if len(near) >= number:
         return near[:number]
-    return near + ranked([name
-                          for name, zone in zones.items() if zone != host_zone], host)[:number - len(near)]
+    return (
+        near
+        + ranked([name for name, zone in zones.items() if zone != host_zone], host)[
+            : number - len(near)
+        ]
+    )
 
 
 def is_drawn(name: str, host: str, number: int, stewards: int) -> bool:
@@ -68,5 +72,7 @@
     def fresh(self, host: str, boot_ms: float, now_us: int) -> Result | None:
         """Of the host as it is listed; what is too old counts for nothing."""
         result = self.results.get(host)
-        is_fresh = result is not None and result.boot_ms == boot_ms and now_us - result.at_us <= FRESH_US
+        is_fresh = (
+            result is not None and result.boot_ms == boot_ms and now_us - result.at_us <= FRESH_US
+        )
         return result if is_fresh else None
--- a/plankroute/controller/channel.py
+++ b/plankroute/controller/channel.py
@@ -8,7 +8,11 @@
 
     def __init__(self, head_lines: int, lines_a_us: float, answer_us: float) -> None:
         """`answer_us`: the longest time from a message's leaving the channel to its answer."""
-        self.head, self.serial, self.waiting = head_lines + 1, 0, 0  # each message has a mark's line too
+        self.head, self.serial, self.waiting = (
+            head_lines + 1,
+            0,
+            0,
+        )  # each message has a mark's line too
         self.lines_a_us, self.queued, self.at = lines_a_us, 0.0, 0
         self.most_in_flight = lines_a_us * answer_us
         self.sent: dict[int, dict[int, int]] = {}  # by mark, the oldest first: lines to each proxy
--- a/plankroute/controller/controller.py
+++ b/plankroute/controller/controller.py
@@ -66,12 +66,14 @@
         entries = {entry.host: entry for entry in listed.entries}
         if listed.kind is not ListKind.CHANGES:
             for host, i in fleet.index.items():
-                gone = notes.HostEntry(host, HostState.GONE, fleet.zone[i], fleet.kind[i], 0, 0.0, 0)
+                gone = notes.HostEntry(
+                    host, HostState.GONE, fleet.zone[i], fleet.kind[i], 0, 0.0, 0
+                )
                 entries.setdefault(host, gone)
         for host, entry in entries.items():
             if host not in fleet.index:
                 place = fleet.add(entry)
-                self.hosts[place:place + 1] = [Host(self.desk, fleet, place)]
+                self.hosts[place : place + 1] = [Host(self.desk, fleet, place)]
             if self.lets_back and (entry.state is not HostState.READY or entry.started_us):
                 fleet.once.add(fleet.index[host])
             for part in (self.hosts[fleet.index[host]], self.publisher):
@@ -89,8 +91,19 @@
             if fleet.state[i] is HostState.READY and self.hosts[i].found_out:
                 tries, age_us = fleet.tries[i], self.desk.now - fleet.heard_us[i]
                 mean_us = fleet.time_us[i] / tries if tries else 0.0
-                out.append(notes.HostLearned(host, fleet.weight[i], tries, fleet.voided[i], mean_us,
-                                             fleet.shut[i], self.hosts[i].needed, age_us, age_us))
+                out.append(
+                    notes.HostLearned(
+                        host,
+                        fleet.weight[i],
+                        tries,
+                        fleet.voided[i],
+                        mean_us,
+                        fleet.shut[i],
+                        self.hosts[i].needed,
+                        age_us,
+                        age_us,
+                    )
+                )
         return out
 
     def forget(self, hosts: list[int]) -> None:
--- a/plankroute/controller/host_statistics.py
+++ b/plankroute/controller/host_statistics.py
@@ -29,13 +29,17 @@
         self.integral: list[float] = []
         self.standing: list[float] = []  # the weight that its slot stands for, as pushed
         self.news: list[bool] = []  # heard since the last turn
-        self.sums_us = self.burst_us = 0  # the clock when the last sums came, and the first of those together
+        self.sums_us = self.burst_us = (
+            0  # the clock when the last sums came, and the first of those together
+        )
         # Beside the controller
         self.cap: list[float] = []  # the most that an entering host's weight counts for
         self.shut: list[bool] = []
         self.speed: list[float] = []  # probes a second, by the last one that was answered
         self.cut: list[bool] = []  # the last probe did not get through
-        self.once = set[int]()  # hosts that proxies back from elsewhere may hold back, where binds let back
+        self.once = set[
+            int
+        ]()  # hosts that proxies back from elsewhere may hold back, where binds let back
         self.proxies = 0  # joined
         self.least_move = 0.0  # what a line costs, as a part of a usual slot
         self.dear = False  # writing all slots takes more than a turn's room in the channel
@@ -54,15 +58,30 @@
         place = self.index[entry.host] = self.free.pop() if self.free else len(self.ids)
         weight = entry.weight or 1.0
         for array, value in (
-                (self.ids, entry.host), (self.mark, entry.mark or entry.host),
-                (self.state, HostState.GONE), (self.zone, entry.zone),
-                (self.kind, entry.kind), (self.listed, weight), (self.weight, weight), (self.cap, NO_CAP),
-                (self.shut, False), (self.cut, False), (self.speed, 0.0), (self.error, None),
-                (self.integral, 0.0),
-                (self.news, False), (self.standing, 0.0),
-                (self.tries, 0.0), (self.voided, 0.0), (self.time_us, 0.0), (self.reports, 0.0),
-                (self.held, 0.0), (self.faded_us, 0), (self.heard_us, 0)):
-            array[place:place + 1] = [value]
+            (self.ids, entry.host),
+            (self.mark, entry.mark or entry.host),
+            (self.state, HostState.GONE),
+            (self.zone, entry.zone),
+            (self.kind, entry.kind),
+            (self.listed, weight),
+            (self.weight, weight),
+            (self.cap, NO_CAP),
+            (self.shut, False),
+            (self.cut, False),
+            (self.speed, 0.0),
+            (self.error, None),
+            (self.integral, 0.0),
+            (self.news, False),
+            (self.standing, 0.0),
+            (self.tries, 0.0),
+            (self.voided, 0.0),
+            (self.time_us, 0.0),
+            (self.reports, 0.0),
+            (self.held, 0.0),
+            (self.faded_us, 0),
+            (self.heard_us, 0),
+        ):
+            array[place : place + 1] = [value]
         return place
 
     def remove(self, host: int) -> int:
--- a/plankroute/controller/messages.py
+++ b/plankroute/controller/messages.py
@@ -48,8 +48,11 @@
     levels: dict[int, Level] = field(default_factory=dict)
 
     def copy(self) -> "Draft":
-        return Draft(set(self.whole), {product: dict(lines) for product, lines in self.lines.items()},
-                     dict(self.levels))
+        return Draft(
+            set(self.whole),
+            {product: dict(lines) for product, lines in self.lines.items()},
+            dict(self.levels),
+        )
 
     def replace(self, product: int, lines: dict[int, float], level: Level | None) -> None:
         self.whole.add(product)
@@ -127,8 +130,11 @@
             case notes.ProxyLeft():
                 self.leave(note.proxy)
             case notes.HostList():
-                self.once_held.update(entry.host for entry in note.entries
-                                      if entry.state is not HostState.READY or entry.started_us)
+                self.once_held.update(
+                    entry.host
+                    for entry in note.entries
+                    if entry.state is not HostState.READY or entry.started_us
+                )
 
     def group(self, proxy: int) -> None:
         self.groups.setdefault(self.streams[proxy].tables, {})[proxy] = None
@@ -178,7 +184,9 @@
             if proxy in self.own:
                 said = self.with_common(tables, self.own[proxy]).parts()
             elif (said := parts.get(tables)) is None:
-                said = parts[tables] = self.with_common(tables, self.shared.get(tables, Draft())).parts()
+                said = parts[tables] = self.with_common(
+                    tables, self.shared.get(tables, Draft())
+                ).parts()
             out.append(Message(proxy, said, self.held.get(proxy, {}), mark))
         return out
 
--- a/plankroute/controller/registry.py
+++ b/plankroute/controller/registry.py
@@ -22,8 +22,9 @@
     pushed: dict[int, int] = field(default_factory=dict)
 
     def admits(self, figures: HostStatistics, place: int) -> bool:
-        return ((self.zones is None or figures.zone[place] in self.zones)
-                and (self.kinds is None or figures.kind[place] in self.kinds))
+        return (self.zones is None or figures.zone[place] in self.zones) and (
+            self.kinds is None or figures.kind[place] in self.kinds
+        )
 
     def held_in(self, proxy_zone: int) -> bool:
         return self.proxy_zone in (None, proxy_zone)
@@ -54,10 +55,17 @@
     def __init__(self, desk: Scheduler, tables: list[Any], channel: Channel) -> None:
         super().__init__(desk)
         self.tables, self.channel = tables, channel
-        self.zone_of, self.bound = dict[int, int](), set[int]()  # joined proxies; those on the tables
+        self.zone_of, self.bound = (
+            dict[int, int](),
+            set[int](),
+        )  # joined proxies; those on the tables
         self.unbound: dict[int, tuple[bool, float]] = {}  # the others: on old tables? rate
-        self.olds = set[int]()  # those that came on old tables, and may hold back what others held against it
-        self.knows: dict[int, set[int]] = {}  # by host that is gone, who was told so on the present stream
+        self.olds = set[
+            int
+        ]()  # those that came on old tables, and may hold back what others held against it
+        self.knows: dict[
+            int, set[int]
+        ] = {}  # by host that is gone, who was told so on the present stream
         self.broken: dict[int, int] = {}  # by proxy, when its stream ended, of late
 
     def join(self, note: notes.ProxyJoined) -> None:
@@ -81,7 +89,9 @@
 
     def broken_since(self, proxy: int, now: int, span_us: int) -> int:
         """One more ended: of how many proxies within the span. One that joins without end counts once."""
-        self.broken = {other: at for other, at in self.broken.items() if at > now - span_us} | {proxy: now}
+        self.broken = {other: at for other, at in self.broken.items() if at > now - span_us} | {
+            proxy: now
+        }
         return len(self.broken)
 
     def users(self, table: Pushed) -> list[int]:
--- a/plankroute/decide.py
+++ b/plankroute/decide.py
@@ -25,7 +25,9 @@
 
 SECOND_US = 1_000_000
 ASK_AGAIN_US = 2 * SECOND_US  # for a list that failed: well before it counts as known
-MEMORY_US = 3 * SECOND_US  # half-life of sums: older say little, and the noise of two or three averages out
+MEMORY_US = (
+    3 * SECOND_US
+)  # half-life of sums: older say little, and the noise of two or three averages out
 LN_2 = 0.693  # such a sum holds what comes in MEMORY_US / LN_2
 
 
@@ -34,14 +36,30 @@
 
     def __init__(self, facts: StartFacts) -> None:
         super().__init__()
-        self.cold_us, self.cold_share, self.may_probe = facts.cold_us, facts.cold_share, facts.may_probe
-        self.probe_always = facts.may_probe and facts.reports is ReportWay.PROBES  # reports come no other way
-        self.sla_us = max(1.0, fmean([product.sla_us for product in facts.products] or [1]))  # of a void
-        self.voided_part = self.time_part = self.tries_a_weight = self.crowding = 0.0  # over all listed ready
-        self.best_part = self.learn_most_us = 0.0  # voided by the best third; binds' longest wait for weights
+        self.cold_us, self.cold_share, self.may_probe = (
+            facts.cold_us,
+            facts.cold_share,
+            facts.may_probe,
+        )
+        self.probe_always = (
+            facts.may_probe and facts.reports is ReportWay.PROBES
+        )  # reports come no other way
+        self.sla_us = max(
+            1.0, fmean([product.sla_us for product in facts.products] or [1])
+        )  # of a void
+        self.voided_part = self.time_part = self.tries_a_weight = self.crowding = (
+            0.0  # over all listed ready
+        )
+        self.best_part = self.learn_most_us = (
+            0.0  # voided by the best third; binds' longest wait for weights
+        )
         self.able = self.entering = self.last_us = self.alarm_us = 0
-        self.learning_us: int | None = 0  # 0: nobody joined yet; since when binds wait for weights; None: not
-        self.old = False  # those who wait hold tables that another steward, or an earlier life, has taught
+        self.learning_us: int | None = (
+            0  # 0: nobody joined yet; since when binds wait for weights; None: not
+        )
+        self.old = (
+            False  # those who wait hold tables that another steward, or an earlier life, has taught
+        )
         self.kin: dict[int, float] = {}  # by kind, the usual weight of its warm hosts, be they shut
         # Learned before this start: weights, hosts in trouble, those shut by it alone; and its proofs
         self.told, self.told_bad, self.on_news = dict[int, float](), set[int](), set[int]()
@@ -55,23 +73,35 @@
         open_to = sum(i not in self.outside_subset for i in ready)
         self.crowding = tries * LN_2 * SECOND_US / MEMORY_US / max(1, self.proxies * open_to)
         self.time_part = sum(self.time_us[i] for i in ready) / tries
-        self.tries_a_weight = sum(self.tries[i] for i in heard) / (sum(self.weight[i] for i in heard) or 1.0)
+        self.tries_a_weight = sum(self.tries[i] for i in heard) / (
+            sum(self.weight[i] for i in heard) or 1.0
+        )
         # By the best third, since two zones of three may be out of reach.
-        best = sorted(heard, key=lambda i: self.voided[i] / self.tries[i])[:max(1, len(heard) // 3)]
-        self.best_part = sum(self.voided[i] for i in best) / (sum(self.tries[i] for i in best) or 1.0)
+        best = sorted(heard, key=lambda i: self.voided[i] / self.tries[i])[
+            : max(1, len(heard) // 3)
+        ]
+        self.best_part = sum(self.voided[i] for i in best) / (
+            sum(self.tries[i] for i in best) or 1.0
+        )
         self.last_us = sorted(self.heard_us[i] for i in heard)[len(heard) * 2 // 3] if heard else 0
         warm = [i for i in ready if self.cap[i] == NO_CAP]
         self.able, self.entering = len(warm), len(ready) - len(warm)
         self.most = max(self.most, self.able)
-        self.kin = {self.kind[kin[0]]: sum(self.weight[i] for i in kin) / len(kin)
-                    for kin in grouped(warm, lambda i: self.kind[i])}
-
-    def judge(self, place: int, bad: bool) -> None:  # guards against wrong news: all stand or fall together
+        self.kin = {
+            self.kind[kin[0]]: sum(self.weight[i] for i in kin) / len(kin)
+            for kin in grouped(warm, lambda i: self.kind[i])
+        }
+
+    def judge(
+        self, place: int, bad: bool
+    ) -> None:  # guards against wrong news: all stand or fall together
         as_told = bad == (place in self.told_bad)
         if place in self.told and place not in self.judged and (bad or not as_told):
             self.judged.add(place)
             self.right, self.wrong = self.right + as_told, self.wrong + (not as_told)
-        if self.wrong >= 2 and self.wrong > self.right:  # all is as it would have started without them
+        if (
+            self.wrong >= 2 and self.wrong > self.right
+        ):  # all is as it would have started without them
             for i in self.on_news:
                 self.shut[i] = False
             for i in self.told:
@@ -88,17 +118,37 @@
 class Host(Actor):
     """One host: its place in the list, whether it is cold, what is heard of it, and its health."""
 
-    VOIDED_EXCESS, LEAST_VOIDED = 0.25, 3.0  # over the best hosts' part, and in txns: together beyond chance
-    STRAINED = 3.0  # times the best hosts' part: where all void much a host that voids more is but fuller
-    SILENT_TRIES = 4.0  # expected without a word: by chance one time in fifty, and it only asks a probe
-    BAD_PROBES, GOOD_PROBES, MOST_PROBES = 2, 2, 32  # in a row, to shut a suspect and to let it back
-    MOST_SHUT = 0.75  # of all hosts: two zones of three may be out of reach; fewer left would only drown
-    ALARM_US = 3 * SECOND_US  # after streams broke together: one probe that does not get through is enough
-    ENTRY, RISE = 0.25, 1.5  # the design's quarter for a host that comes back, then half as much again a turn
+    VOIDED_EXCESS, LEAST_VOIDED = (
+        0.25,
+        3.0,
+    )  # over the best hosts' part, and in txns: together beyond chance
+    STRAINED = (
+        3.0  # times the best hosts' part: where all void much a host that voids more is but fuller
+    )
+    SILENT_TRIES = (
+        4.0  # expected without a word: by chance one time in fifty, and it only asks a probe
+    )
+    BAD_PROBES, GOOD_PROBES, MOST_PROBES = (
+        2,
+        2,
+        32,
+    )  # in a row, to shut a suspect and to let it back
+    MOST_SHUT = (
+        0.75  # of all hosts: two zones of three may be out of reach; fewer left would only drown
+    )
+    ALARM_US = (
+        3 * SECOND_US
+    )  # after streams broke together: one probe that does not get through is enough
+    ENTRY, RISE = (
+        0.25,
+        1.5,
+    )  # the design's quarter for a host that comes back, then half as much again a turn
     FLOCK = 4.0  # takes a third off at a half voided, three quarters at nine tenths; with less hosts fell
     # Parts voided at which all txns soon flock to a new host: in any fleet, and in one that answers so late.
     DROWNING, TIPPING, LATE = 0.5, 0.3, 0.8
-    NEWS_US = 60 * SECOND_US  # half-life of what was learned before: troubles of hosts last about so long
+    NEWS_US = (
+        60 * SECOND_US
+    )  # half-life of what was learned before: troubles of hosts last about so long
     MOST_NEWS = 1 / 3  # of the hosts may be shut by it alone: beyond, it is the news that are wrong
     SHUNS = 0.3  # tries a second that a proxy makes at a host: with fewer it hardly shuns any, and none flock
 
@@ -108,8 +158,13 @@
         self.shut_us = fleet.faded_us[place] = fleet.heard_us[place] = desk.now
         self.good_probes, self.bad_probes, self.needed = 0, 0, self.GOOD_PROBES
         self.found_out = False  # by this steward: what it was told of a host it does not tell on
-        self.work = {notes.HostEntry: self.on_entry, notes.HostSums: self.on_sums,
-                     notes.ProbeResult: self.on_probe, notes.HostLearned: self.on_learned, Tick: self.on_turn}
+        self.work = {
+            notes.HostEntry: self.on_entry,
+            notes.HostSums: self.on_sums,
+            notes.ProbeResult: self.on_probe,
+            notes.HostLearned: self.on_learned,
+            Tick: self.on_turn,
+        }
 
     def handle(self, note: Any) -> None:
         self.warm() if note is Tick.CHANGED else self.work[type(note)](note)
@@ -169,7 +224,11 @@
         if probe.age_us > MEMORY_US:
             return  # another steward's, from another time
         if probe.outcome is Outcome.ANSWERED:
-            self.good_probes, self.bad_probes, self.fleet.cut[self.place] = self.good_probes + 1, 0, False
+            self.good_probes, self.bad_probes, self.fleet.cut[self.place] = (
+                self.good_probes + 1,
+                0,
+                False,
+            )
             self.fleet.add_report(self.place, probe.report)
             self.fleet.speed[self.place] = SECOND_US / max(1, probe.took_us)
         elif probe.outcome is not Outcome.TURNED_AWAY:
@@ -182,8 +241,12 @@
         fleet, i = self.fleet, self.place
         cut = fleet.cut[i] and self.desk.now - fleet.alarm_us < self.ALARM_US
         enough = self.bad_probes >= (1 if cut or self.silent() else self.BAD_PROBES)
-        spared = sum(fleet.shut[i] for i in fleet.ready()) + 1 <= self.MOST_SHUT * len(fleet.ready())
-        usual = fleet.best_part if fleet.cut[i] else fleet.voided_part  # in an overload probes get through
+        spared = sum(fleet.shut[i] for i in fleet.ready()) + 1 <= self.MOST_SHUT * len(
+            fleet.ready()
+        )
+        usual = (
+            fleet.best_part if fleet.cut[i] else fleet.voided_part
+        )  # in an overload probes get through
         if enough and spared and i in fleet.playing() and (cut or self.suspect(usual)):
             fleet.shut[i], self.shut_us, self.found_out = True, self.desk.now, True
             fleet.on_news.discard(i)
@@ -197,13 +260,19 @@
         meanwhile waits for its probes, or grows back from a small weight.
         """
         fleet, i = self.fleet, self.place
-        if fleet.state[i] is not HostState.READY or fleet.tries[i] >= self.LEAST_VOIDED or fleet.judged:
+        if (
+            fleet.state[i] is not HostState.READY
+            or fleet.tries[i] >= self.LEAST_VOIDED
+            or fleet.judged
+        ):
             return
-        sure, known = (0.5 ** (age / self.NEWS_US) for age in (told.health_age_us, told.powers_age_us))
+        sure, known = (
+            0.5 ** (age / self.NEWS_US) for age in (told.health_age_us, told.powers_age_us)
+        )
         bad = sure > 0.5 and (told.shut or 2 * told.voided > told.tries)
         (fleet.told_bad.add if bad else fleet.told_bad.discard)(i)
         weight = Balancer.FLOOR if bad else min(Balancer.OWN_MOST, max(Balancer.FLOOR, told.weight))
-        fleet.told[i] = weight ** known
+        fleet.told[i] = weight**known
         if fleet.learning_us is None:
             fleet.weight[i], fleet.standing[i] = fleet.told[i], 0.0  # no slot holds the weight back
         ready = fleet.ready() if told.shut and bad and not fleet.shut[i] else []
@@ -238,7 +307,9 @@
         expected = per_us * (fleet.last_us - fleet.heard_us[i])
         return i not in fleet.outside_subset and expected > self.SILENT_TRIES
 
-    def consider_return(self) -> None:  # after good probes in a row; where none may be sent, as many turns
+    def consider_return(
+        self,
+    ) -> None:  # after good probes in a row; where none may be sent, as many turns
         fleet, i = self.fleet, self.place
         waited = self.desk.now - self.shut_us > self.needed * SECOND_US
         if self.good_probes >= self.needed or (waited and not fleet.may_probe):
@@ -252,24 +323,40 @@
     """The design's controller: a leaky PID on fill moves each host's weight."""
 
     TURN_US = SECOND_US
-    KP, KI, KD, LEAK = 0.12, 0.01, 0.02, 0.10  # fill is at the present weight: lateness bounds them less
+    KP, KI, KD, LEAK = (
+        0.12,
+        0.01,
+        0.02,
+        0.10,
+    )  # fill is at the present weight: lateness bounds them less
     EAGER = 6.0  # where the list tells no sizes, all is to be learnt: more gain at first, double at turn 6
     FLOOR = 0.05
     LEAD, DEAR_LEAD = 0.6, 0.3  # of a slot; where a turn can't write all: at 0.6 zones swung
     PAYS = 1.2  # times the least move that is worth its line: a shorter lead would keep the slot for good
     SLOWNESS, DRAIN = 0.3, 0.45  # surcharges for slow hosts and for queues; more made queues swing
-    AT_ONCE = 3.0  # txns a usual host works on before any waits; with more in hand these tell its powers
+    AT_ONCE = (
+        3.0  # txns a usual host works on before any waits; with more in hand these tell its powers
+    )
     JAMMED = 0.75  # fill: a stress of three times the mean; a late report is then no idle host
-    PRIOR_TRIES = 3.0  # shrinks a host's mean time, or weight, to its kind's while few tries are counted
+    PRIOR_TRIES = (
+        3.0  # shrinks a host's mean time, or weight, to its kind's while few tries are counted
+    )
     PROBED_US = SECOND_US // 4  # a probe that takes longer tells nothing of speed
-    OWN_LEAST, OWN_MOST = 0.7, 1.4  # of its kind's: single probes are off by twice, some answer at once
-    SHUNNED = 0.3  # of the mean tries that old tables bring a host: less, and who wrote them shunned it
+    OWN_LEAST, OWN_MOST = (
+        0.7,
+        1.4,
+    )  # of its kind's: single probes are off by twice, some answer at once
+    SHUNNED = (
+        0.3  # of the mean tries that old tables bring a host: less, and who wrote them shunned it
+    )
     ENOUGH, SETTLED = 8.0, 6  # tries a host to take over; its turn by then
 
     def __init__(self, desk: Scheduler, fleet: Fleet, tables: list["Table"]) -> None:
         super().__init__(desk)
         self.fleet, self.tables, self.turns = fleet, tables, 0
-        self.first_us = int(self.TURN_US * (0.5 + desk.chance() / 2))  # stewards should not turn in step
+        self.first_us = int(
+            self.TURN_US * (0.5 + desk.chance() / 2)
+        )  # stewards should not turn in step
 
     def pause_us(self) -> int:
         """Guards against news that wait up to a turn: turns keep a tenth of a second behind sums."""
@@ -278,7 +365,10 @@
         return self.TURN_US - late * (self.fleet.burst_us > 0)
 
     def handle(self, note: Any) -> None:
-        fleet, playing = self.fleet, [i for i in self.fleet.playing() if i not in self.fleet.outside_subset]
+        fleet, playing = (
+            self.fleet,
+            [i for i in self.fleet.playing() if i not in self.fleet.outside_subset],
+        )
         if fleet.learning_us and playing:
             self.take_over(playing)
         fills = {} if fleet.learning_us or note is Tick.CHANGED else self.fills(playing)
@@ -302,7 +392,9 @@
             held = fleet.standing[i] if fleet.cap[i] == NO_CAP else 0.0
             if held:
                 # Guards against a weight that runs on while its slot waits: the news are of the slot.
-                lead = max(self.DEAR_LEAD if fleet.dear else self.LEAD, self.PAYS * fleet.least_move)
+                lead = max(
+                    self.DEAR_LEAD if fleet.dear else self.LEAD, self.PAYS * fleet.least_move
+                )
                 weight = min(max(weight, held / (1 + eager * lead)), held * (1 + eager * lead))
             fleet.weight[i] = weight
         fleet.rescale(playing)
@@ -311,7 +403,9 @@
         """Guards against even weights: old tables show in the tries they bring, speed in the first probes."""
         fleet, waited = self.fleet, self.desk.now - self.fleet.learning_us
         late = waited > (fleet.learn_most_us if fleet.old else self.PROBED_US)
-        fleet.old &= not late or sum(fleet.tries[i] for i in playing) >= len(playing)  # else by probes
+        fleet.old &= not late or sum(fleet.tries[i] for i in playing) >= len(
+            playing
+        )  # else by probes
         shown = fleet.tries if fleet.old else fleet.speed
         mean = sum(shown[i] for i in playing) / len(playing) or 1.0
         if late or (mean >= self.ENOUGH if fleet.old else all(shown[i] for i in playing)):
@@ -321,15 +415,27 @@
             playing = fleet.playing()
             typical = median([shown[i] for i in playing if shown[i]] or [1.0])
             for kin in grouped(playing, lambda i: fleet.kind[i]) if any(shown) else ():
-                usual = median([shown[i] for i in kin if shown[i]] or [typical])  # not all answer in time
-                kind = (sum(shown[i] for i in kin) + self.PRIOR_TRIES) / (mean * len(kin) + self.PRIOR_TRIES)
+                usual = median(
+                    [shown[i] for i in kin if shown[i]] or [typical]
+                )  # not all answer in time
+                kind = (sum(shown[i] for i in kin) + self.PRIOR_TRIES) / (
+                    mean * len(kin) + self.PRIOR_TRIES
+                )
                 for i in kin:
                     fleet.standing[i] = 0.0  # no slot holds the weight back
-                    own = max(self.OWN_LEAST, min(self.OWN_MOST, (shown[i] / usual) ** 0.5)) * usual / typical
-                    by_tries = kind * (shown[i] + self.PRIOR_TRIES) / (kind * mean + self.PRIOR_TRIES)
+                    own = (
+                        max(self.OWN_LEAST, min(self.OWN_MOST, (shown[i] / usual) ** 0.5))
+                        * usual
+                        / typical
+                    )
+                    by_tries = (
+                        kind * (shown[i] + self.PRIOR_TRIES) / (kind * mean + self.PRIOR_TRIES)
+                    )
                     fleet.weight[i] = by_tries if fleet.old else own
                     if i in fleet.told:  # beside old tables it may only lower a weight
-                        fleet.weight[i] = min(fleet.told[i], fleet.weight[i] if fleet.old else NO_CAP)
+                        fleet.weight[i] = min(
+                            fleet.told[i], fleet.weight[i] if fleet.old else NO_CAP
+                        )
             fleet.rescale(playing)
 
     def fills(self, playing: list[int]) -> dict[int, float]:
@@ -340,15 +446,23 @@
         size = sum(fleet.listed[i] for i in playing) / len(playing)
         stress = {}
         held = {i: fleet.held[i] / fleet.reports[i] for i in times if fleet.reports[i] > 0.1}
-        for hosts in grouped(times, lambda i: tuple(table.admits(fleet, i) for table in self.tables)):
+        for hosts in grouped(
+            times, lambda i: tuple(table.admits(fleet, i) for table in self.tables)
+        ):
             # Hosts open to the same products: others have another mix of work, and other tries a weight.
             usual = sum(times[i] for i in hosts) / len(hosts)
             pace = self.pace(hosts, times, held)
             for i in hosts:
                 at_once = self.AT_ONCE * fleet.listed[i] / size
                 crowd = max(1.0, held.get(i, 0.0) / at_once)
-                stress[i] = (pace * fleet.weight[i] * times[i] / at_once * crowd ** (self.DRAIN - 1)
-                             * (times[i] / usual) ** self.SLOWNESS)
+                stress[i] = (
+                    pace
+                    * fleet.weight[i]
+                    * times[i]
+                    / at_once
+                    * crowd ** (self.DRAIN - 1)
+                    * (times[i] / usual) ** self.SLOWNESS
+                )
         mean = sum(stress.values()) / len(stress)
         return {i: value / (value + mean) for i, value in stress.items()}
 
@@ -357,10 +471,14 @@
         fleet, told = self.fleet, [i for i in hosts if held.get(i, 0.0) > 0]
         if told:
             return sum(held[i] for i in told) / sum(fleet.counted(i) * times[i] for i in told)
-        tries = max(1.0, sum(fleet.tries[i] for i in hosts)) / MEMORY_US  # no reports: this steward's alone
+        tries = (
+            max(1.0, sum(fleet.tries[i] for i in hosts)) / MEMORY_US
+        )  # no reports: this steward's alone
         return tries / sum(fleet.counted(i) for i in hosts)
 
-    def times(self, playing: list[int]) -> dict[int, float]:  # shrunk to their kind's; none for kinds unheard
+    def times(
+        self, playing: list[int]
+    ) -> dict[int, float]:  # shrunk to their kind's; none for kinds unheard
         fleet, few, times = self.fleet, self.PRIOR_TRIES, dict[int, float]()
         for kin in grouped(playing, lambda i: fleet.kind[i]):
             tries = sum(fleet.tries[i] for i in kin)
@@ -378,20 +496,32 @@
     def subset(self, fleet: Fleet, able: list[int], part: float, start: float) -> list[int]:
         """An arc of a ring: stewards' arcs lie beside each other, so each host is in as many tables as any
         other, and one that comes or goes moves the arc's ends alone; each zone's kinds are spread evenly."""
-        listed = sorted((i for i in fleet.ready() if self.admits(fleet, i)), key=lambda i: fleet.mark[i])
-        kins = grouped(listed, lambda i: (fleet.zone[i], fleet.kind[i]))  # the same at every steward
-        ring = [i for *_, i in sorted(((n + 0.5) / len(kin), k, i) for k, kin in enumerate(kins)
-                                      for n, i in enumerate(kin))]
-        ring = ring[(at := int(start * len(ring))):] + ring[:at]
+        listed = sorted(
+            (i for i in fleet.ready() if self.admits(fleet, i)), key=lambda i: fleet.mark[i]
+        )
+        kins = grouped(
+            listed, lambda i: (fleet.zone[i], fleet.kind[i])
+        )  # the same at every steward
+        ring = [
+            i
+            for *_, i in sorted(
+                ((n + 0.5) / len(kin), k, i)
+                for k, kin in enumerate(kins)
+                for n, i in enumerate(kin)
+            )
+        ]
+        ring = ring[(at := int(start * len(ring))) :] + ring[:at]
         open_to = set(able)
         warm = [i for i in ring if i in open_to and fleet.cap[i] == NO_CAP and not fleet.shut[i]]
         most, least = math.ceil(part * len(warm)), self.LEAST_HOSTS
         if len(warm) < 2 * least > 2 * most or most >= len(warm):
             return able  # widened to over a half it would save little
         most = max(most, least)
-        return sorted(open_to.intersection(ring[:ring.index(warm[most - 1]) + 1]))
+        return sorted(open_to.intersection(ring[: ring.index(warm[most - 1]) + 1]))
 
-    def slots(self, fleet: Fleet, out: set[int], part: float = 1.0, start: float = 0.0) -> dict[int, int]:
+    def slots(
+        self, fleet: Fleet, out: set[int], part: float = 1.0, start: float = 0.0
+    ) -> dict[int, int]:
         """Floor of each share, the missing ones to the largest remainders; each open host keeps one."""
         able = [i for i in fleet.ready() if fleet.cap[i] and i not in out and self.admits(fleet, i)]
         able = self.subset(fleet, able, part, start) if part < 1 else able
@@ -413,11 +543,19 @@
         return {i: max(1, count) for i, count in in_whole(exact).items()}
 
 
-def tables_for(facts: StartFacts) -> list[Table]:  # one; others for products that may not use every host
+def tables_for(
+    facts: StartFacts,
+) -> list[Table]:  # one; others for products that may not use every host
     tables: dict[tuple[Any, ...], Table] = {}
     for place, product in enumerate(facts.products):
         for zone in range(facts.zones) if product.own_zone else (None,):
-            open_to = product.zones if zone is None else (zone,) if zone in (product.zones or (zone,)) else ()
+            open_to = (
+                product.zones
+                if zone is None
+                else (zone,)
+                if zone in (product.zones or (zone,))
+                else ()
+            )
             key = (open_to, product.kinds, zone)
             tables.setdefault(key, Table(len(tables), *key)).products.append(place)
     return list(tables.values())
@@ -427,25 +565,43 @@
     """Keeps the tables, puts proxies on them, and writes to the channel no more than it can take."""
 
     PULSE_US = SECOND_US // 10  # well within any grace, and shorter than a message's way
-    ORDINARY_PART, GRACE_PART = 0.5, 0.4  # of the limit, of the grace may be queued: the rest is for drains
+    ORDINARY_PART, GRACE_PART = (
+        0.5,
+        0.4,
+    )  # of the limit, of the grace may be queued: the rest is for drains
     BIND_PART = 0.45  # binds leave room for slots: those who come later find the table right
-    WORTH_US = 3 * SECOND_US // 2  # a moved txn gains a tenth or so, for the time that a slot stands
+    WORTH_US = (
+        3 * SECOND_US // 2
+    )  # a moved txn gains a tenth or so, for the time that a slot stands
     URGE = 6.0  # of the SLA time; guards against a channel busy all day with the small moves of a calm fleet
     NEW = 4.0  # times a slot's worth for a host without any: the others carry its txns
     FALLEN = 0.75  # a cold host's slot below this part of the pushed one does not wait
-    LEARN_US = 5 * SECOND_US  # for first weights, if binds then fit the grace: old tables name lost hosts
+    LEARN_US = (
+        5 * SECOND_US
+    )  # for first weights, if binds then fit the grace: old tables name lost hosts
     IN_TIME = 0.75  # of the grace left after the longest way: binds that fit need no withdrawals before them
-    BIND_US, BIND_SHARE = 3 * SECOND_US, 0.5  # for all binds, at most; of what the grace leaves, at most
+    BIND_US, BIND_SHARE = (
+        3 * SECOND_US,
+        0.5,
+    )  # for all binds, at most; of what the grace leaves, at most
     BURST = 0.1  # of the streams, within a second: more than break by themselves
-    LOST = 0.1  # of a zone's hosts: the few of a standing table, drawn from it, may all be among them
-    KEEP_US = 60 * SECOND_US  # for hosts that are gone: proxies back from the longest cuts may name them yet
+    LOST = (
+        0.1  # of a zone's hosts: the few of a standing table, drawn from it, may all be among them
+    )
+    KEEP_US = (
+        60 * SECOND_US
+    )  # for hosts that are gone: proxies back from the longest cuts may name them yet
     OPEN = {LevelUnit.NONE: 1.0, LevelUnit.SHARE: 1.0, LevelUnit.RATE: 1e6}
-    RETRY = orders.Retry.UNRUN  # on proof that the first never ran: others doubled the load of late hosts
+    RETRY = (
+        orders.Retry.UNRUN
+    )  # on proof that the first never ran: others doubled the load of late hosts
 
     def __init__(self, desk: Scheduler, fleet: Fleet, facts: StartFacts) -> None:
         self.lines_a_us, tables = facts.lines_per_s / SECOND_US, tables_for(facts)
         channel = Channel(facts.head_lines, self.lines_a_us, facts.way_most_us + self.PULSE_US)
-        super().__init__(desk, [] if facts.slices else tables, channel)  # the store keeps those of slices
+        super().__init__(
+            desk, [] if facts.slices else tables, channel
+        )  # the store keeps those of slices
         self.fleet, self.limit = fleet, facts.queue_cap
         self.spare_us = max(0, facts.grace_us - facts.way_most_us)
         in_grace = self.GRACE_PART * self.spare_us * self.lines_a_us
@@ -457,14 +613,26 @@
         most, self.most_gap_us = facts.messages_most, facts.grace_us / 3
         self.least_gap_us = facts.messages_window_us / max(1, most - 1) if most else 0.0
         self.written_us = self.told_us = self.owed_us = -facts.messages_window_us
-        self.withdrawn, self.due, self.refused = set[int](), set[int](), False  # hosts; those to take out yet
+        self.withdrawn, self.due, self.refused = (
+            set[int](),
+            set[int](),
+            False,
+        )  # hosts; those to take out yet
         self.proxies, self.stewards = facts.proxies, facts.stewards
         self.start = facts.steward % facts.stewards / facts.stewards  # of its arc of the hosts
-        self.seen, self.found, self.bare = list[Any](), list[dict[int, int]](), False  # slots, their causes
+        self.seen, self.found, self.bare = (
+            list[Any](),
+            list[dict[int, int]](),
+            False,
+        )  # slots, their causes
         self.untold_us: int | None = None  # since when proxies wait that were not told who is gone
-        self.levels: dict[Any, orders.SetLevel] = {}  # not yet written: a newer one replaces an older
+        self.levels: dict[
+            Any, orders.SetLevel
+        ] = {}  # not yet written: a newer one replaces an older
         for table in self.tables:
-            desk.out.append(orders.SetLevel(table.number, None, self.OPEN[facts.level_unit], self.RETRY))
+            desk.out.append(
+                orders.SetLevel(table.number, None, self.OPEN[facts.level_unit], self.RETRY)
+            )
 
     def handle(self, note: Any) -> None:
         match note:
@@ -494,13 +662,17 @@
                 self.levels[note.table, note.products] = note
             case Tick():
                 self.channel.pass_time(self.desk.now)
-                self.bare = any(self.fleet.gone_part(zone) > self.LOST for zone in self.fresh_zones())
+                self.bare = any(
+                    self.fleet.gone_part(zone) > self.LOST for zone in self.fresh_zones()
+                )
                 self.lift()
                 self.owe()
                 self.write(note is Tick.TURN)
                 self.bind_waiting()
 
-    def count_broken(self, proxy: int) -> None:  # together they may tell of a cut, before sums: all are asked
+    def count_broken(
+        self, proxy: int
+    ) -> None:  # together they may tell of a cut, before sums: all are asked
         fleet, now = self.fleet, self.desk.now
         broken = self.broken_since(proxy, now, SECOND_US)
         if broken > max(2, self.BURST * len(self.zone_of)) and now - fleet.alarm_us > SECOND_US:
@@ -518,7 +690,9 @@
         at_once = fits or (self.due and self.desk.now - self.told_us >= self.most_gap_us)
         changes = sorted(self.changes(), key=lambda change: (-change.worth, change.place))
         shut = any(change.urgent and fleet.shut[change.place] for change in changes)
-        gap_us = min(self.most_gap_us, Balancer.TURN_US) if shut else self.most_gap_us  # bad hosts: a turn
+        gap_us = (
+            min(self.most_gap_us, Balancer.TURN_US) if shut else self.most_gap_us
+        )  # bad hosts: a turn
         busy = self.channel.waiting > self.round and since < gap_us
         if since < self.least_gap_us or (busy and not at_once):
             return
@@ -541,14 +715,25 @@
         shares = max(1, math.ceil(in_time * self.stewards))
         return min(1.0, shares / self.stewards) if self.stewards > 2 else 1.0
 
-    def bind_us(self, part: float) -> float:  # to bind an even share of all proxies to this part of the hosts
+    def bind_us(
+        self, part: float
+    ) -> float:  # to bind an even share of all proxies to this part of the hosts
         lines = part * len(self.fleet.ready()) + self.channel.head
         return self.proxies / self.stewards * lines / self.lines_a_us
 
     def all_slots(self) -> list[dict[int, int]]:
         """As found last, while nothing that they follow from has moved: ten looks a second, one turn."""
         fleet, out = self.fleet, self.withdrawn | self.due
-        seen = [fleet.weight, fleet.cap, fleet.shut, fleet.cut, fleet.state, fleet.zone, fleet.kind, out]
+        seen = [
+            fleet.weight,
+            fleet.cap,
+            fleet.shut,
+            fleet.cut,
+            fleet.state,
+            fleet.zone,
+            fleet.kind,
+            out,
+        ]
         seen += [table.pushed for table in self.tables]
         if seen != self.seen:
             self.seen, part = [figures.copy() for figures in seen], self.subset_share()
@@ -556,7 +741,9 @@
             fleet.outside_subset = set(fleet.ready()).difference(*self.found) if part < 1 else set()
         return self.found
 
-    def changes(self) -> Iterator[Change]:  # worth more where a slot is to fall: txns there are late already
+    def changes(
+        self,
+    ) -> Iterator[Change]:  # worth more where a slot is to fall: txns there are late already
         fleet, products = self.fleet, sum(len(table.products) for table in self.tables)
         urge = max(1.0, (self.URGE * fleet.time_part / fleet.sla_us) ** 3)
         for table, slots in zip(self.tables, self.all_slots()):
@@ -571,9 +758,17 @@
                     strain = max(1.0, before / max(1, count)) if before else self.NEW
                     worth = urge * (count - before) ** 2 / max(count, before) * part * strain
                     urgent = bare or fallen or (not count and i not in fleet.outside_subset)
-                    if i in self.withdrawn:  # nobody sends there: last, sooner if it is back or long gone
-                        back, late = fleet.state[i] is HostState.READY, self.desk.now - fleet.heard_us[i]
-                        worth, urgent = worth * back or float(2 * late > self.KEEP_US), bare and back
+                    if (
+                        i in self.withdrawn
+                    ):  # nobody sends there: last, sooner if it is back or long gone
+                        back, late = (
+                            fleet.state[i] is HostState.READY,
+                            self.desk.now - fleet.heard_us[i],
+                        )
+                        worth, urgent = (
+                            worth * back or float(2 * late > self.KEEP_US),
+                            bare and back,
+                        )
                     yield Change(worth, urgent, table, i, count)
 
     def write_ordinary(self, changes: list[Change], room: float) -> None:
@@ -586,16 +781,23 @@
             if room >= len(users := self.users(self.tables[level.table])):
                 room -= len(users)
                 self.order(self.levels.pop(key), users)
-        if sum(c.worth - self.line_price for c in worth) > self.line_price * head or self.channel.batch:
+        if (
+            sum(c.worth - self.line_price for c in worth) > self.line_price * head
+            or self.channel.batch
+        ):
             for change in worth:
                 room -= self.set_line(change, room)
 
-    def set_line(self, change: Change, room: float) -> int:  # the lines it took: none where there is no room
+    def set_line(
+        self, change: Change, room: float
+    ) -> int:  # the lines it took: none where there is no room
         table, payers = change.table, self.payers(change.table, change.place, self.fleet.once)
         if len(payers) > room:
             return 0
         table.set(change.place, change.count)
-        self.order(orders.SetLine(table.number, self.fleet.ids[change.place], float(change.count)), payers)
+        self.order(
+            orders.SetLine(table.number, self.fleet.ids[change.place], float(change.count)), payers
+        )
         return len(payers)
 
     def tell_gone(self, host: int, room: float) -> int:
@@ -619,13 +821,18 @@
             a_bind = self.channel.head + sum(table.lines(set()) for table in self.tables)
             in_time = (self.IN_TIME * self.spare_us - (now - self.untold_us)) * self.lines_a_us
             if fleet.learning_us or self.channel.waiting + len(self.unbound) * a_bind > in_time:
-                self.due.update(i for i in fleet.index.values() if fleet.state[i] is not HostState.READY)
+                self.due.update(
+                    i for i in fleet.index.values() if fleet.state[i] is not HostState.READY
+                )
                 self.untold_us, self.owed_us = None, now
 
     def long_gone(self) -> list[int]:  # hosts of which nothing is kept from here
         fleet, late = self.fleet, self.desk.now - self.KEEP_US
-        return [host for host, i in fleet.index.items() if fleet.state[i] is HostState.GONE
-                and fleet.heard_us[i] < late and not self.naming(i)]
+        return [
+            host
+            for host, i in fleet.index.items()
+            if fleet.state[i] is HostState.GONE and fleet.heard_us[i] < late and not self.naming(i)
+        ]
 
     def lift(self) -> None:
         """Once no table names it; a cold host stays out while proxies on older tables may name it too."""
@@ -637,17 +844,24 @@
                 self.knows.pop(i, None)
                 self.order(orders.Withdraw(self.fleet.ids[i], False), self.unbound)
 
-    def room(self, most_queued: float) -> float:  # for what can wait: a drain's message must always fit
+    def room(
+        self, most_queued: float
+    ) -> float:  # for what can wait: a drain's message must always fit
         most = max(self.bind_allowance, self.limit - len(self.zone_of) * (self.channel.head + 1))
         return min(most_queued - self.channel.queued, most - self.channel.waiting)
 
     def bind_waiting(self) -> None:
         """Each proxy once a stream, and never to tables without lines; fresh ones, and large ones, first."""
         for change in () if self.bound or self.fleet.learning_us else list(self.changes()):
-            self.set_line(change, NO_CAP)  # nobody pays for them yet, and binds are to carry the newest
+            self.set_line(
+                change, NO_CAP
+            )  # nobody pays for them yet, and binds are to carry the newest
         filled = any(t.pushed for t in self.tables) and not self.fleet.learning_us
         most = (self.bind_allowance, self.allowance)[self.bare]  # proxies may be bare: slots wait
-        out = self.withdrawn, self.withdrawn | self.fleet.once  # lines more: for who is fresh, and is not
+        out = (
+            self.withdrawn,
+            self.withdrawn | self.fleet.once,
+        )  # lines more: for who is fresh, and is not
         for proxy in sorted(self.unbound, key=lambda p: (*self.unbound[p], p)) if filled else ():
             tables = [table for table in self.tables if table.held_in(self.zone_of[proxy])]
             costs = [table.lines(out[proxy in self.olds]) for table in tables]
@@ -666,15 +880,27 @@
     """Declines early while answers are late, table by table; lets in no less than is settled just now."""
 
     HIGH, LOW = 0.55, 0.45  # of the SLA time: a mean beyond it leaves a long tail past it
-    FALL, RISE, LEAST = 0.7, 1.15, 0.1  # a turn: quick enough for a burst, slow enough for late reports
-    LAG = 4  # turns until an order shows in the sums: a fall is counted from the share then in force
+    FALL, RISE, LEAST = (
+        0.7,
+        1.15,
+        0.1,
+    )  # a turn: quick enough for a burst, slow enough for late reports
+    LAG = (
+        4  # turns until an order shows in the sums: a fall is counted from the share then in force
+    )
     STEP = 0.05  # smaller moves are not worth their lines
 
-    def __init__(self, desk: Scheduler, fleet: Fleet, facts: StartFacts, publisher: Publisher) -> None:
+    def __init__(
+        self, desk: Scheduler, fleet: Fleet, facts: StartFacts, publisher: Publisher
+    ) -> None:
         super().__init__(desk)
         self.fleet, self.publisher, self.unit = fleet, publisher, facts.level_unit
-        self.tables = publisher.tables if self.unit is not LevelUnit.NONE else []  # nobody heeds any
-        self.past = [deque([1.0] * self.LAG, self.LAG) for _ in self.tables]  # shares, the newest last
+        self.tables = (
+            publisher.tables if self.unit is not LevelUnit.NONE else []
+        )  # nobody heeds any
+        self.past = [
+            deque([1.0] * self.LAG, self.LAG) for _ in self.tables
+        ]  # shares, the newest last
         self.late, self.voided, self.tries = ([0.0] * len(self.tables) for _ in range(3))
         self.settled = self.arrived = 0.0  # txns of the last turns, over all tables
         self.sent: dict[tuple[int, int], float] = {}
@@ -687,13 +913,22 @@
                 key, rate = (note.proxy, note.product), note.arrived * SECOND_US / note.span_us
                 self.rates[key] = (self.rates.get(key, rate) + rate) / 2
             case notes.HostSums():
-                host, self.settled = self.fleet.index[note.host], self.settled + note.tries - note.voided
+                host, self.settled = (
+                    self.fleet.index[note.host],
+                    self.settled + note.tries - note.voided,
+                )
                 for place, table in enumerate(self.tables):
                     # By what its own proxies met: a zone behind a cut may serve its own all the same.
-                    if table.held_in(note.zone) and table.admits(self.fleet, host) and note.mean_us < NO_CAP:
+                    if (
+                        table.held_in(note.zone)
+                        and table.admits(self.fleet, host)
+                        and note.mean_us < NO_CAP
+                    ):
                         self.tries[place] += note.tries
                         self.voided[place] += note.voided
-                        self.late[place] += (note.tries - note.voided) * note.mean_us / self.fleet.sla_us
+                        self.late[place] += (
+                            (note.tries - note.voided) * note.mean_us / self.fleet.sla_us
+                        )
             case Tick.TURN:
                 for place, table in enumerate(self.tables):
                     self.follow(place, table)
@@ -722,10 +957,16 @@
         before = self.sent.get((table.number, product), open_)
         if abs(level - before) > self.STEP * before or level == open_ != before:
             self.sent[table.number, product] = level
-            self.desk.put(self.publisher, orders.SetLevel(table.number, (product,), level, Publisher.RETRY))
+            self.desk.put(
+                self.publisher, orders.SetLevel(table.number, (product,), level, Publisher.RETRY)
+            )
 
-    def rate_for(self, table: Table, product: int, share: float) -> float:  # small proxies keep theirs whole
+    def rate_for(
+        self, table: Table, product: int, share: float
+    ) -> float:  # small proxies keep theirs whole
         joined = self.publisher.zone_of.items()
-        rates = [self.rates.get((proxy, product), 0.0) for proxy, zone in joined if table.held_in(zone)]
+        rates = [
+            self.rates.get((proxy, product), 0.0) for proxy, zone in joined if table.held_in(zone)
+        ]
         cap = even_cap(rates, share * sum(rates))
         return Publisher.OPEN[self.unit] if cap is None else max(cap, 0.1)
--- a/plankroute/interface/notes.py
+++ b/plankroute/interface/notes.py
@@ -187,5 +187,19 @@
     token: int
 
 
-Note = (HostList | ProxyJoined | ProxyLeft | HostSums | ProxyTraffic | SliceTraffic | SliceCharge
-        | SliceLine | Applied | ProbeResult | PeerMessage | StewardSeen | HostLearned | TimerDue)
+Note = (
+    HostList
+    | ProxyJoined
+    | ProxyLeft
+    | HostSums
+    | ProxyTraffic
+    | SliceTraffic
+    | SliceCharge
+    | SliceLine
+    | Applied
+    | ProbeResult
+    | PeerMessage
+    | StewardSeen
+    | HostLearned
+    | TimerDue
+)
--- a/plankroute/interface/orders.py
+++ b/plankroute/interface/orders.py
@@ -106,5 +106,18 @@
     text: str
 
 
-Order = (SetLine | ClearTable | Withdraw | Bind | SetLevel | Mark | Probe | Tell | SetTimer | AskList
-         | Subscribe | Forget | Log)
+Order = (
+    SetLine
+    | ClearTable
+    | Withdraw
+    | Bind
+    | SetLevel
+    | Mark
+    | Probe
+    | Tell
+    | SetTimer
+    | AskList
+    | Subscribe
+    | Forget
+    | Log
+)
--- a/plankroute/lab/baselines.py
+++ b/plankroute/lab/baselines.py
@@ -10,8 +10,21 @@
 
 from plankroute.seeded_random import SeededRandom
 from plankroute.lab.simulated import CODEC, WALL_US, address_of, name_of
-from plankroute.membership.messages import (Action, Answer, Change, Errand, Event, Handed, Heard, News, Ping,
-                                            Rest, Said, Send, Told)
+from plankroute.membership.messages import (
+    Action,
+    Answer,
+    Change,
+    Errand,
+    Event,
+    Handed,
+    Heard,
+    News,
+    Ping,
+    Rest,
+    Said,
+    Send,
+    Told,
+)
 from plankroute.membership.records import Record, Standing
 from plankroute.membership.spreading import Rumours
 from plankroute.membership.views import View, mark_of
@@ -21,14 +34,19 @@
 HEARTBEAT_US, TIMEOUT_US = SECOND, 3 * SECOND  # three beats missed: as quick as the chosen way
 PERIOD_US, DIRECT_US, HELPERS = SECOND, SECOND // 2, 3  # SWIM's usual figures
 SUSPICION_US = 3 * SECOND  # so that a kill is known about as fast as by the chosen way
-LONGEST, CONFIRMATIONS, MOST_HEALTH = 6, 3, 8  # Lifeguard's usual: time-out at first, votes to the least,
+LONGEST, CONFIRMATIONS, MOST_HEALTH = (
+    6,
+    3,
+    8,
+)  # Lifeguard's usual: time-out at first, votes to the least,
 # multiplier
 RUMOUR_ROOM = 800  # bytes of a datagram
 
 
 def records(members: int) -> list[Record]:
     return [
-        Record(name_of(member), address_of(member), f"z{member % 3}", 1, WALL_US) for member in range(members)
+        Record(name_of(member), address_of(member), f"z{member % 3}", 1, WALL_US)
+        for member in range(members)
     ]
 
 
@@ -57,8 +75,11 @@
                     out.append(Told(Change.BACK, self.all[place]))
         if now_us >= self.next_us:
             self.next_us += HEARTBEAT_US
-            out += [Send(record.address, News((self.own,))) for place, record in enumerate(self.all)
-                    if place != self.me]
+            out += [
+                Send(record.address, News((self.own,)))
+                for place, record in enumerate(self.all)
+                if place != self.me
+            ]
         if now_us >= self.look_us:
             self.look_us = now_us + BEAT_US
             for place, heard in enumerate(self.heard_us):
@@ -85,11 +106,16 @@
 
     def __init__(self, member: int, members: int, life: int, seed: int, lifeguard: bool) -> None:
         everybody = records(members)
-        self.view = View(msgspec.structs.replace(everybody[member], life=life,
-                                                 incarnation=WALL_US + life - 1))
-        for record in everybody[:member] + everybody[member + 1:]:
+        self.view = View(
+            msgspec.structs.replace(everybody[member], life=life, incarnation=WALL_US + life - 1)
+        )
+        for record in everybody[:member] + everybody[member + 1 :]:
             self.view.merge(record, 0)
-        self.lifeguard, self.chance, self.rumours = lifeguard, SeededRandom(seed * 7919 + member), Rumours()
+        self.lifeguard, self.chance, self.rumours = (
+            lifeguard,
+            SeededRandom(seed * 7919 + member),
+            Rumours(),
+        )
         self.mark = mark_of(name_of(member))
         self.order: list[int] = []
         self.round: Round | None = None
@@ -112,8 +138,12 @@
         self.out.append(Send(address, said))
 
     def riding(self, first: Record | None = None) -> tuple[Record, ...]:
-        more = self.rumours.take(len(self.view), RUMOUR_ROOM,
-                                 lambda name: self.view.at(self.view.index[name]), CODEC.size)
+        more = self.rumours.take(
+            len(self.view),
+            RUMOUR_ROOM,
+            lambda name: self.view.at(self.view.index[name]),
+            CODEC.size,
+        )
         return (first, *more) if first else tuple(more)
 
     def ping(self, place: int, number: int) -> None:
@@ -189,8 +219,13 @@
             for place in self.drawn(HELPERS, probe.place):
                 self.send(
                     self.view.at(place).address,
-                    Errand(probe.number,
-                           self.view.at(probe.place).address, self.view.own(), self.riding()))
+                    Errand(
+                        probe.number,
+                        self.view.at(probe.place).address,
+                        self.view.own(),
+                        self.riding(),
+                    ),
+                )
         if probe is None or now_us - probe.since_us >= PERIOD_US * slow:
             if probe and not probe.answered:
                 self.suspect(probe.place, now_us)
@@ -198,7 +233,9 @@
         for place, since in list(self.since_us.items()):
             if now_us - since >= self.timeout_us(place):
                 del self.since_us[place]
-                gone = msgspec.structs.replace(self.view.at(place), standing=Standing.GONE, voters=())
+                gone = msgspec.structs.replace(
+                    self.view.at(place), standing=Standing.GONE, voters=()
+                )
                 self.view.put(place, gone)
                 self.rumours.add(gone.name)
                 self.tell(place, Change.GONE, Standing.GONE, now_us)
@@ -214,8 +251,10 @@
         self.health = min(MOST_HEALTH, self.health + 1)
         record = self.view.at(place)
         if not record.is_final():
-            self.take(msgspec.structs.replace(record, standing=Standing.SUSPECTED, voters=(self.mark,)),
-                      now_us)
+            self.take(
+                msgspec.structs.replace(record, standing=Standing.SUSPECTED, voters=(self.mark,)),
+                now_us,
+            )
 
     def begin(self, now_us: int) -> None:
         living = self.view.living()
@@ -231,4 +270,7 @@
 
     def drawn(self, number: int, without: int) -> list[int]:
         living = [place for place in self.view.living() if place != without]
-        return [living.pop(int(self.chance.draw() * len(living))) for _ in range(min(number, len(living)))]
+        return [
+            living.pop(int(self.chance.draw() * len(living)))
+            for _ in range(min(number, len(living)))
+        ]
--- a/plankroute/lab/cold.py
+++ b/plankroute/lab/cold.py
@@ -57,14 +57,30 @@
 
 def plan_of(case: Case, service: str, known: Any) -> Plan:
     own, cold = {"calls_a_second": case.behaviour.rate, **case.own}, ColdFacts()
-    return Plan(case.stewards, case.script, case.net, is_bare=case.way == "today", is_gated=True,
-                more={"coldstart": own}, told={"discovery": service, "known": known},
-                settings={"caps": {"mayProbe": True, "dialTimeoutMs": 300.0}, "classes": CLASSES,
-                          "safety": {"drainGraceMs": 3000.0, "coldMs": cold.cold_s * 1e3,
-                                     "startCapacity": cold.share, "fallMultiple": cold.multiple,
-                                     "tipAfterMs": cold.window_s * 1e3},
-                          "report": {"fields": ["rif"], "via": "piggyback"}}, has_links=case.way == "peers",
-                has_members=case.way == "peers", is_direct=case.script == Script(1))
+    return Plan(
+        case.stewards,
+        case.script,
+        case.net,
+        is_bare=case.way == "today",
+        is_gated=True,
+        more={"coldstart": own},
+        told={"discovery": service, "known": known},
+        settings={
+            "caps": {"mayProbe": True, "dialTimeoutMs": 300.0},
+            "classes": CLASSES,
+            "safety": {
+                "drainGraceMs": 3000.0,
+                "coldMs": cold.cold_s * 1e3,
+                "startCapacity": cold.share,
+                "fallMultiple": cold.multiple,
+                "tipAfterMs": cold.window_s * 1e3,
+            },
+            "report": {"fields": ["rif"], "via": "piggyback"},
+        },
+        has_links=case.way == "peers",
+        has_members=case.way == "peers",
+        is_direct=case.script == Script(1),
+    )
 
 
 class ColdStart:
@@ -75,7 +91,9 @@
         self.hosts = Hosts(case.hosts, case.net) if case.with_hosts else None
         where = self.hosts.addresses if self.hosts else ["127.0.0.1:9"] * case.hosts
         more = {"padding": "x" * case.padding} if case.padding else {}
-        targets = [{**target(host, where[host], "abc"[host % 3]), **more} for host in range(case.hosts)]
+        targets = [
+            {**target(host, where[host], "abc"[host % 3]), **more} for host in range(case.hosts)
+        ]
         self.service = ListService(targets, case.behaviour)
         self.fleet: Fleet | None = None
         self.proxies: dict[int, Proxy] = {}
@@ -115,12 +133,19 @@
         """A part of them starts now, with the stewards."""
         assert self.fleet
         cold = round(self.case.cold_part * self.case.hosts)
-        boots = {entry["uid"]: time.monotonic() if place < cold else None
-                 for place, entry in enumerate(self.service.targets)}
+        boots = {
+            entry["uid"]: time.monotonic() if place < cold else None
+            for place, entry in enumerate(self.service.targets)
+        }
         for entry in self.service.targets[:cold]:
             entry["boot_ms"] = round(time.time() * 1000)
-        self.load = ColdLoad(ColdFacts(), self.case.load * self.case.hosts, boots, self.case.stewards,
-                             lambda: self.proxies.values())
+        self.load = ColdLoad(
+            ColdFacts(),
+            self.case.load * self.case.hosts,
+            boots,
+            self.case.stewards,
+            lambda: self.proxies.values(),
+        )
         self.fleet.keep(self.load.run(self.case.limit_s))
 
     def join_proxy(self, member: int) -> None:
@@ -133,7 +158,11 @@
         up the lab, and with it the service that it plays."""
         if said.get("event") == "listening" and self.hosts and self.case.known:
             self.join_proxy(member)
-        if said.get("event") != "list" or said.get("kind") != "full" or said.get("revision", 0) <= 0:
+        if (
+            said.get("event") != "list"
+            or said.get("kind") != "full"
+            or said.get("revision", 0) <= 0
+        ):
             return
         if member not in self.first_us and self.hosts and not self.case.known:
             self.join_proxy(member)
@@ -142,7 +171,9 @@
     def served_us(self) -> list[int | None]:
         """By steward, when it first had a list of all hosts."""
         return [
-            self.first_us.get(member) for member in range(self.case.stewards) if member not in self.absent
+            self.first_us.get(member)
+            for member in range(self.case.stewards)
+            if member not in self.absent
         ]
 
     async def until(self, holds: Callable[[], bool]) -> bool:
@@ -161,16 +192,27 @@
         if self.hosts:
             probes = self.hosts.by_host(LOOK_ON_S)
             notes = {
-                "probes_a_host_mean": round(sum(probes) / len(probes), 2), "probes_a_host_most": max(probes),
-                "connections_most": self.hosts.most_open
+                "probes_a_host_mean": round(sum(probes) / len(probes), 2),
+                "probes_a_host_most": max(probes),
+                "connections_most": self.hosts.most_open,
             }
         if self.load:
             notes |= self.load.notes()
-        return Seen(self.case.way, self.case.stewards, service.calls, service.answers["refused"],
-                    service.busiest(),
-                    round(times[0], 2) if times else None,
-                    round(times[-1], 2) if whole else None, len(times), service.bytes,
-                    sorted(service.by_caller.values()), dict(service.bins), self.cpu_s(), notes)
+        return Seen(
+            self.case.way,
+            self.case.stewards,
+            service.calls,
+            service.answers["refused"],
+            service.busiest(),
+            round(times[0], 2) if times else None,
+            round(times[-1], 2) if whole else None,
+            len(times),
+            service.bytes,
+            sorted(service.by_caller.values()),
+            dict(service.bins),
+            self.cpu_s(),
+            notes,
+        )
 
     def cpu_s(self) -> float:
         """Of all processes so far, a steward."""
@@ -180,7 +222,9 @@
             if process.returncode is not None:
                 continue
             with open(f"/proc/{process.pid}/stat") as file:
-                ticks += sum(int(figure) for figure in file.read().rpartition(")")[2].split()[11:13])
+                ticks += sum(
+                    int(figure) for figure in file.read().rpartition(")")[2].split()[11:13]
+                )
         return ticks / 100 / len(self.fleet.running)
 
     async def close(self) -> None:
@@ -197,7 +241,9 @@
         await start.begin()
         await start.until_all_serve()
         if start.hosts and start.fleet:
-            await start.until(lambda: start.hosts is not None and start.hosts.lasted_s() > LOOK_ON_S)
+            await start.until(
+                lambda: start.hosts is not None and start.hosts.lasted_s() > LOOK_ON_S
+            )
         return start.seen()
     finally:
         await start.close()
--- a/plankroute/lab/coldcases.py
+++ b/plankroute/lab/coldcases.py
@@ -43,7 +43,8 @@
 def watchers(stewards: int = STEWARDS) -> list[int]:
     """Places of those that watch, as all members find them."""
     return [
-        int(name[1:]) for name in ranked([f"n{member:04d}" for member in range(stewards)], "lab")[:WATCHERS]
+        int(name[1:])
+        for name in ranked([f"n{member:04d}" for member in range(stewards)], "lab")[:WATCHERS]
     ]
 
 
@@ -54,8 +55,10 @@
 def revisions(start: ColdStart) -> list[int]:
     """By steward, of the newest list that it told of."""
     assert start.fleet
-    return [max((line["revision"] for line in lines if line.get("event") == "list"), default=-1)
-            for lines in start.fleet.lines]
+    return [
+        max((line["revision"] for line in lines if line.get("event") == "list"), default=-1)
+        for lines in start.fleet.lines
+    ]
 
 
 def hold(start: ColdStart, members: list[int], revision: int) -> bool:
@@ -64,7 +67,11 @@
 
 
 async def wanted(start: ColdStart, what: str, holds: Callable[[], bool]) -> list[str]:
-    return [] if await start.until(holds) else [f"{what} did not come within {start.case.limit_s:.0f} s"]
+    return (
+        []
+        if await start.until(holds)
+        else [f"{what} did not come within {start.case.limit_s:.0f} s"]
+    )
 
 
 async def all_serve(start: ColdStart) -> list[str]:
@@ -74,8 +81,18 @@
 def seconds_until(start: ColdStart, members: list[int], revision: int, since_us: int) -> float:
     """After which the last of them told of the revision."""
     assert start.fleet
-    return max(min(line["at_us"] for line in start.fleet.lines[member] if line.get("event") == "list"
-                   and line["revision"] >= revision) - since_us for member in members) / SECOND
+    return (
+        max(
+            min(
+                line["at_us"]
+                for line in start.fleet.lines[member]
+                if line.get("event") == "list" and line["revision"] >= revision
+            )
+            - since_us
+            for member in members
+        )
+        / SECOND
+    )
 
 
 async def good(start: ColdStart) -> list[str]:
@@ -85,13 +102,25 @@
     out = await all_serve(start)
     if start.service.calls > 12:
         out.append(f"{start.service.calls} calls")
-    out += await wanted(start, "a table for each proxy", lambda: len(start.proxies) == STEWARDS - 1 and all(
-        proxy.is_bound for proxy in start.proxies.values()))
+    out += await wanted(
+        start,
+        "a table for each proxy",
+        lambda: (
+            len(start.proxies) == STEWARDS - 1
+            and all(proxy.is_bound for proxy in start.proxies.values())
+        ),
+    )
     begun_us, begun_s = start.fleet.now_us(), time.monotonic()
     start.service.change(7, state="DRAINING")
-    out += await wanted(start, "a drain at all proxies", lambda: all(
-        "s-00007" in proxy.shut_s for proxy in start.proxies.values()))
-    shut_s = max(proxy.shut_s.get("s-00007", begun_s + 99.0) for proxy in start.proxies.values()) - begun_s
+    out += await wanted(
+        start,
+        "a drain at all proxies",
+        lambda: all("s-00007" in proxy.shut_s for proxy in start.proxies.values()),
+    )
+    shut_s = (
+        max(proxy.shut_s.get("s-00007", begun_s + 99.0) for proxy in start.proxies.values())
+        - begun_s
+    )
     out += [f"proxies shut the draining host after {shut_s:.2f} s"] * (shut_s > GRACE_S)
     out += await wanted(start, "a drain", lambda: hold(start, list(range(STEWARDS - 1)), 1001))
     took_s = seconds_until(start, list(range(STEWARDS - 1)), 1001, begun_us) if not out else 99.0
@@ -110,8 +139,14 @@
     assert start.fleet
     await asyncio.sleep(3.0)
     start.service.change(7, state="DRAINING")
-    rest = [member for member in range(STEWARDS) if not any(
-        done.member == member and done.act == Act.KILL.value for done in start.fleet.history.done)]
+    rest = [
+        member
+        for member in range(STEWARDS)
+        if not any(
+            done.member == member and done.act == Act.KILL.value
+            for done in start.fleet.history.done
+        )
+    ]
     return await wanted(start, "the drain for all that live", lambda: hold(start, rest, 1001))
 
 
@@ -122,11 +157,21 @@
     fleet, small = start.fleet, small_side()
     await start.until(lambda: (fleet.script_us() or 0) > 20 * SECOND)
     start.service.change(7, state="DRAINING")
-    said = {member for member in small for line in fleet.lines[member] if line.get("event") == "list_old"}
+    said = {
+        member
+        for member in small
+        for line in fleet.lines[member]
+        if line.get("event") == "list_old"
+    }
     await start.until(lambda: (fleet.script_us() or 0) > 32 * SECOND)
     if hold(start, small[:1], 1001):
         out.append("the cut side heard of the change: the trial shows nothing")
-    said = {member for member in small for line in fleet.lines[member] if line.get("event") == "list_old"}
+    said = {
+        member
+        for member in small
+        for line in fleet.lines[member]
+        if line.get("event") == "list_old"
+    }
     out += [f"said list_old: {sorted(said)} of {small}"] * (said != set(small))
     healed_us = fleet.at(34.0)
     out += await wanted(start, "the newest list", lambda: hold(start, list(range(STEWARDS)), 1001))
@@ -168,8 +213,11 @@
     fleet = start.fleet
 
     def followed() -> bool:
-        return all([line["revision"] for line in lines if line.get("event") == "list"][-1] == 2
-                   for lines in fleet.lines)
+        return all(
+            [line["revision"] for line in lines if line.get("event") == "list"][-1] == 2
+            for lines in fleet.lines
+        )
+
     return out + await wanted(start, "the list that began anew", followed)
 
 
@@ -177,14 +225,23 @@
     """All have an older list of 1 MB and serve by it; a host drains while the new one is handed out over slow
     links. The drain must not wait behind it."""
     assert start.fleet
-    out = await wanted(start, "a table for each proxy", lambda: len(start.proxies) == STEWARDS and all(
-        proxy.is_bound for proxy in start.proxies.values()))
+    out = await wanted(
+        start,
+        "a table for each proxy",
+        lambda: (
+            len(start.proxies) == STEWARDS
+            and all(proxy.is_bound for proxy in start.proxies.values())
+        ),
+    )
     out += await wanted(start, "a whole list under way", lambda: start.service.answers["watch"] > 0)
     await asyncio.sleep(2.0)  # the list takes twenty seconds: it is in the middle of its way
     begun_s = time.monotonic()
     start.service.change(7, state="DRAINING")
-    out += await wanted(start, "a drain at all proxies", lambda: all(
-        "s-00007" in proxy.shut_s for proxy in start.proxies.values()))
+    out += await wanted(
+        start,
+        "a drain at all proxies",
+        lambda: all("s-00007" in proxy.shut_s for proxy in start.proxies.values()),
+    )
     took_s = max(proxy.shut_s.get("s-00007", 1e9) for proxy in start.proxies.values()) - begun_s
     out += [f"proxies shut the draining host after {took_s:.2f} s"] * (took_s > GRACE_S)
     if hold(start, others(watchers()), 1000):
@@ -201,10 +258,19 @@
     start.service.change(7, state="DRAINING")
     start.service.change(8, state="DRAINING")
     out = await wanted(start, "the changes", lambda: hold(start, list(range(STEWARDS)), 1002))
-    out += await wanted(start, "tables without those two", lambda: all(
-        len(proxy.shares()) == start.case.hosts - 2 for proxy in start.proxies.values()))
-    whole = [line for lines in start.fleet.lines for line in lines
-             if line.get("event") == "list" and line["kind"] == "full"]
+    out += await wanted(
+        start,
+        "tables without those two",
+        lambda: all(
+            len(proxy.shares()) == start.case.hosts - 2 for proxy in start.proxies.values()
+        ),
+    )
+    whole = [
+        line
+        for lines in start.fleet.lines
+        for line in lines
+        if line.get("event") == "list" and line["kind"] == "full"
+    ]
     out += [f"{len(whole)} whole lists"] * bool(whole)
     if start.service.calls > 12:
         out.append(f"{start.service.calls} calls")
@@ -217,8 +283,11 @@
     start.service.change(7, state="DRAINING")
 
     def followed() -> bool:
-        return all([line["revision"] for line in lines if line.get("event") == "list"][-1:] == [1001]
-                   for lines in start.fleet.lines)
+        return all(
+            [line["revision"] for line in lines if line.get("event") == "list"][-1:] == [1001]
+            for lines in start.fleet.lines
+        )
+
     out = await wanted(start, "the list that began anew", followed)
     return out + [f"{start.service.calls} calls"] * (start.service.calls > 12)
 
@@ -226,14 +295,21 @@
 async def all_cold(start: ColdStart) -> list[str]:
     """All hosts start as the stewards do; no host may get over the stated multiple of what it can do."""
     out = await all_serve(start)
-    out += await wanted(start, "a table for each proxy", lambda: len(start.proxies) == STEWARDS and all(
-        proxy.is_bound for proxy in start.proxies.values()))
+    out += await wanted(
+        start,
+        "a table for each proxy",
+        lambda: (
+            len(start.proxies) == STEWARDS
+            and all(proxy.is_bound for proxy in start.proxies.values())
+        ),
+    )
     assert start.load
     bound_s = time.monotonic()
     await start.until(lambda: time.monotonic() - bound_s > 2 * ColdFacts().window_s)
     seen = start.load.notes()
     out += [f"brought only {seen['over_mean']} of what hosts could do: the trial shows nothing"] * (
-        len(start.load.most) < start.case.hosts / 2)
+        len(start.load.most) < start.case.hosts / 2
+    )
     return out + [f"{len(start.load.fallen)} hosts fell over: {seen}"] * bool(start.load.fallen)
 
 
@@ -244,7 +320,9 @@
     fleet, liar = start.fleet, watchers()[0]
     fleet.running[liar].send_signal(9)
     await fleet.running[liar].wait()
-    server = await asyncio.start_server(Liar(fleet.plan.script.seed).serve, fleet.real[liar][0], LINK_PORT)
+    server = await asyncio.start_server(
+        Liar(fleet.plan.script.seed).serve, fleet.real[liar][0], LINK_PORT
+    )
     try:
         begun_us = fleet.now_us()
         while fleet.now_us() - begun_us < 3 * SECOND:
@@ -252,13 +330,23 @@
             await asyncio.sleep(0.5)
         rest = [member for member in range(STEWARDS) if member != liar]
         newest = start.service.revision
-        out += await wanted(start, "the true list", lambda: all(
-            [line["revision"] for line in fleet.lines[member] if line.get("event") == "list"][-1] == newest
-            for member in rest))
+        out += await wanted(
+            start,
+            "the true list",
+            lambda: all(
+                [line["revision"] for line in fleet.lines[member] if line.get("event") == "list"][
+                    -1
+                ]
+                == newest
+                for member in rest
+            ),
+        )
     finally:
         server.close()
     bad = [
-        line for lines in fleet.lines for line in lines
+        line
+        for lines in fleet.lines
+        for line in lines
         if line.get("event") in ("follow_failed", "core_failed")
     ]
     return out + [str(line) for line in bad]
@@ -297,16 +385,30 @@
 
 
 CASES: dict[str, ColdCase] = {  # the longest first
-    "watchers killed": ColdCase(drained_meanwhile, lambda who: slow(
-        steps=tuple(Step(4.0 + place, Act.KILL, member) for place, member in enumerate(who[:2]))), LARGE),
-    "watchers paused": ColdCase(drained_meanwhile, lambda who: slow(
-        steps=pauses(tuple(who), 2.0, 14.0, 1)), LARGE),
-    "watcher cut one way": ColdCase(drained_meanwhile, lambda who: slow(
-        Rule(3.0, 1e6, (who[0],), tuple(others(who)), cut=True)), LARGE),
-    "parted": ColdCase(parted, lambda who: Script(1, partition(
-        (tuple(small_side()), tuple(others(small_side()))), 4.0, 34.0))),
-    "drained ahead": ColdCase(drained_ahead, lambda who: slow(), hosts=200, with_hosts=True, known=900,
-                              padding=5000),
+    "watchers killed": ColdCase(
+        drained_meanwhile,
+        lambda who: slow(
+            steps=tuple(Step(4.0 + place, Act.KILL, member) for place, member in enumerate(who[:2]))
+        ),
+        LARGE,
+    ),
+    "watchers paused": ColdCase(
+        drained_meanwhile, lambda who: slow(steps=pauses(tuple(who), 2.0, 14.0, 1)), LARGE
+    ),
+    "watcher cut one way": ColdCase(
+        drained_meanwhile,
+        lambda who: slow(Rule(3.0, 1e6, (who[0],), tuple(others(who)), cut=True)),
+        LARGE,
+    ),
+    "parted": ColdCase(
+        parted,
+        lambda who: Script(
+            1, partition((tuple(small_side()), tuple(others(small_side()))), 4.0, 34.0)
+        ),
+    ),
+    "drained ahead": ColdCase(
+        drained_ahead, lambda who: slow(), hosts=200, with_hosts=True, known=900, padding=5000
+    ),
     "good": ColdCase(good, hosts=100, absent=(STEWARDS - 1,), with_hosts=True),
     "twice": ColdCase(twice),
     "began anew": ColdCase(began_anew),
@@ -366,9 +468,24 @@
 async def run_cold(name: str, net: int) -> tuple[list[str], dict[str, Any]]:
     """Objections, and what was seen."""
     case = CASES[name]
-    start = ColdStart(Case("peers", STEWARDS, case.hosts, case.behaviour, 1, net, LIMIT_S,
-                           {"list_old_s": 5.0}, case.script(watchers()), case.with_hosts, case.known,
-                           case.padding, case.load, case.cold_part))
+    start = ColdStart(
+        Case(
+            "peers",
+            STEWARDS,
+            case.hosts,
+            case.behaviour,
+            1,
+            net,
+            LIMIT_S,
+            {"list_old_s": 5.0},
+            case.script(watchers()),
+            case.with_hosts,
+            case.known,
+            case.padding,
+            case.load,
+            case.cold_part,
+        )
+    )
     start.absent = case.absent
     cut = CutService(start, "", 34.0)
     if name == "parted":
@@ -378,8 +495,11 @@
         objections = await case.play(start)
         assert start.fleet
         failed = [
-            line for lines in start.fleet.lines for line in lines
-            if line.get("event") in ("follow_failed", "core_failed", "members_failed", "discovery_failed")
+            line
+            for lines in start.fleet.lines
+            for line in lines
+            if line.get("event")
+            in ("follow_failed", "core_failed", "members_failed", "discovery_failed")
         ]
         return objections + [str(line) for line in failed[:3]], msgspec.to_builtins(start.seen())
     finally:
--- a/plankroute/lab/coldload.py
+++ b/plankroute/lab/coldload.py
@@ -31,8 +31,14 @@
     """`rate`: txns a second of all proxies, in units of what one warm host can do; `boots`: by host's name,
     when it started (steady seconds); None: long ago."""
 
-    def __init__(self, facts: ColdFacts, rate: float, boots: dict[str, float | None], stewards: int,
-                 proxies: Callable[[], Iterable[Proxy]]) -> None:
+    def __init__(
+        self,
+        facts: ColdFacts,
+        rate: float,
+        boots: dict[str, float | None],
+        stewards: int,
+        proxies: Callable[[], Iterable[Proxy]],
+    ) -> None:
         self.facts, self.boots, self.proxies = facts, boots, proxies
         self.rate = rate / stewards  # of each steward's proxies, be they bound or not
         self.past: dict[str, deque[tuple[float, float]]] = {}
@@ -71,5 +77,8 @@
     def notes(self) -> dict[str, object]:
         """For the report: mean and most of what hosts got over what they could do, and how many fell."""
         figures = list(self.most.values())
-        return {"over_mean": round(sum(figures) / max(1, len(figures)), 2),
-                "over_most": round(max(figures, default=0.0), 2), "fallen": len(self.fallen)}
+        return {
+            "over_mean": round(sum(figures) / max(1, len(figures)), 2),
+            "over_most": round(max(figures, default=0.0), 2),
+            "fallen": len(self.fallen),
+        }
--- a/plankroute/lab/coldreport.py
+++ b/plankroute/lab/coldreport.py
@@ -8,7 +8,8 @@
 
 WIDTH, HEIGHT, MARGIN = 760, 180, 34  # of one curve, in pixels
 COLOURS = {"today": "#b3392f", "alone": "#2f6db3", "peers": "#2f8f4e"}
-PAGE = jinja2.Template("""<!doctype html><html lang="en"><meta charset="utf-8"><title>Cold start</title>
+PAGE = jinja2.Template(
+    """<!doctype html><html lang="en"><meta charset="utf-8"><title>Cold start</title>
 <style>body{font:15px/1.45 system-ui,sans-serif;max-width:820px;margin:2em auto;padding:0 1em}
 table{border-collapse:collapse;width:100%}
 td,th{padding:.3em .6em;text-align:right;border-bottom:1px solid #ddd}
@@ -25,46 +26,79 @@
 <text x="{{ width - 60 }}" y="{{ height - 10 }}" font-size="12">{{ curve.seconds }} s</text></svg>
 {% endfor %}<p>The scale of each curve is its own.</p></html>
 """,
-                       autoescape=True)
-HEADS = ("way", "calls", "refused", "busiest second", "first list", "last list", "serve", "MB",
-         "CPU a steward", "probes a host")
+    autoescape=True,
+)
+HEADS = (
+    "way",
+    "calls",
+    "refused",
+    "busiest second",
+    "first list",
+    "last list",
+    "serve",
+    "MB",
+    "CPU a steward",
+    "probes a host",
+)
 
 
 def cells(seen: Seen) -> tuple[str, ...]:
     def seconds(value: float | None) -> str:
         return "never" if value is None else f"{value:.2f} s"
+
     probes = seen.notes.get("probes_a_host_mean")
-    return (seen.way, str(seen.calls), str(seen.refused), str(seen.busiest), seconds(seen.first_s),
-            seconds(seen.last_s), f"{seen.served}/{seen.stewards}", f"{seen.bytes / 1e6:.2f}",
-            f"{seen.cpu_s:.2f} s",
-            "-" if probes is None else f"{probes:g}, most {seen.notes['probes_a_host_most']}")
+    return (
+        seen.way,
+        str(seen.calls),
+        str(seen.refused),
+        str(seen.busiest),
+        seconds(seen.first_s),
+        seconds(seen.last_s),
+        f"{seen.served}/{seen.stewards}",
+        f"{seen.bytes / 1e6:.2f}",
+        f"{seen.cpu_s:.2f} s",
+        "-" if probes is None else f"{probes:g}, most {seen.notes['probes_a_host_most']}",
+    )
 
 
 def table(rows: list[Seen]) -> str:
     lines = [HEADS, *(cells(seen) for seen in rows)]
     widths = [max(len(line[column]) for line in lines) for column in range(len(HEADS))]
-    return "\n".join("  ".join(cell.ljust(width) for cell, width in zip(line, widths, strict=True)).rstrip()
-                     for line in lines)
+    return "\n".join(
+        "  ".join(cell.ljust(width) for cell, width in zip(line, widths, strict=True)).rstrip()
+        for line in lines
+    )
 
 
 def curve(seen: Seen) -> dict[str, object]:
     """Calls within the second up to each tenth."""
     last = max([int(place) for place in seen.bins], default=0) + 10
     width = round(1 / BIN_S)
-    sums = [sum(seen.bins.get(place - back, 0) for back in range(width)) for place in range(last + 1)]
+    sums = [
+        sum(seen.bins.get(place - back, 0) for back in range(width)) for place in range(last + 1)
+    ]
     most = max(sums) or 1
-    points = " ".join(f"{MARGIN + (WIDTH - MARGIN) * place / last:.1f},"
-                      f"{HEIGHT - MARGIN - (HEIGHT - 2 * MARGIN) * value / most:.1f}"
-                      for place, value in enumerate(sums))
-    return {"way": seen.way, "points": points, "most": most, "seconds": round(last * BIN_S, 1),
-            "colour": COLOURS.get(seen.way, "#555")}
+    points = " ".join(
+        f"{MARGIN + (WIDTH - MARGIN) * place / last:.1f},"
+        f"{HEIGHT - MARGIN - (HEIGHT - 2 * MARGIN) * value / most:.1f}"
+        for place, value in enumerate(sums)
+    )
+    return {
+        "way": seen.way,
+        "points": points,
+        "most": most,
+        "seconds": round(last * BIN_S, 1),
+        "colour": COLOURS.get(seen.way, "#555"),
+    }
 
 
 def page(rows: list[Seen]) -> str:
-    return PAGE.render(stewards=rows[0].stewards,
-                       heads=HEADS,
-                       rows=[cells(seen) for seen in rows],
-                       width=WIDTH,
-                       height=HEIGHT,
-                       margin=MARGIN,
-                       curves=[curve(seen) for seen in rows])
+    return PAGE.render(
+        stewards=rows[0].stewards,
+        heads=HEADS,
+        rows=[cells(seen) for seen in rows],
+        width=WIDTH,
+        height=HEIGHT,
+        margin=MARGIN,
+        curves=[curve(seen) for seen in rows],
+    )
--- a/plankroute/lab/faults.py
+++ b/plankroute/lab/faults.py
@@ -49,9 +49,11 @@
     bytes_a_second: float | None = None  # of links of TCP, each
 
     def meets(self, at_s: float, sender: int, receiver: int) -> bool:
-        return (self.from_s <= at_s < self.until_s
-                and (self.senders is None or sender in self.senders)
-                and (self.receivers is None or receiver in self.receivers))
+        return (
+            self.from_s <= at_s < self.until_s
+            and (self.senders is None or sender in self.senders)
+            and (self.receivers is None or receiver in self.receivers)
+        )
 
 
 class Script(msgspec.Struct, frozen=True):
@@ -88,8 +90,9 @@
 
     def ends_s(self) -> float:
         """When the last step is done and the last rule with an end is over."""
-        ends = [step.at_s
-                for step in self.steps] + [rule.until_s for rule in self.rules if rule.until_s < 1e9]
+        ends = [step.at_s for step in self.steps] + [
+            rule.until_s for rule in self.rules if rule.until_s < 1e9
+        ]
         return max(ends, default=0.0)
 
 
@@ -114,27 +117,48 @@
     return value ^ (value >> 16)
 
 
-def cut_between(one: tuple[int, ...], other: tuple[int, ...], from_s: float,
-                until_s: float) -> tuple[Rule, ...]:
+def cut_between(
+    one: tuple[int, ...], other: tuple[int, ...], from_s: float, until_s: float
+) -> tuple[Rule, ...]:
     """Neither side hears the other."""
-    return (Rule(from_s, until_s, one, other, cut=True), Rule(from_s, until_s, other, one, cut=True))
-
-
-def partition(parts: tuple[tuple[int, ...], ...], from_s: float, until_s: float) -> tuple[Rule, ...]:
-    return tuple(rule for at, one in enumerate(parts) for other in parts[at + 1:]
-                 for rule in cut_between(one, other, from_s, until_s))
-
-
-def pauses(members: tuple[int, ...], from_s: float, until_s: float, seed: int, least_s: float = 1.3,
-           most_s: float = 2.0, run_least_s: float = 0.2, run_most_s: float = 1.5) -> tuple[Step, ...]:
+    return (
+        Rule(from_s, until_s, one, other, cut=True),
+        Rule(from_s, until_s, other, one, cut=True),
+    )
+
+
+def partition(
+    parts: tuple[tuple[int, ...], ...], from_s: float, until_s: float
+) -> tuple[Rule, ...]:
+    return tuple(
+        rule
+        for at, one in enumerate(parts)
+        for other in parts[at + 1 :]
+        for rule in cut_between(one, other, from_s, until_s)
+    )
+
+
+def pauses(
+    members: tuple[int, ...],
+    from_s: float,
+    until_s: float,
+    seed: int,
+    least_s: float = 1.3,
+    most_s: float = 2.0,
+    run_least_s: float = 0.2,
+    run_most_s: float = 1.5,
+) -> tuple[Step, ...]:
     """Each member stands still again and again, at phases of its own; all run on at the end."""
     steps = list[Step]()
     for member in members:
         at_s, number = from_s, 0
         while True:
             chances = Chances(seed, member, member, number)
-            at_s += (run_most_s if number else most_s) * chances.draw() if not number else (
-                run_least_s + (run_most_s - run_least_s) * chances.draw())
+            at_s += (
+                (run_most_s if number else most_s) * chances.draw()
+                if not number
+                else (run_least_s + (run_most_s - run_least_s) * chances.draw())
+            )
             length_s = least_s + (most_s - least_s) * chances.draw()
             if at_s + length_s > until_s:
                 break
--- a/plankroute/lab/gated.py
+++ b/plankroute/lab/gated.py
@@ -8,6 +8,7 @@
 
 def main() -> int:
     from plankroute.net.service import main as serve
+
     if os.environ.get("PLANKROUTE_FILE"):
         import plankroute.net.extras  # noqa: F401  what a start would import first of all
     gate = int(sys.argv[1])
--- a/plankroute/lab/hosts.py
+++ b/plankroute/lab/hosts.py
@@ -15,7 +15,9 @@
     """`number` hosts on loopback addresses of one group's own."""
 
     def __init__(self, number: int, net: int) -> None:
-        self.addresses = [f"127.251.{net}.{host % 250 + 1}:{PORT + host // 250}" for host in range(number)]
+        self.addresses = [
+            f"127.251.{net}.{host % 250 + 1}:{PORT + host // 250}" for host in range(number)
+        ]
         self.servers: list[asyncio.Server] = []
         self.bad = set[int]()  # those that answer probes with an error
         self.probes: Counter[tuple[int, int]] = Counter()  # by host and bin
@@ -27,16 +29,19 @@
         for host, address in enumerate(self.addresses):
             where, _, port = address.rpartition(":")
 
-            async def serve(reader: asyncio.StreamReader,
-                            writer: asyncio.StreamWriter,
-                            host: int = host) -> None:
+            async def serve(
+                reader: asyncio.StreamReader, writer: asyncio.StreamWriter, host: int = host
+            ) -> None:
                 await self.serve(host, reader, writer)
+
             self.servers.append(await asyncio.start_server(serve, where, int(port), backlog=512))
 
     def begin(self) -> None:
         self.began_s = time.monotonic()
 
-    async def serve(self, host: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def serve(
+        self, host: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+    ) -> None:
         self.open_now[host] += 1
         self.most_open = max(self.most_open, self.open_now[host])
         try:
@@ -44,8 +49,10 @@
                 await reader.readuntil(b"\r\n\r\n")
             self.probes[host, int((time.monotonic() - self.began_s) / BIN_S)] += 1
             said = b"503 No" if host in self.bad else b"200 OK"
-            writer.write(b"HTTP/1.1 %s\r\nContent-Length: %d\r\nConnection: close\r\n\r\n%s"
-                         % (said, len(ANSWER), ANSWER))
+            writer.write(
+                b"HTTP/1.1 %s\r\nContent-Length: %d\r\nConnection: close\r\n\r\n%s"
+                % (said, len(ANSWER), ANSWER)
+            )
             await writer.drain()
             writer.close()
         except (OSError, TimeoutError, asyncio.IncompleteReadError, asyncio.CancelledError):
@@ -82,7 +89,9 @@
 
     def __init__(self, host: str, port: int, zone: str) -> None:
         self.host, self.port, self.zone = host, port, zone
-        self.shut_s: dict[str, float] = {}  # by host's name, when it was first told to send there no more
+        self.shut_s: dict[
+            str, float
+        ] = {}  # by host's name, when it was first told to send there no more
         self.is_bound = False
         self.out = set[str]()  # hosts held back
         self.rows: dict[str, float] = {}  # its table, by host's name
@@ -105,7 +114,10 @@
             self.is_bound, self.rows = True, {}
         rows = [row.rpartition(":")[::2] for row in said.get("rows", "").split(",") if row]
         self.rows |= {name: float(weight) for name, weight in rows}
-        for name in [*said.get("drop", "").split(","), *(name for name, weight in rows if weight == "0")]:
+        for name in [
+            *said.get("drop", "").split(","),
+            *(name for name, weight in rows if weight == "0"),
+        ]:
             self.shut_s.setdefault(name, time.monotonic())
         self.out.update(filter(None, said.get("drop", "").split(",")))
         self.out.difference_update(said.get("undrop", "").split(","))
@@ -113,6 +125,10 @@
 
     def shares(self) -> dict[str, float]:
         """The part of its txns that it sends to each host."""
-        open_to = {name: weight for name, weight in self.rows.items() if weight > 0 and name not in self.out}
+        open_to = {
+            name: weight
+            for name, weight in self.rows.items()
+            if weight > 0 and name not in self.out
+        }
         total = sum(open_to.values())
         return {name: weight / total for name, weight in open_to.items()}
--- a/plankroute/lab/kills.py
+++ b/plankroute/lab/kills.py
@@ -28,8 +28,10 @@
 
 def view_of(number: int) -> View:
     """All facts of one view say its number: a mixture of two would show."""
-    facts = tuple(HostFacts(f"s-{host:05d}", 0.0, 1.0, float(number), 0.0, 20_000.0, False, 2, 0)
-                  for host in range(HOSTS))
+    facts = tuple(
+        HostFacts(f"s-{host:05d}", 0.0, 1.0, float(number), 0.0, 20_000.0, False, 2, 0)
+        for host in range(HOSTS)
+    )
     return View(NAME, number, 0, facts, ())
 
 
@@ -57,16 +59,23 @@
     took_s: float = 0.0
 
     def said(self) -> str:
-        return (f"{self.kills} kills in {self.took_s:.0f} s, {self.halves} of them in the middle of a "
-                f"writing; {self.mixtures} mixtures, {self.failed} failed starts, {self.none} without a file")
+        return (
+            f"{self.kills} kills in {self.took_s:.0f} s, {self.halves} of them in the middle of a "
+            f"writing; {self.mixtures} mixtures, {self.failed} failed starts, {self.none} without a file"
+        )
 
 
 async def one_kill(folder: Path, chance: random.Random, seen: KillsSeen) -> None:
     """The file goes on from kill to kill, as a steward's would."""
     path = folder / file_name(NAME)
     process = await asyncio.create_subprocess_exec(
-        sys.executable, "-m", "plankroute.lab.kills", str(folder), preexec_fn=die_with_the_lab,
-        env={**os.environ, "PYTHONPATH": ":".join(sys.path), "PYTHONDONTWRITEBYTECODE": "1"})
+        sys.executable,
+        "-m",
+        "plankroute.lab.kills",
+        str(folder),
+        preexec_fn=die_with_the_lab,
+        env={**os.environ, "PYTHONPATH": ":".join(sys.path), "PYTHONDONTWRITEBYTECODE": "1"},
+    )
     before, end = stamp(path), time.monotonic() + BEGINS_S
     while stamp(path) == before and time.monotonic() < end:
         await asyncio.sleep(0.002)
@@ -103,11 +112,13 @@
     """Several rows of kills side by side, each in a folder of its own."""
     seen, began_s = KillsSeen(), time.monotonic()
     with tempfile.TemporaryDirectory(prefix="plankroute-kills-") as top:
+
         async def row(number: int) -> None:
             folder, chance = Path(top) / str(number), random.Random(seed * 1000 + number)
             folder.mkdir()
             for _ in range(kills // AT_ONCE + (number < kills % AT_ONCE)):
                 await one_kill(folder, chance, seen)
+
         await asyncio.gather(*(row(number) for number in range(AT_ONCE)))
     seen.took_s = time.monotonic() - began_s
     return seen
--- a/plankroute/lab/links.py
+++ b/plankroute/lab/links.py
@@ -37,8 +37,13 @@
 class Links:
     """`real`, `known`: by member, where it takes datagrams, and where others think that it does."""
 
-    def __init__(self, real: list[Address], known: list[Address], script: Script,
-                 script_us: Callable[[], int | None]) -> None:
+    def __init__(
+        self,
+        real: list[Address],
+        known: list[Address],
+        script: Script,
+        script_us: Callable[[], int | None],
+    ) -> None:
         self.real, self.known, self.script, self.script_us = real, known, script, script_us
         self.members = {address: member for member, address in enumerate(real)}
         self.ends: list[Link] = []
@@ -49,7 +54,8 @@
         loop = asyncio.get_running_loop()
         for member, address in enumerate(self.known):
             _, link = await loop.create_datagram_endpoint(
-                lambda member=member: Link(self, member), sock=bound(f"{address[0]}:{address[1]}"))
+                lambda member=member: Link(self, member), sock=bound(f"{address[0]}:{address[1]}")
+            )
             self.ends.append(link)
 
     def carry(self, source: Address, receiver: int, data: bytes) -> None:
@@ -66,7 +72,9 @@
         self.lost += not fates
         for delay_us in fates:
             if delay_us:
-                asyncio.get_running_loop().call_later(delay_us / 1e6, self.put, sender, receiver, data)
+                asyncio.get_running_loop().call_later(
+                    delay_us / 1e6, self.put, sender, receiver, data
+                )
             else:
                 self.put(sender, receiver, data)
 
@@ -83,11 +91,21 @@
 class Streams:
     """Links of TCP between stewards, slow or cut by script: a cut says nothing, as on a real network."""
 
-    AT_ONCE, LOOK_S = 8192, 0.05  # bytes carried at a time; how often a cut link looks if it is whole again
-    ON_ITS_WAY = 16384  # bytes: a slow path's own queue; the kernel's default would hold ten seconds of one
-
-    def __init__(self, real: list[Address], known: list[Address], script: Script,
-                 script_us: Callable[[], int | None]) -> None:
+    AT_ONCE, LOOK_S = (
+        8192,
+        0.05,
+    )  # bytes carried at a time; how often a cut link looks if it is whole again
+    ON_ITS_WAY = (
+        16384  # bytes: a slow path's own queue; the kernel's default would hold ten seconds of one
+    )
+
+    def __init__(
+        self,
+        real: list[Address],
+        known: list[Address],
+        script: Script,
+        script_us: Callable[[], int | None],
+    ) -> None:
         self.real, self.known, self.script, self.script_us = real, known, script, script_us
         self.members = {address[0]: member for member, address in enumerate(known)}
         self.servers: list[asyncio.Server] = []
@@ -96,8 +114,11 @@
 
     async def open(self) -> None:
         for member, address in enumerate(self.known):
-            self.servers.append(await asyncio.start_server(partial(self.serve, member), limit=self.AT_ONCE,
-                                                           sock=self.end(address)))
+            self.servers.append(
+                await asyncio.start_server(
+                    partial(self.serve, member), limit=self.AT_ONCE, sock=self.end(address)
+                )
+            )
 
     def end(self, address: Address | None = None) -> socket.socket:
         """Bound where it is to listen; else about to dial."""
@@ -109,7 +130,9 @@
         sock.setblocking(False)
         return sock
 
-    async def serve(self, receiver: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def serve(
+        self, receiver: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+    ) -> None:
         sender = self.members.get(writer.get_extra_info("peername")[0], -1)
         self.opened[sender, receiver] += 1
         ends = [writer]
@@ -119,8 +142,10 @@
             far_reader, far = await asyncio.open_connection(sock=sock, limit=self.AT_ONCE)
             ends.append(far)
             self.writers.update(ends)
-            ways = [asyncio.create_task(self.carry(reader, far, sender, receiver)),
-                    asyncio.create_task(self.carry(far_reader, writer, receiver, sender))]
+            ways = [
+                asyncio.create_task(self.carry(reader, far, sender, receiver)),
+                asyncio.create_task(self.carry(far_reader, writer, receiver, sender)),
+            ]
             await asyncio.wait(ways, return_when=asyncio.FIRST_COMPLETED)
             for way in ways:
                 way.cancel()
@@ -131,8 +156,9 @@
                 end.transport.abort()
             self.writers.difference_update(ends)
 
-    async def carry(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, sender: int,
-                    receiver: int) -> None:
+    async def carry(
+        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, sender: int, receiver: int
+    ) -> None:
         try:
             while data := await reader.read(self.AT_ONCE):
                 while (pace := self.script.pace(self.script_us() or 0, sender, receiver)) == 0.0:
--- a/plankroute/lab/listservice.py
+++ b/plankroute/lab/listservice.py
@@ -51,23 +51,33 @@
     bytes_a_second: float | None = None
 
 
-def target(host: int,
-           address: str,
-           zone: str = "a",
-           state: str = "SERVING",
-           boot_ms: int = 0) -> dict[str, Any]:
-    return {"uid": f"s-{host:05d}", "endpoint": address, "az": zone, "model": "m", "pod_group": host // 4,
-            "state": state, "capacity_hint": 1.0, "boot_ms": boot_ms}
+def target(
+    host: int, address: str, zone: str = "a", state: str = "SERVING", boot_ms: int = 0
+) -> dict[str, Any]:
+    return {
+        "uid": f"s-{host:05d}",
+        "endpoint": address,
+        "az": zone,
+        "model": "m",
+        "pod_group": host // 4,
+        "state": state,
+        "capacity_hint": 1.0,
+        "boot_ms": boot_ms,
+    }
 
 
 class ListService:
     """Serves `targets` at revisions that rise with each change."""
 
-    def __init__(self, targets: list[dict[str, Any]], behaviour: Behaviour, revision: int = 1000) -> None:
+    def __init__(
+        self, targets: list[dict[str, Any]], behaviour: Behaviour, revision: int = 1000
+    ) -> None:
         self.targets, self.behaviour, self.revision = targets, behaviour, revision
         self.first_revision = revision
         self.changes: list[tuple[int, dict[str, Any]]] = []
-        self.allowed = Tokens(behaviour.rate, max(1.0, behaviour.rate / 4))  # bunches of a quarter of a
+        self.allowed = Tokens(
+            behaviour.rate, max(1.0, behaviour.rate / 4)
+        )  # bunches of a quarter of a
         # second
         self.server: asyncio.Server | None = None
         self.opened_s, self.bytes, self.calls = 0.0, 0, 0
@@ -136,20 +146,32 @@
             async with asyncio.timeout(HEAD_S):
                 head = await reader.readuntil(b"\r\n\r\n")
             await self.answer(head.split(b" ")[1].decode("ascii"), reader, writer)
-        except (OSError, TimeoutError, asyncio.IncompleteReadError, asyncio.CancelledError, IndexError):
+        except (
+            OSError,
+            TimeoutError,
+            asyncio.IncompleteReadError,
+            asyncio.CancelledError,
+            IndexError,
+        ):
             pass
         finally:
             self.watches.pop(writer, None)
             writer.transport.abort()
 
-    async def answer(self, wanted: str, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def answer(
+        self, wanted: str, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+    ) -> None:
         self.calls += 1
         self.bins[int(self.elapsed_s() / BIN_S)] += 1
         self.by_caller[str(writer.get_extra_info("peername")[0])] += 1
         mode = self.mode()
-        if (mode is Mode.DOWN or mode is Mode.BUSY or self.calls > MOST_CALLS
-                or (mode is Mode.ONE_IN_THREE and self.calls % 3)
-                or not self.allowed.take(time.monotonic_ns() // 1000)):
+        if (
+            mode is Mode.DOWN
+            or mode is Mode.BUSY
+            or self.calls > MOST_CALLS
+            or (mode is Mode.ONE_IN_THREE and self.calls % 3)
+            or not self.allowed.take(time.monotonic_ns() // 1000)
+        ):
             self.answers["refused"] += 1
             await self.refuse(writer, mode)
         elif mode is Mode.HANG:
@@ -162,14 +184,17 @@
     async def refuse(self, writer: asyncio.StreamWriter, mode: Mode) -> None:
         again = self.behaviour.retry_after if mode is not Mode.DOWN else None
         lines = f"Retry-After: {again}\r\n" if again is not None else ""
-        self.write(writer,
-                   f"HTTP/1.1 503 Busy\r\n{lines}Content-Length: 0\r\nConnection: close\r\n\r\n".encode())
+        self.write(
+            writer,
+            f"HTTP/1.1 503 Busy\r\n{lines}Content-Length: 0\r\nConnection: close\r\n\r\n".encode(),
+        )
         await writer.drain()
         writer.close()
         await writer.wait_closed()
 
-    async def give(self, wanted: str, mode: Mode, reader: asyncio.StreamReader,
-                   writer: asyncio.StreamWriter) -> None:
+    async def give(
+        self, wanted: str, mode: Mode, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+    ) -> None:
         path, _, query = wanted.partition("?")
         words = dict(word.partition("=")[::2] for word in query.split("&"))
         if path != MEMBERS:
@@ -177,10 +202,12 @@
             return
         self.write(writer, b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
         is_watch = words.get("watch") == "1"
-        line = self.since(int(words.get("after") or 0)) if is_watch else self.line(True, self.targets)
+        line = (
+            self.since(int(words.get("after") or 0)) if is_watch else self.line(True, self.targets)
+        )
         if mode is Mode.HALF:
             self.answers["half"] += 1
-            await self.pour(writer, line[:len(line) // 2])
+            await self.pour(writer, line[: len(line) // 2])
             return
         self.answers["watch" if is_watch else "list"] += 1
         await self.pour(writer, line)
@@ -201,7 +228,7 @@
         """At the pace that is set, or at once."""
         pace = self.behaviour.bytes_a_second
         for at in range(0, len(data), PIECE if pace else len(data) or 1):
-            piece = data[at:at + PIECE] if pace else data
+            piece = data[at : at + PIECE] if pace else data
             self.write(writer, piece)
             await writer.drain()
             if pace:
@@ -215,8 +242,10 @@
     def busiest(self, over_s: float = 1.0) -> int:
         """The most calls within so long."""
         width = round(over_s / BIN_S)
-        return max((sum(self.bins[at + place] for place in range(width)) for at in list(self.bins)),
-                   default=0)
+        return max(
+            (sum(self.bins[at + place] for place in range(width)) for at in list(self.bins)),
+            default=0,
+        )
 
     def close(self) -> None:
         for task in list(self.tasks):
--- a/plankroute/lab/processes.py
+++ b/plankroute/lab/processes.py
@@ -24,17 +24,26 @@
 from plankroute.net.service import OWN_FILE
 
 REAL_PORT, KNOWN_PORT, STREAM_PORT = 7946, 7947, 7948
-LINK_PORT, PEER_PORT = 7950, 7951  # of links between stewards: where they listen, and where others reach them
+LINK_PORT, PEER_PORT = (
+    7950,
+    7951,
+)  # of links between stewards: where they listen, and where others reach them
 NOWHERE = "127.0.0.1:9"  # no discovery: the list that is handed over is all there is
-SIGNALS = {Act.KILL: signal.SIGKILL, Act.PAUSE: signal.SIGSTOP, Act.RESUME: signal.SIGCONT,
-           Act.LEAVE: signal.SIGTERM}
+SIGNALS = {
+    Act.KILL: signal.SIGKILL,
+    Act.PAUSE: signal.SIGSTOP,
+    Act.RESUME: signal.SIGCONT,
+    Act.LEAVE: signal.SIGTERM,
+}
 KEPT_LINES = 200  # of each process's log, for whoever looks why
 JOIN_S = 60.0  # for all to join: some hundred interpreters may start at once
 LOOK_S = 0.02
 DEATH_SIGNAL = 1  # PR_SET_PDEATHSIG of Linux
 SETTINGS = {
-    "classes": [{"name": "lookup", "idempotency": "retryable"}], "dcs": ["a", "b", "c"],
-    "machineTypes": ["m"], "familyInfo": {"proxies": 9, "pushRate": 2000.0, "queueCap": 4000, "envelope": 6}
+    "classes": [{"name": "lookup", "idempotency": "retryable"}],
+    "dcs": ["a", "b", "c"],
+    "machineTypes": ["m"],
+    "familyInfo": {"proxies": 9, "pushRate": 2000.0, "queueCap": 4000, "envelope": 6},
 }
 
 
@@ -53,7 +62,9 @@
     seeds: tuple[int, ...] = (0, 1, 2)
     absent: tuple[int, ...] = ()  # not started until a step says so
     names: dict[int, str] = {}  # where a member goes by another's name
-    skewed: dict[int, tuple[float, float]] = {}  # whose clock of the day jumps: after so long, by so much
+    skewed: dict[
+        int, tuple[float, float]
+    ] = {}  # whose clock of the day jumps: after so long, by so much
     own: dict[str, Any] = {}  # more of the membership section
     more: dict[str, Any] = {}  # further sections of our own file
     told: dict[str, Any] = {}  # instead of the usual words of the configuration
@@ -61,32 +72,42 @@
     is_bare: bool = False  # without our own file
     has_members: bool = True  # with a membership section
     has_links: bool = False  # and links between stewards
-    is_direct: bool = False  # no faulty links in between: for sizes at which they would be what is measured
+    is_direct: bool = (
+        False  # no faulty links in between: for sizes at which they would be what is measured
+    )
     is_gated: bool = False  # all processes wait, and start at one moment
 
 
 class Fleet:
     def __init__(self, plan: Plan) -> None:
         self.plan, self.history = plan, History(plan.members)
-        self.known_port, self.peer_port = (REAL_PORT, LINK_PORT) if plan.is_direct else (KNOWN_PORT,
-                                                                                         PEER_PORT)
+        self.known_port, self.peer_port = (
+            (REAL_PORT, LINK_PORT) if plan.is_direct else (KNOWN_PORT, PEER_PORT)
+        )
         self.real, self.known = self.addresses(REAL_PORT), self.addresses(self.known_port)
         self.links = Links(self.real, self.known, plan.script, self.script_us)
-        self.streams = Streams(self.addresses(LINK_PORT), self.addresses(PEER_PORT), plan.script,
-                               self.script_us)
+        self.streams = Streams(
+            self.addresses(LINK_PORT), self.addresses(PEER_PORT), plan.script, self.script_us
+        )
         self.places = {self.name(member): member for member in reversed(range(plan.members))}
         self.running: dict[int, asyncio.subprocess.Process] = {}
-        self.lines: list[deque[dict[str, Any]]] = [deque(maxlen=KEPT_LINES) for _ in range(plan.members)]
+        self.lines: list[deque[dict[str, Any]]] = [
+            deque(maxlen=KEPT_LINES) for _ in range(plan.members)
+        ]
         self.tasks = set[asyncio.Task[None]]()
         self.folder = tempfile.TemporaryDirectory(prefix="plankroute-lab-")
         self.launched_ns, self.began_us = time.monotonic_ns(), -1
-        self.instead: dict[int, dict[str, Any]] = {}  # by member, words of the configuration of its own
+        self.instead: dict[
+            int, dict[str, Any]
+        ] = {}  # by member, words of the configuration of its own
         self.on_line: Callable[[int, dict[str, Any]], None] = lambda member, said: None
         self.gate: tuple[int, ...] = os.pipe() if plan.is_gated else ()
 
     def addresses(self, port: int) -> list[Address]:
-        return [(f"127.{self.plan.net}.{member // 250}.{member % 250 + 1}", port)
-                for member in range(self.plan.members)]
+        return [
+            (f"127.{self.plan.net}.{member // 250}.{member % 250 + 1}", port)
+            for member in range(self.plan.members)
+        ]
 
     def name(self, member: int) -> str:
         return self.plan.names.get(member, f"n{member:04d}")
@@ -105,35 +126,49 @@
     def own_file(self, member: int) -> dict[str, Any]:
         host = self.real[member][0]
         seeds = [
-            f"{self.known[seed][0]}:{self.known_port}" for seed in self.plan.seeds if seed < self.plan.members
+            f"{self.known[seed][0]}:{self.known_port}"
+            for seed in self.plan.seeds
+            if seed < self.plan.members
         ]
         own: dict[str, Any] = {**self.plan.more}
         if self.plan.has_members:
             own["membership"] = {
-                "group": "lab", "listen": f"{host}:{REAL_PORT}", "advertise": f"{host}:{self.known_port}",
-                "seeds": seeds, **self.plan.own
+                "group": "lab",
+                "listen": f"{host}:{REAL_PORT}",
+                "advertise": f"{host}:{self.known_port}",
+                "seeds": seeds,
+                **self.plan.own,
             }
         if self.plan.has_links:
             own["coldstart"] = {
-                **own["coldstart"], "links": {
-                    "listen": f"{host}:{LINK_PORT}", "port": self.peer_port,
-                    **own["coldstart"].get("links", {})
-                }
+                **own["coldstart"],
+                "links": {
+                    "listen": f"{host}:{LINK_PORT}",
+                    "port": self.peer_port,
+                    **own["coldstart"].get("links", {}),
+                },
             }
         return own
 
     def configuration(self, member: int) -> dict[str, Any]:
         settings = {**SETTINGS, "zone": member % 3, "rank": member, "instances": self.plan.members}
         return {
-            "name": self.name(member), "listen": f"{self.real[member][0]}:{STREAM_PORT}",
-            "discovery": NOWHERE, "seed": f"{member + 1:x}", "limits": {"memory_mb": 192, "sockets": 1024},
-            "known": {"rev": 1, "all": True, "targets": []}, **self.plan.told,
-            **self.instead.get(member, {}), "settings": {**settings, **self.plan.settings}
+            "name": self.name(member),
+            "listen": f"{self.real[member][0]}:{STREAM_PORT}",
+            "discovery": NOWHERE,
+            "seed": f"{member + 1:x}",
+            "limits": {"memory_mb": 192, "sockets": 1024},
+            "known": {"rev": 1, "all": True, "targets": []},
+            **self.plan.told,
+            **self.instead.get(member, {}),
+            "settings": {**settings, **self.plan.settings},
         }
 
     async def start(self, member: int) -> None:
-        folder, environment = Path(
-            self.folder.name), {"PYTHONPATH": ":".join(sys.path), "PYTHONDONTWRITEBYTECODE": "1"}
+        folder, environment = (
+            Path(self.folder.name),
+            {"PYTHONPATH": ":".join(sys.path), "PYTHONDONTWRITEBYTECODE": "1"},
+        )
         files = {"GW_CONFIG": (folder / f"told{member}.json", self.configuration(member))}
         if not self.plan.is_bare:
             files[OWN_FILE] = folder / f"own{member}.json", self.own_file(member)
@@ -146,14 +181,22 @@
         elif self.gate:
             words = ["-m", "plankroute.lab.gated", str(self.gate[0])]
         process = await asyncio.create_subprocess_exec(
-            sys.executable, *words, stdin=asyncio.subprocess.DEVNULL, stderr=asyncio.subprocess.PIPE,
-            preexec_fn=die_with_the_lab, env=environment, pass_fds=self.gate[:1])
+            sys.executable,
+            *words,
+            stdin=asyncio.subprocess.DEVNULL,
+            stderr=asyncio.subprocess.PIPE,
+            preexec_fn=die_with_the_lab,
+            env=environment,
+            pass_fds=self.gate[:1],
+        )
         self.running[member] = process
         self.keep(self.gather(member, process))
 
     def are_waiting(self) -> bool:
         return all(
-            any(line.get("event") == "waits" for line in self.lines[member]) for member in self.running)
+            any(line.get("event") == "waits" for line in self.lines[member])
+            for member in self.running
+        )
 
     async def open_gate(self) -> bool:
         """All start at one moment, once all are there; the history's clock starts anew."""
@@ -181,10 +224,13 @@
             self.lines[member].append(said)
             self.on_line(member, said)
             kind, _, change = str(said.get("event", "")).partition("_")
-            if kind in ("member", "members") and (subject := self.places.get(said.get("member",
-                                                                                      ""))) is not None:
-                self.history.entries.append(Entry(said["at_us"], member, subject, change, said["life"],
-                                                  said["incarnation"]))
+            if (
+                kind in ("member", "members")
+                and (subject := self.places.get(said.get("member", ""))) is not None
+            ):
+                self.history.entries.append(
+                    Entry(said["at_us"], member, subject, change, said["life"], said["incarnation"])
+                )
 
     async def until(self, holds: Callable[[], bool], limit_s: float) -> bool:
         end = time.monotonic() + limit_s
@@ -201,8 +247,12 @@
         """Each of them was told of each other one, by whatever name it goes."""
         members = list(members)
         told = {(entry.observer, entry.subject) for entry in self.history.of("joined", "back")}
-        return all((one, self.places[self.name(other)]) in told for one in members for other in members
-                   if self.name(one) != self.name(other))
+        return all(
+            (one, self.places[self.name(other)]) in told
+            for one in members
+            for other in members
+            if self.name(one) != self.name(other)
+        )
 
     async def launch(self) -> bool:
         """Links, then all processes that are there from the start, until all know all; False: they did
@@ -235,6 +285,7 @@
 
         def said() -> list[dict[str, Any]]:
             return [line for line in self.lines[member] if line.get("event") == "counters"][before:]
+
         await self.until(lambda: bool(said()), 10.0)
         return said()[-1] if said() else {}
 
--- a/plankroute/lab/simulated.py
+++ b/plankroute/lab/simulated.py
@@ -13,8 +13,17 @@
 from plankroute.membership.codec import HEADER, Codec
 from plankroute.membership.facts import MemberFacts
 from plankroute.membership.group import Membership
-from plankroute.membership.messages import (BeatDue, Counted, Finished, Heard, LeaveAsked, Piece, Rest, Send,
-                                            Told)
+from plankroute.membership.messages import (
+    BeatDue,
+    Counted,
+    Finished,
+    Heard,
+    LeaveAsked,
+    Piece,
+    Rest,
+    Send,
+    Told,
+)
 from plankroute.membership.records import Record
 
 WAY_US = 300  # one way between members where no rule says otherwise
@@ -45,10 +54,23 @@
 
 def plankroute_member(member: int, life: int, seed: int, seeds: tuple[str, ...]) -> Membership:
     """The chosen way."""
-    facts = MemberFacts(name_of(member), address_of(member), f"z{member % 3}", "lab", seeds,
-                        USUAL_PATIENCE_US, USUAL_PROBE_US, FORGET_US)
-    return Membership(facts, seed * 100_003 + member * 31 + life, (member << 16) + life, WALL_US + life,
-                      CODEC.size)
+    facts = MemberFacts(
+        name_of(member),
+        address_of(member),
+        f"z{member % 3}",
+        "lab",
+        seeds,
+        USUAL_PATIENCE_US,
+        USUAL_PROBE_US,
+        FORGET_US,
+    )
+    return Membership(
+        facts,
+        seed * 100_003 + member * 31 + life,
+        (member << 16) + life,
+        WALL_US + life,
+        CODEC.size,
+    )
 
 
 Maker = Callable[[int, int, int, tuple[str, ...]], Core]
@@ -58,8 +80,16 @@
     """`members` cores under a script; `seeds`: the first members' addresses. All start within `start_s`;
     `known`: each with all others in its view, as a group that has long come together."""
 
-    def __init__(self, members: int, script: Script, make: Maker = plankroute_member, seed: int = 1,
-                 start_s: float = 1.0, seeds: int = 3, known: bool = False) -> None:
+    def __init__(
+        self,
+        members: int,
+        script: Script,
+        make: Maker = plankroute_member,
+        seed: int = 1,
+        start_s: float = 1.0,
+        seeds: int = 3,
+        known: bool = False,
+    ) -> None:
         self.script, self.make, self.seed = script, make, seed
         self.seeds = tuple(address_of(member) for member in range(min(seeds, members)))
         self.history = History(members)
@@ -99,8 +129,17 @@
         self.cores[member] = self.make(member, self.lives[member], self.seed, self.seeds)
         self.waiting[member], self.paused[member], self.beat_us[member] = [], False, 0
         if self.known and self.lives[member] == 1:
-            everybody = tuple(Record(name_of(other), address_of(other), f"z{other % 3}", (other << 16) + 1,
-                                     WALL_US + 1) for other in range(len(self.cores)) if other != member)
+            everybody = tuple(
+                Record(
+                    name_of(other),
+                    address_of(other),
+                    f"z{other % 3}",
+                    (other << 16) + 1,
+                    WALL_US + 1,
+                )
+                for other in range(len(self.cores))
+                if other != member
+            )
             self.deliver(member, Heard(address_of(member), Piece(everybody)))
         self.deliver(member, BeatDue())
 
@@ -157,10 +196,20 @@
             case Rest(until_us):
                 if until_us - FIRST_US != self.beat_us[member]:
                     self.beat_us[member] = until_us - FIRST_US
-                    self.at(max(self.now, self.beat_us[member]), self.beat, member, self.beat_us[member])
+                    self.at(
+                        max(self.now, self.beat_us[member]), self.beat, member, self.beat_us[member]
+                    )
             case Told(change, record):
-                self.history.entries.append(Entry(self.now, member, place_of(record.name), change.value,
-                                                  record.life, record.incarnation))
+                self.history.entries.append(
+                    Entry(
+                        self.now,
+                        member,
+                        place_of(record.name),
+                        change.value,
+                        record.life,
+                        record.incarnation,
+                    )
+                )
             case Counted(name, by):
                 self.counts[name] += by
             case Finished():
@@ -174,4 +223,6 @@
             return
         number = self.sent[member, other] = self.sent[member, other] + 1
         for delay_us in self.script.fate(self.now, member, other, number):
-            self.at(self.now + WAY_US + delay_us, self.arrive, other, Heard(address_of(member), said))
+            self.at(
+                self.now + WAY_US + delay_us, self.arrive, other, Heard(address_of(member), said)
+            )
--- a/plankroute/lab/skewed.py
+++ b/plankroute/lab/skewed.py
@@ -16,6 +16,7 @@
     time.time_ns = lambda: wall_ns() + int(jump() * 1e9)
     sys.argv[1:] = []
     from plankroute.__main__ import main as serve
+
     return serve()
 
 
--- a/plankroute/lab/traffic.py
+++ b/plankroute/lab/traffic.py
@@ -39,8 +39,9 @@
         writer = None
         try:
             reader, writer = await asyncio.open_connection(self.host, self.port, limit=1 << 21)
-            writer.write(f"hello node={self.number} locality={self.zone} w=10.0 cold={int(self.is_fresh)}\r\n"
-                         .encode())
+            writer.write(
+                f"hello node={self.number} locality={self.zone} w=10.0 cold={int(self.is_fresh)}\r\n".encode()
+            )
             self.joined += 1
             while line := await reader.readline():
                 if (mark := self.take(line.decode("ascii").split())) is not None:
@@ -56,7 +57,9 @@
 class Traffic:
     """All proxies of one steward at `address`; `bad`: names of hosts that void all they get."""
 
-    def __init__(self, mix: Mix, address: tuple[str, int], bad: set[str], standing: list[str]) -> None:
+    def __init__(
+        self, mix: Mix, address: tuple[str, int], bad: set[str], standing: list[str]
+    ) -> None:
         self.mix, self.address, self.bad = mix, address, bad
         self.riders = [Rider(number, *address, "a") for number in range(mix.proxies)]
         for rider in self.riders:  # their standing tables, before any steward has written one
@@ -71,8 +74,11 @@
         """Ends by itself after that long."""
         self.began_s = time.monotonic()
         until_s = self.began_s + for_s
-        for work in (self.pass_time(until_s), self.collect(until_s),
-                     *(rider.ride(until_s) for rider in self.riders)):
+        for work in (
+            self.pass_time(until_s),
+            self.collect(until_s),
+            *(rider.ride(until_s) for rider in self.riders),
+        ):
             self.tasks.add(asyncio.ensure_future(work))
 
     def close(self) -> None:
@@ -119,8 +125,10 @@
             if tries := round(total):
                 is_bad = name in self.bad
                 rtt = "" if is_bad else f" rtt={GOOD_MS}"
-                out.append(f"outcomes locality=a endpoint={name} total={tries} errors={tries * is_bad}{rtt} "
-                           f"interval={PERIOD_S * 1e3} metrics=inflight:{0 if is_bad else HOLDS}\r\n")
+                out.append(
+                    f"outcomes locality=a endpoint={name} total={tries} errors={tries * is_bad}{rtt} "
+                    f"interval={PERIOD_S * 1e3} metrics=inflight:{0 if is_bad else HOLDS}\r\n"
+                )
         return "".join(out).encode()
 
     def between(self, counts: Counter[int], from_s: float, for_s: float) -> float:
--- a/plankroute/learned/codec.py
+++ b/plankroute/learned/codec.py
@@ -12,9 +12,13 @@
 from plankroute.learned.facts import View
 
 MAGIC, VERSION = b"PKLR", 1
-HEADER = struct.Struct("!4sHHQQQ")  # magic, version, none, bytes that follow, Unix ms when written, check sum
+HEADER = struct.Struct(
+    "!4sHHQQQ"
+)  # magic, version, none, bytes that follow, Unix ms when written, check sum
 MOST_BYTES = 1 << 20  # of a file: five times 500 hosts; what is longer is none of ours
-AHEAD_MS = 5_000  # of the clock of the day: two machines' may differ; further ahead it was set back since
+AHEAD_MS = (
+    5_000  # of the clock of the day: two machines' may differ; further ahead it was set back since
+)
 ENCODER, DECODER = msgspec.msgpack.Encoder(), msgspec.msgpack.Decoder(View)
 
 
@@ -71,7 +75,7 @@
     if len(data) < HEADER.size or data[:4] != MAGIC:
         return Unusable.CUT
     _, version, _, size, written_ms, check = HEADER.unpack_from(data)
-    head, body = data[:HEADER.size], data[HEADER.size:]
+    head, body = data[: HEADER.size], data[HEADER.size :]
     if size != len(body):
         return Unusable.CUT
     if check != check_of(head, body):
--- a/plankroute/learned/core.py
+++ b/plankroute/learned/core.py
@@ -133,9 +133,14 @@
         """Where health and powers are of different ages, the older one: news must not grow younger."""
         health, powers = known.health.facts, known.powers.facts
         age_us = now_us - min(known.health.at_us, known.powers.at_us)
-        return msgspec.structs.replace(health, weight=powers.weight, tries=powers.tries,
-                                       voided=min(health.voided, powers.tries), mean_us=powers.mean_us,
-                                       age_us=max(0, age_us))
+        return msgspec.structs.replace(
+            health,
+            weight=powers.weight,
+            tries=powers.tries,
+            voided=min(health.voided, powers.tries),
+            mean_us=powers.mean_us,
+            age_us=max(0, age_us),
+        )
 
     def teach(self, now_us: int) -> list[Action]:
         out = list[Action]()
@@ -144,5 +149,7 @@
                 continue
             if not (self.is_old(now_us, known.health) or self.is_old(now_us, known.powers)):
                 self.told[uid] = known
-                out.append(Teach(uid, known, now_us - known.health.at_us, now_us - known.powers.at_us))
+                out.append(
+                    Teach(uid, known, now_us - known.health.at_us, now_us - known.powers.at_us)
+                )
         return out
--- a/plankroute/learned/merge.py
+++ b/plankroute/learned/merge.py
@@ -44,12 +44,22 @@
 def order(heard: Heard) -> tuple[object, ...]:
     """Between equals; any order does, as long as it is the same everywhere."""
     facts = heard.facts
-    return (heard.at_us, facts.is_shut, facts.voided, facts.tries, facts.needed, facts.weight, facts.mean_us)
+    return (
+        heard.at_us,
+        facts.is_shut,
+        facts.voided,
+        facts.tries,
+        facts.needed,
+        facts.weight,
+        facts.mean_us,
+    )
 
 
 def join(one: Merged, other: Merged, half_us: int) -> Merged:
     """A later start of the host is another host: nothing of the earlier one stays."""
     if one.boot_ms() != other.boot_ms():
         return max(one, other, key=Merged.boot_ms)
-    return Merged(max(one.health, other.health, key=lambda heard: (heard.health_us(half_us), order(heard))),
-                  max(one.powers, other.powers, key=lambda heard: (heard.powers_us(half_us), order(heard))))
+    return Merged(
+        max(one.health, other.health, key=lambda heard: (heard.health_us(half_us), order(heard))),
+        max(one.powers, other.powers, key=lambda heard: (heard.powers_us(half_us), order(heard))),
+    )
--- a/plankroute/membership/claim.py
+++ b/plankroute/membership/claim.py
@@ -8,7 +8,9 @@
 
 from plankroute.membership.records import Record, Standing, join
 
-CLAIM_US = 10_000_000  # after its start a process may claim a name that another life still seems to hold
+CLAIM_US = (
+    10_000_000  # after its start a process may claim a name that another life still seems to hold
+)
 MOST_INCARNATION = (1 << 62) - 1  # what lies beyond was never counted up to
 
 
@@ -55,4 +57,6 @@
 
 def raised(own: Record, said: Record) -> Record:
     """Above what was said, and alive."""
-    return msgspec.structs.replace(own, incarnation=said.incarnation + 1, standing=Standing.ALIVE, voters=())
+    return msgspec.structs.replace(
+        own, incarnation=said.incarnation + 1, standing=Standing.ALIVE, voters=()
+    )
--- a/plankroute/membership/codec.py
+++ b/plankroute/membership/codec.py
@@ -8,8 +8,17 @@
 
 from plankroute.membership.facts import MOST_DATAGRAM
 from plankroute.membership.records import Record
-from plankroute.membership.messages import (Answer, Errand, Handed, News, Piece, Ping, Said, ViewAsked,
-                                            ViewPiece)
+from plankroute.membership.messages import (
+    Answer,
+    Errand,
+    Handed,
+    News,
+    Piece,
+    Ping,
+    Said,
+    ViewAsked,
+    ViewPiece,
+)
 
 VERSION = 1
 HEADER = struct.Struct("!BII")  # version, group, check of what follows
@@ -42,7 +51,7 @@
         if not HEADER.size < len(data) <= MOST_DATAGRAM:
             return Unread.SIZE
         version, group, check = HEADER.unpack_from(data)
-        body = data[HEADER.size:]
+        body = data[HEADER.size :]
         if version != VERSION:
             return Unread.VERSION
         if group != self.group:
@@ -80,7 +89,10 @@
     """Guards against records that nobody writes: they would stand for good, or fill what is kept."""
     texts = (record.name, MOST_NAME), (record.address, MOST_ADDRESS), (record.zone, MOST_ZONE)
     numbers = record.life, record.incarnation, record.rival
-    return (record.name != "" and record.address != ""
-            and all(len(text) <= most and text.isascii() for text, most in texts)
-            and all(0 <= number < MOST_NUMBER for number in numbers)
-            and all(0 <= mark < 1 << 32 for mark in record.voters))
+    return (
+        record.name != ""
+        and record.address != ""
+        and all(len(text) <= most and text.isascii() for text, most in texts)
+        and all(0 <= number < MOST_NUMBER for number in numbers)
+        and all(0 <= mark < 1 << 32 for mark in record.voters)
+    )
--- a/plankroute/membership/detector.py
+++ b/plankroute/membership/detector.py
@@ -13,7 +13,9 @@
 HELPERS = 1  # members sent on an errand at each try from then on; another one each time
 ERRANDS_US = 3 * TRY_AGAIN_US  # tries of its own come first: they cost a quarter, and most often do
 SMALL = 6  # members: in a group this small each is probed once a second by each other one
-MORE = 8  # members, of all, that probe a suspect at once when they hear of it: twice a verdict's votes
+MORE = (
+    8  # members, of all, that probe a suspect at once when they hear of it: twice a verdict's votes
+)
 WATCH_US = 500_000  # between pings of a suspect: it has to hear of the suspicion
 
 
@@ -69,8 +71,11 @@
         for place in [place for place in self.by_place if place not in living]:
             self.end(place)
         asks, silent = self.try_again(now_us, slowness)
-        asks += [self.begin(place, now_us) for place in dict.fromkeys(self.urgent)
-                 if place in living and place not in self.by_place]
+        asks += [
+            self.begin(place, now_us)
+            for place in dict.fromkeys(self.urgent)
+            if place in living and place not in self.by_place
+        ]
         self.urgent.clear()
         if now_us >= self.next_us and living:
             self.next_us = max(now_us, self.next_us + self.between_us(len(living)))
--- a/plankroute/membership/exchange.py
+++ b/plankroute/membership/exchange.py
@@ -7,12 +7,17 @@
 from plankroute.membership.messages import Piece
 from plankroute.membership.records import Record
 
-RATE, BURST = 1.0, 2.0  # exchanges a second that a member begins, and that it serves, with what may pile up
+RATE, BURST = (
+    1.0,
+    2.0,
+)  # exchanges a second that a member begins, and that it serves, with what may pile up
 HEAD_BYTES = 96  # of a datagram: header, tags, wanted buckets
 MOST_PIECES = 160  # of one exchange: four thousand members of sixty bytes
 
 
-def pieces(records: Iterable[Record], want: list[int], size: Callable[[Record], int]) -> Iterator[Piece]:
+def pieces(
+    records: Iterable[Record], want: list[int], size: Callable[[Record], int]
+) -> Iterator[Piece]:
     """The first one says what is wanted in return; there is one even where there is no record."""
     room, chunk, wanted, given = MOST_DATAGRAM - HEAD_BYTES, list[Record](), bytes(want), 0
     for record in records:
--- a/plankroute/membership/facts.py
+++ b/plankroute/membership/facts.py
@@ -2,7 +2,9 @@
 
 from dataclasses import dataclass, replace
 
-MOST_DATAGRAM = 1200  # bytes: below every path's usual limit, so that none is cut in pieces on its way
+MOST_DATAGRAM = (
+    1200  # bytes: below every path's usual limit, so that none is cut in pieces on its way
+)
 
 
 @dataclass(frozen=True, slots=True)
--- a/plankroute/membership/group.py
+++ b/plankroute/membership/group.py
@@ -11,16 +11,41 @@
 from plankroute.membership.detector import Ask, Detector
 from plankroute.membership.facts import MOST_DATAGRAM, MemberFacts
 from plankroute.membership.health import Awake, OwnDoubt
-from plankroute.membership.messages import (Action, Answer, BeatDue, Change, Counted, Errand, Event, Finished,
-                                            Handed, Heard, LeaveAsked, Line, News, Piece, Ping, Rest, Said,
-                                            SeedsChanged, Send, Told, ViewAsked, ViewPiece)
+from plankroute.membership.messages import (
+    Action,
+    Answer,
+    BeatDue,
+    Change,
+    Counted,
+    Errand,
+    Event,
+    Finished,
+    Handed,
+    Heard,
+    LeaveAsked,
+    Line,
+    News,
+    Piece,
+    Ping,
+    Rest,
+    Said,
+    SeedsChanged,
+    Send,
+    Told,
+    ViewAsked,
+    ViewPiece,
+)
 from plankroute.membership.records import Record, Standing
 from plankroute.membership.verdicts import Verdicts
 from plankroute.membership.views import NEVER, View
 from plankroute.tokens import Tokens
 
-BEAT_US = 100_000  # time-outs are counted in tenths of a second; ten wakes a second cost next to nothing
-RECALL_US = 1_000_000  # between calls to a seed, or to one that is gone: a cut heals without anybody's help
+BEAT_US = (
+    100_000  # time-outs are counted in tenths of a second; ten wakes a second cost next to nothing
+)
+RECALL_US = (
+    1_000_000  # between calls to a seed, or to one that is gone: a cut heals without anybody's help
+)
 SEED_SHARE = 0.3  # of these calls go to seeds, where both kinds are there
 ALONE_US = 5_000_000  # without a word from anybody: said openly
 FORGET_EVERY_US = 10_000_000
@@ -37,8 +62,9 @@
     """One member of the group. `life`: drawn anew at each start. `wall_us`: Unix time, from which the
     incarnation counts up, so that a new life most often overrules an old one at once; nothing rests on it."""
 
-    def __init__(self, facts: MemberFacts, seed: int, life: int, wall_us: int,
-                 size: Callable[[Record], int]) -> None:
+    def __init__(
+        self, facts: MemberFacts, seed: int, life: int, wall_us: int, size: Callable[[Record], int]
+    ) -> None:
         self.facts, self.size, self.chance = facts, size, SeededRandom(seed)
         self.view = View(Record(facts.name, facts.address, facts.zone, life, max(1, wall_us)))
         self.awake, self.doubt = Awake(), OwnDoubt()
@@ -48,7 +74,9 @@
         self.at_once = Tokens(spreading.RATE, spreading.BURST)
         self.compared = Tokens(exchange.RATE, exchange.BURST)
         self.served = Tokens(exchange.RATE, exchange.BURST)
-        self.errands: dict[int, tuple[str, int]] = {}  # by own number: for whom, under which of theirs
+        self.errands: dict[
+            int, tuple[str, int]
+        ] = {}  # by own number: for whom, under which of theirs
         self.fresh: dict[str, None] = {}
         self.seed_places: dict[str, int] = {}
         self.claim: Claim | None = None
@@ -118,7 +146,9 @@
                 if said.want and self.served.take(self.now):
                     self.give(source, set(said.want), [])
 
-    def take_all(self, records: tuple[Record, ...], sender: Record | None = None, rides: bool = True) -> None:
+    def take_all(
+        self, records: tuple[Record, ...], sender: Record | None = None, rides: bool = True
+    ) -> None:
         """The sender's own record counts as word from it, whatever stands in it. `rides`: what is new is
         passed on; what came by an exchange reaches others by theirs."""
         for record in records:
@@ -143,7 +173,9 @@
                 self.detector.end(place)
             self.verdicts.follow(place, before, after, self.now)
             if place in self.verdicts.contested:
-                self.send(after.address, News((after,)))  # whoever it is of shall hear of it, and deny it
+                self.send(
+                    after.address, News((after,))
+                )  # whoever it is of shall hear of it, and deny it
             if after.standing is Standing.SUSPECTED is not before.standing:
                 self.detector.hear_suspected(place, len(self.view.living_places))
         else:
@@ -240,8 +272,10 @@
         self.send(record.address, self.ping(ask.number, about))
         for place in self.drawn(ask.helpers, ask.place):
             rumours = self.riding(None, len(record.address))
-            self.send(self.view.at(place).address,
-                      Errand(ask.number, record.address, self.view.own(), rumours))
+            self.send(
+                self.view.at(place).address,
+                Errand(ask.number, record.address, self.view.own(), rumours),
+            )
 
     def drawn(self, number: int, without: int = 0) -> list[int]:
         """Different living members that nobody complains of; fewer where there are no more, or chance is
@@ -286,8 +320,11 @@
     def shared(self) -> set[int]:
         """Places of which others complain too."""
         mark = self.verdicts.mark
-        return {place for place in self.doubt.raised_us
-                if any(voter != mark for voter in self.view.at(place).voters)}
+        return {
+            place
+            for place in self.doubt.raised_us
+            if any(voter != mark for voter in self.view.at(place).voters)
+        }
 
     def complain(self, place: int) -> None:
         record = self.view.at(place)
@@ -295,7 +332,11 @@
             return
         self.count("complaints")
         self.doubt.raise_against(place, self.now)
-        self.take(msgspec.structs.replace(record, standing=Standing.SUSPECTED, voters=(self.verdicts.mark,)))
+        self.take(
+            msgspec.structs.replace(
+                record, standing=Standing.SUSPECTED, voters=(self.verdicts.mark,)
+            )
+        )
 
     def recall(self) -> None:
         """Guards against a cut that never heals, and a start before all seeds: nobody is given up for
@@ -334,7 +375,9 @@
         names, self.fresh = list(self.fresh), {}
         room, records = MOST_DATAGRAM - FIXED_BYTES, list[Record]()
         for name in names:
-            if (record := self.record_of(name)) is not None and (room := room - self.size(record)) >= 0:
+            if (record := self.record_of(name)) is not None and (
+                room := room - self.size(record)
+            ) >= 0:
                 records.append(record)
         for place in self.drawn(self.at_once.take(self.now, spreading.AT_ONCE)):
             self.send(self.view.at(place).address, News(tuple(records)))
@@ -346,7 +389,9 @@
             self.out.append(Finished())
             return
         self.leaving = LEAVE_BEATS
-        self.view.put(0, msgspec.structs.replace(self.view.own(), standing=Standing.LEFT, voters=()))
+        self.view.put(
+            0, msgspec.structs.replace(self.view.own(), standing=Standing.LEFT, voters=())
+        )
         self.beat_us = 0  # the first word goes out at once
 
     def go_on_leaving(self) -> None:
--- a/plankroute/membership/health.py
+++ b/plankroute/membership/health.py
@@ -7,7 +7,10 @@
 LATE_US = 200_000  # a wake later than that was slept through: twice a beat, some times a busy loop's delay
 SETTLE_US = 200_000  # after it: the datagrams that wait are read first, and answers to them come
 SHARE_US = 2_000_000  # within it others come to the same complaint, if it is true
-LONELY_STEP, LONELY_MOST = 0.25, 4  # each lonely complaint stretches time-outs by a quarter, to twice at most
+LONELY_STEP, LONELY_MOST = (
+    0.25,
+    4,
+)  # each lonely complaint stretches time-outs by a quarter, to twice at most
 
 
 class Awake:
@@ -53,6 +56,9 @@
         Lifeguard's self-doubt, after Dadgar, Phillips and Currey 2017: who complains and is not joined by
         others is more likely slow, or cut off, itself.
         """
-        lonely = sum(1 for place, raised in self.raised_us.items()
-                     if place not in shared and now_us - raised > SHARE_US)
+        lonely = sum(
+            1
+            for place, raised in self.raised_us.items()
+            if place not in shared and now_us - raised > SHARE_US
+        )
         return 1.0 + LONELY_STEP * min(LONELY_MOST, lonely)
--- a/plankroute/membership/records.py
+++ b/plankroute/membership/records.py
@@ -71,5 +71,13 @@
     voters: tuple[int, ...] = ()
     if standing is Standing.SUSPECTED:
         voters = tuple(sorted({*one.voters, *other.voters})[:MOST_VOTERS])
-    return Record(one.name, max(one.address, other.address), max(one.zone, other.zone), one.life,
-                  one.incarnation, standing, voters, max(one.rival, other.rival))
+    return Record(
+        one.name,
+        max(one.address, other.address),
+        max(one.zone, other.zone),
+        one.life,
+        one.incarnation,
+        standing,
+        voters,
+        max(one.rival, other.rival),
+    )
--- a/plankroute/membership/spreading.py
+++ b/plankroute/membership/spreading.py
@@ -11,7 +11,9 @@
 MOST_WAITING = 1024  # rumours kept: a larger change is left to the comparison of views
 AT_ONCE = 3  # members that hear of news at once: a doubling and more a hop, with a third of datagrams lost
 RATE, BURST = 20, 30  # datagrams with news a second, and at once: beyond, rumours ride
-GAP_US = 50_000  # between two such sends: a storm's news are gathered, so that each datagram is full
+GAP_US = (
+    50_000  # between two such sends: a storm's news are gathered, so that each datagram is full
+)
 
 
 class Rumours:
@@ -26,8 +28,13 @@
             del self.rode[max(self.rode, key=self.rode.__getitem__)]
         self.rode[name] = 0
 
-    def take(self, members: int, room: int, record: Callable[[str], Record | None],
-             size: Callable[[Record], int]) -> list[Record]:
+    def take(
+        self,
+        members: int,
+        room: int,
+        record: Callable[[str], Record | None],
+        size: Callable[[Record], int],
+    ) -> list[Record]:
         """Records that fit into `room` bytes; each is let go when it rode often enough."""
         if not self.rode:
             return []
--- a/plankroute/membership/suspicion.py
+++ b/plankroute/membership/suspicion.py
@@ -2,9 +2,13 @@
 
 Pure functions of counts; no I/O, no clock."""
 
-MOST_VOTES = 4  # the high watermark: four that err at once were not seen in 3.6 million member seconds
+MOST_VOTES = (
+    4  # the high watermark: four that err at once were not seen in 3.6 million member seconds
+)
 LOW_VOTES = 2  # the low one, from which the program is told: one alone is most often wrong
-SMALL_PART = 0.4  # of the group: half of it, less a few that are complained of wrongly, must not wait
+SMALL_PART = (
+    0.4  # of the group: half of it, less a few that are complained of wrongly, must not wait
+)
 CONTEST_PART = 0.7  # of the patience: a verdict out of the blue waits that long for its denial
 
 
@@ -33,8 +37,9 @@
     return few + (patience_us if unsuspected < SMALL_PART * members else 0)
 
 
-def is_verdict(voters: int, mine: bool, hears_accused: bool, needed: int, stood_us: int,
-               least_us: int) -> bool:
+def is_verdict(
+    voters: int, mine: bool, hears_accused: bool, needed: int, stood_us: int, least_us: int
+) -> bool:
     """`mine`: this member is among the voters. `hears_accused`: one that it complains of still speaks to it.
 
     Guards against a one-sided cut: who hears those that do not answer it is not heard itself, and its own
--- a/plankroute/membership/verdicts.py
+++ b/plankroute/membership/verdicts.py
@@ -64,18 +64,30 @@
 
     def unsuspected(self) -> int:
         """Members that nobody complains of, this one among them."""
-        return 1 + len(self.view.living_places) - len(self.view.suspected_places & self.view.living_places)
+        return (
+            1
+            + len(self.view.living_places)
+            - len(self.view.suspected_places & self.view.living_places)
+        )
 
     def judge(self, place: int, now_us: int) -> None:
         """A standing suspicion: is it to be shown, is it a verdict?"""
         view, record = self.view, self.view.at(place)
         unsuspected, members = self.unsuspected(), 1 + len(view.living_places)
         needed = suspicion.votes_needed(unsuspected)
-        if view.told[place] is Standing.ALIVE and len(record.voters) >= suspicion.shown_from(needed):
+        if view.told[place] is Standing.ALIVE and len(record.voters) >= suspicion.shown_from(
+            needed
+        ):
             self.tell(place, Change.SUSPECTED, Standing.SUSPECTED, now_us)
         least_us = suspicion.wait_us(needed, unsuspected, members, self.patience_us)
-        if suspicion.is_verdict(len(record.voters), self.mark in record.voters, self.hears_accused(now_us),
-                                needed, now_us - view.suspected_us[place], least_us):
+        if suspicion.is_verdict(
+            len(record.voters),
+            self.mark in record.voters,
+            self.hears_accused(now_us),
+            needed,
+            now_us - view.suspected_us[place],
+            least_us,
+        ):
             gone = msgspec.structs.replace(record, standing=Standing.GONE, voters=())
             view.put(place, gone)
             self.tell(place, Change.GONE, Standing.GONE, now_us, len(record.voters))
@@ -97,7 +109,9 @@
                 decided.append(place)
         return decided
 
-    def tell(self, place: int, change: Change, standing: Standing, now_us: int, voters: int = 0) -> None:
+    def tell(
+        self, place: int, change: Change, standing: Standing, now_us: int, voters: int = 0
+    ) -> None:
         self.view.tell(place, standing, now_us)
         if standing >= Standing.GONE:
             self.doubt.drop(place)
--- a/plankroute/membership/views.py
+++ b/plankroute/membership/views.py
@@ -7,7 +7,9 @@
 
 from plankroute.membership.records import Record, Standing, canonical, join
 
-MOST_MEMBERS = 4096  # four times the largest group that was measured; a liar can make a view no longer
+MOST_MEMBERS = (
+    4096  # four times the largest group that was measured; a liar can make a view no longer
+)
 BUCKETS = 32  # of the sums by which views are compared: at 1,000 members one fills about a datagram
 SUM_BYTES = 8
 NEVER = -(1 << 60)
@@ -49,9 +51,14 @@
     def add(self, record: Record, now_us: int) -> int:
         """A name not seen before; told as what its record says."""
         place = self.index[record.name] = self.free.pop() if self.free else len(self.records)
-        for array, value in ((self.records, None), (self.told, record.standing), (self.since_us, now_us),
-                             (self.suspected_us, now_us), (self.contested_us, NEVER)):
-            array[place:place + 1] = [value]
+        for array, value in (
+            (self.records, None),
+            (self.told, record.standing),
+            (self.since_us, now_us),
+            (self.suspected_us, now_us),
+            (self.contested_us, NEVER),
+        ):
+            array[place : place + 1] = [value]
         self.put(place, record)
         self.tell(place, record.standing, now_us)
         return place
@@ -108,8 +115,11 @@
 
     def long_final(self, before_us: int) -> list[int]:
         """Places of those gone or left since before that time."""
-        return [place for place in self.index.values()
-                if place and self.told[place] >= Standing.GONE and self.since_us[place] < before_us]
+        return [
+            place
+            for place in self.index.values()
+            if place and self.told[place] >= Standing.GONE and self.since_us[place] < before_us
+        ]
 
     def digest(self) -> int:
         """Of all that are not gone or left; equal views have equal ones."""
@@ -124,8 +134,11 @@
         if len(sums) != BUCKETS * SUM_BYTES:
             return []
         mine = self.bucket_sums()
-        return [bucket for bucket in range(BUCKETS)
-                if mine[(at := bucket * SUM_BYTES):at + SUM_BYTES] != sums[at:at + SUM_BYTES]]
+        return [
+            bucket
+            for bucket in range(BUCKETS)
+            if mine[(at := bucket * SUM_BYTES) : at + SUM_BYTES] != sums[at : at + SUM_BYTES]
+        ]
 
     def in_buckets(self, buckets: set[int]) -> Iterator[Record]:
         """Those gone or left come too: they keep old rumours from bringing anybody back."""
--- a/plankroute/net/admit.py
+++ b/plankroute/net/admit.py
@@ -24,13 +24,17 @@
 class Party:
     """One connection's other end, as far as it has said."""
 
-    MOST_MARKS: ClassVar[int] = 4096  # some minutes' worth: a silent stream must not gather them without end
+    MOST_MARKS: ClassVar[int] = (
+        4096  # some minutes' worth: a silent stream must not gather them without end
+    )
 
     role: Role = Role.STRANGER
     proxy: int | None = None
     zone: int | None = None  # a collector's
     has_told: bool = False  # it has brought sums
-    marks: deque[int] = field(default_factory=lambda: deque(maxlen=Party.MOST_MARKS))  # not yet answered
+    marks: deque[int] = field(
+        default_factory=lambda: deque(maxlen=Party.MOST_MARKS)
+    )  # not yet answered
 
 
 def refused(why: str) -> Refused:
@@ -77,11 +81,17 @@
         if said.proxy >= self.proxies or said.zone not in self.directory.zones:
             return refused("proxy or zone not known")
         party.role, party.proxy = Role.PROXY, said.proxy
-        return notes.ProxyJoined(said.proxy, self.directory.zones[said.zone], said.usual_rate, said.fresh)
+        return notes.ProxyJoined(
+            said.proxy, self.directory.zones[said.zone], said.usual_rate, said.fresh
+        )
 
     def applied(self, party: Party, said: wire.AppliedSaid) -> notes.Note | Refused:
         """Marks are answered in order: an answer also tells of those before it."""
-        if party.role is not Role.PROXY or said.proxy != party.proxy or said.serial not in party.marks:
+        if (
+            party.role is not Role.PROXY
+            or said.proxy != party.proxy
+            or said.serial not in party.marks
+        ):
             return refused("answer to no mark")
         while party.marks.popleft() != said.serial:
             pass
@@ -96,7 +106,9 @@
         if said.voided > said.tries or said.mean_us > self.longest_us:
             return refused("sums that can't be")
         party.has_told = True
-        return notes.HostSums(host, zone, said.tries, said.voided, said.mean_us, said.span_us, said.report)
+        return notes.HostSums(
+            host, zone, said.tries, said.voided, said.mean_us, said.span_us, said.report
+        )
 
     def traffic(self, party: Party, said: wire.TrafficSaid) -> notes.Note | Refused:
         product = self.directory.products.get(said.product)
--- a/plankroute/net/ahead.py
+++ b/plankroute/net/ahead.py
@@ -21,19 +21,27 @@
     def __init__(self, directory: Directory, book: Book, put: Callable[[notes.Note], None]) -> None:
         self.directory, self.book, self.put = directory, book, put
         self.core, self.revision = EarlyDrains(), -1
-        self.listed: dict[str, notes.HostEntry] = {}  # as the list has those that were closed ahead of it
+        self.listed: dict[
+            str, notes.HostEntry
+        ] = {}  # as the list has those that were closed ahead of it
         self.after_list: Callable[[], None] | None = None
 
     def hear(self, name: str, revision: int, closed: Iterable[tuple[str, HostState]]) -> None:
         """Hosts that are known here are shut at once; those that are not come with their list."""
-        new = self.core.hear(now_us(), name, revision, closed, self.revision, len(self.directory.hosts))
+        new = self.core.hear(
+            now_us(), name, revision, closed, self.revision, len(self.directory.hosts)
+        )
         self.book.counts["early.refused"] = self.core.refused
         if new:
             self.book.count("early.drains", len(new))
-            self.book.log.event("info", "drains_early", other=name, revision=revision,
-                                hosts=new[:MOST_LOGGED])
-            known = [self.directory.hosts[self.directory.ids[uid]].entry for uid in new
-                     if uid in self.directory.ids]
+            self.book.log.event(
+                "info", "drains_early", other=name, revision=revision, hosts=new[:MOST_LOGGED]
+            )
+            known = [
+                self.directory.hosts[self.directory.ids[uid]].entry
+                for uid in new
+                if uid in self.directory.ids
+            ]
             self.tell([self.shut(entry) for entry in known if entry is not None])
 
     def over(self, revision: int, whole: bool, listed: notes.HostList) -> notes.HostList:
@@ -57,8 +65,11 @@
 
     def as_listed(self, uids: list[str]) -> list[notes.HostEntry]:
         """What was told of them no longer counts."""
-        return [entry for uid in uids if (entry := self.listed.pop(uid, None)) is not None
-                and uid in self.directory.ids]
+        return [
+            entry
+            for uid in uids
+            if (entry := self.listed.pop(uid, None)) is not None and uid in self.directory.ids
+        ]
 
     def reopen(self, uids: list[str]) -> None:
         self.tell(self.as_listed(uids))
--- a/plankroute/net/book.py
+++ b/plankroute/net/book.py
@@ -36,13 +36,21 @@
         if self.said[event] > LINES_A_SECOND or len(self.lines) >= WAITING_LINES:
             self.dropped += 1
             return
-        said = {"time": round(now, 6), "level": level, "steward": self.name, "event": event, **facts}
+        said = {
+            "time": round(now, 6),
+            "level": level,
+            "steward": self.name,
+            "event": event,
+            **facts,
+        }
         self.lines.append(orjson.dumps(said, default=str) + b"\n")
         self.taken += 1
         self.ready.set()
 
     def pass_on(self) -> None:
-        signal.pthread_sigmask(signal.SIG_BLOCK, signal.valid_signals())  # they are the loop's thread's
+        signal.pthread_sigmask(
+            signal.SIG_BLOCK, signal.valid_signals()
+        )  # they are the loop's thread's
         while True:
             self.ready.wait()
             self.ready.clear()
@@ -62,7 +70,7 @@
 
 def to_stderr(line: bytes) -> None:
     while line:
-        line = line[os.write(2, line):]
+        line = line[os.write(2, line) :]
 
 
 class Book:
@@ -80,8 +88,12 @@
         """An error of ours, with its place; the part goes on."""
         place = traceback.extract_tb(error.__traceback__)[-1]
         self.count(f"{part}.failed")
-        self.log.event("error", f"{part}_failed", why=f"{type(error).__name__}: {error}",
-                       place=f"{place.name}:{place.lineno}")
+        self.log.event(
+            "error",
+            f"{part}_failed",
+            why=f"{type(error).__name__}: {error}",
+            place=f"{place.name}:{place.lineno}",
+        )
 
     def refuse(self, stage: str, why: str, **facts: Any) -> None:
         """A line or entry that goes no further."""
@@ -103,4 +115,6 @@
             self.counts["taken.reports"] += 1
 
     def print(self) -> None:
-        self.log.event("info", "counters", log_dropped=self.log.dropped, **dict(sorted(self.counts.items())))
+        self.log.event(
+            "info", "counters", log_dropped=self.log.dropped, **dict(sorted(self.counts.items()))
+        )
--- a/plankroute/net/boot.py
+++ b/plankroute/net/boot.py
@@ -43,13 +43,21 @@
         settings = raw["settings"]
         facts, _ = start_from(settings)
         return Boot(
-            name=str(raw["name"]), listen=address(raw["listen"]), discovery=address(raw["discovery"]),
-            seed=int(str(raw["seed"]), 16), room=room(raw.get("limits") or {}),
-            known=raw.get("known"), facts=replace(facts, lets_back=True), zones=names(settings["dcs"]),
+            name=str(raw["name"]),
+            listen=address(raw["listen"]),
+            discovery=address(raw["discovery"]),
+            seed=int(str(raw["seed"]), 16),
+            room=room(raw.get("limits") or {}),
+            known=raw.get("known"),
+            facts=replace(facts, lets_back=True),
+            zones=names(settings["dcs"]),
             kinds=names(settings["machineTypes"]),
             products=names([item["name"] for item in settings["classes"]]),
             gather_us=microseconds(float(settings.get("quantumMs", USUAL_GATHER_MS))),
-            dial_us=microseconds(float((settings.get("caps") or {}).get("dialTimeoutMs", USUAL_DIAL_MS))))
+            dial_us=microseconds(
+                float((settings.get("caps") or {}).get("dialTimeoutMs", USUAL_DIAL_MS))
+            ),
+        )
     except (KeyError, TypeError, ValueError, AttributeError, OverflowError) as error:
         raise StartError(f"{type(error).__name__}: {error}") from error
 
--- a/plankroute/net/careful.py
+++ b/plankroute/net/careful.py
@@ -7,7 +7,15 @@
 import time
 from typing import Any
 
-from plankroute.coldstart.calls import Began, Broke, CallFacts, Caller, Event, Refused, retry_after_us
+from plankroute.coldstart.calls import (
+    Began,
+    Broke,
+    CallFacts,
+    Caller,
+    Event,
+    Refused,
+    retry_after_us,
+)
 from plankroute.net.clock import steady_us as now_us
 from plankroute.net.discovery import Discovery
 from plankroute.net.http import Call
@@ -81,5 +89,9 @@
             if not self.is_old and now_us() - self.heard_us > self.list_old_us:
                 self.is_old = True
                 self.book.count("list_old")
-                self.book.log.event("warning", "list_old", revision=self.revision,
-                                    for_s=round((now_us() - self.heard_us) / 1e6, 1))
+                self.book.log.event(
+                    "warning",
+                    "list_old",
+                    revision=self.revision,
+                    for_s=round((now_us() - self.heard_us) / 1e6, 1),
+                )
