--- a/plankroute/net/catalogue.py
+++ b/plankroute/net/catalogue.py
@@ -70,8 +70,16 @@
         return Unread(None)
     try:
         address, zone, kind = (text(item[name]) for name in ("endpoint", "az", "model"))
-        said = EntrySaid(uid, address, zone, kind, int(item["pod_group"]), STATES[item["state"]],
-                         finite(float(item["capacity_hint"])), float(item["boot_ms"]))
+        said = EntrySaid(
+            uid,
+            address,
+            zone,
+            kind,
+            int(item["pod_group"]),
+            STATES[item["state"]],
+            finite(float(item["capacity_hint"])),
+            float(item["boot_ms"]),
+        )
     except (TypeError, ValueError, KeyError, OverflowError):
         return Unread(uid)
     return said if 0 <= said.boot_ms <= MOST_UNIX_MS and 0 <= said.cell < MOST_CELL else Unread(uid)
--- a/plankroute/net/clock.py
+++ b/plankroute/net/clock.py
@@ -39,7 +39,9 @@
 class Clock:
     """Never steps: a system time that is set anew moves neither timers nor the age of hosts."""
 
-    def __init__(self, wall_ns: Reading = time.time_ns, steady_ns: Reading = time.monotonic_ns) -> None:
+    def __init__(
+        self, wall_ns: Reading = time.time_ns, steady_ns: Reading = time.monotonic_ns
+    ) -> None:
         self.wall_ns, self.steady_ns = wall_ns, steady_ns
         self.offset_us = (wall_ns() - steady_ns()) // 1000
 
--- a/plankroute/net/directory.py
+++ b/plankroute/net/directory.py
@@ -32,8 +32,13 @@
 
 
 class Directory:
-    def __init__(self, clock: Clock, zones: tuple[str, ...], kinds: tuple[str, ...],
-                 products: tuple[str, ...]) -> None:
+    def __init__(
+        self,
+        clock: Clock,
+        zones: tuple[str, ...],
+        kinds: tuple[str, ...],
+        products: tuple[str, ...],
+    ) -> None:
         self.clock = clock
         self.zones, self.kinds, self.products = places(zones), places(kinds), places(products)
         self.hosts: dict[int, Known] = {}
@@ -54,7 +59,11 @@
         entries: dict[int, notes.HostEntry] = {}
         refused = 0
         for said in listed.entries:
-            if said.uid not in self.ids and isinstance(said, EntrySaid) and said.state is HostState.GONE:
+            if (
+                said.uid not in self.ids
+                and isinstance(said, EntrySaid)
+                and said.state is HostState.GONE
+            ):
                 continue  # never listed here, or forgotten: nothing to tell
             entry = self.entry(said) if isinstance(said, EntrySaid) else None
             refused += entry is None
@@ -74,10 +83,21 @@
             self.next_id += 1
         known = self.hosts[self.ids[said.uid]]
         known.address = said.address
-        if known.boot_ms != said.boot_ms:  # worked out once a start: no host may seem to start again
+        if (
+            known.boot_ms != said.boot_ms
+        ):  # worked out once a start: no host may seem to start again
             known.boot_ms = said.boot_ms
-            known.started_us = max(1, self.clock.on_scale(round(said.boot_ms * 1000))) if said.boot_ms else 0
-        known.entry = notes.HostEntry(self.ids[said.uid], said.state, self.zones[said.zone],
-                                      self.kinds[said.kind], said.cell, said.weight, known.started_us,
-                                      mark_of(said.uid))
+            known.started_us = (
+                max(1, self.clock.on_scale(round(said.boot_ms * 1000))) if said.boot_ms else 0
+            )
+        known.entry = notes.HostEntry(
+            self.ids[said.uid],
+            said.state,
+            self.zones[said.zone],
+            self.kinds[said.kind],
+            said.cell,
+            said.weight,
+            known.started_us,
+            mark_of(said.uid),
+        )
         return known.entry
--- a/plankroute/net/discovery.py
+++ b/plankroute/net/discovery.py
@@ -18,10 +18,14 @@
 from plankroute.net.ring import Pool
 
 DIAL_S, QUIET_S = 1.0, 3.0  # a sign of life comes every 2 s
-AGAIN_S = 0.3  # pause before a new try, by half either way: a list may count as told 6 s after it was due
+AGAIN_S = (
+    0.3  # pause before a new try, by half either way: a list may count as told 6 s after it was due
+)
 MOST_LOGGED = 30  # entries of a list
 MOST_TEXT = 200  # characters of what came instead
-Over = Callable[[int, bool, notes.HostList], notes.HostList]  # revision, whole, and what the core is to hear
+Over = Callable[
+    [int, bool, notes.HostList], notes.HostList
+]  # revision, whole, and what the core is to hear
 NO_WORD_US = 1 << 40  # the age of a word that never came
 LIST_FAILED = notes.HostList(ListKind.FAILED, ())
 
@@ -29,16 +33,29 @@
 class Discovery:
     """Watches by itself where lists are pushed; else as the core orders, which then hears of failures."""
 
-    def __init__(self, address: str, most_list: int, directory: Directory, book: Book, seed: int,
-                 by_order: bool, put: Callable[[notes.Note], None]) -> None:
+    def __init__(
+        self,
+        address: str,
+        most_list: int,
+        directory: Directory,
+        book: Book,
+        seed: int,
+        by_order: bool,
+        put: Callable[[notes.Note], None],
+    ) -> None:
         self.allow(most_list)
         self.address, self.directory, self.book, self.put = address, directory, book, put
         self.by_order, self.chance = by_order, SeededRandom(seed)
         self.revision: int | None = None  # None: the next call is to bring the whole list
         self.asking = set[asyncio.Task[None]]()
         self.watching: asyncio.Task[None] | None = None
-        self.has_word, self.heard_us = False, 0  # of discovery itself, and when: steady microseconds
-        self.over: Over | None = None  # what knows of drains ahead of lists, where that is switched on
+        self.has_word, self.heard_us = (
+            False,
+            0,
+        )  # of discovery itself, and when: steady microseconds
+        self.over: Over | None = (
+            None  # what knows of drains ahead of lists, where that is switched on
+        )
 
     def start(self, known: Any) -> None:
         """The list handed over at the start goes to the core first."""
@@ -93,7 +110,9 @@
                 await self.watch()
             except Exception as error:  # an error of ours must not leave the steward without a list
                 self.book.count("dropped.watches")
-                self.book.log.event("error", "discovery_failed", why=f"{type(error).__name__}: {error}")
+                self.book.log.event(
+                    "error", "discovery_failed", why=f"{type(error).__name__}: {error}"
+                )
             await asyncio.sleep(AGAIN_S * (0.5 + self.chance.draw()))
 
     async def watch_once(self) -> None:
@@ -175,6 +194,14 @@
         if refused:
             self.book.refuse("discovery", "entries that can't be taken", entries=refused)
         self.book.count("taken.lists")
-        self.book.log.event("info", "list", revision=said.revision, kind=listed.kind.value, hosts=[
-            [self.directory.uid(entry.host), entry.state.value] for entry in listed.entries[:MOST_LOGGED]])
+        self.book.log.event(
+            "info",
+            "list",
+            revision=said.revision,
+            kind=listed.kind.value,
+            hosts=[
+                [self.directory.uid(entry.host), entry.state.value]
+                for entry in listed.entries[:MOST_LOGGED]
+            ],
+        )
         self.put(listed)
--- a/plankroute/net/extras.py
+++ b/plankroute/net/extras.py
@@ -28,7 +28,9 @@
 class Extras:
     """Each part is there, or None where its section is missing."""
 
-    def __init__(self, own: OwnFile, boot: Boot, book: Book, put: Callable[[notes.Note], None]) -> None:
+    def __init__(
+        self, own: OwnFile, boot: Boot, book: Book, put: Callable[[notes.Note], None]
+    ) -> None:
         self.own, self.boot, self.book, self.put = own, boot, book, put
         zones, zone = boot.zones, boot.facts.own_zone
         self.me = Self(boot.name, zones[zone] if zone < len(zones) else "", boot.seed)
@@ -46,9 +48,15 @@
             self.careful = CarefulDiscovery(*words)
         else:
             from plankroute.net.shared import SharedDiscovery
+
             self.careful = self.shared = shared = SharedDiscovery(*words)
-            facts = FollowFacts(self.me.name, self.members.part.group, calls.stewards, part.links.watchers,
-                                part.links.stall_ms * 1000)
+            facts = FollowFacts(
+                self.me.name,
+                self.members.part.group,
+                calls.stewards,
+                part.links.watchers,
+                part.links.stall_ms * 1000,
+            )
             port = part.links.port or host_and_port(part.links.listen)[1]
             shared.prepare_links(self.members, facts, part.links.listen, port, calls, seed)
         self.careful.prepare(calls, int(part.list_old_s * 1e6), seed)
@@ -59,9 +67,12 @@
         if (part := self.own.coldstart) is None or part.probers == 0:
             return Prober(*words)
         from plankroute.net.sharedprobes import SharedProber
+
         prober, shared = SharedProber(*words), self.shared
         survey = Survey(self.me.name, part.probers, part.stewards or self.boot.facts.stewards)
-        prober.prepare_survey(survey, self.boot.zones, self.living, shared.tell_results if shared else drop)
+        prober.prepare_survey(
+            survey, self.boot.zones, self.living, shared.tell_results if shared else drop
+        )
         if shared:
             shared.on_results = prober.hear
         return prober
@@ -79,6 +90,7 @@
             return
         from plankroute.net.ahead import DrainsAhead
         from plankroute.net.learned import LearnedParts
+
         shared, book = self.shared, self.book
         ahead = shared.ahead if shared else DrainsAhead(directory, book, self.put)
         discovery.over = ahead.over
@@ -91,10 +103,15 @@
     def peers(self) -> list[tuple[str, tuple[str, int]]]:
         """Living members with their links' addresses, as this steward asks them."""
         from plankroute.net.learned import in_order
+
         assert self.members and self.shared
         view = self.members.core.view
-        hosts = {view.at(place).name: host_and_port(view.at(place).address)[0] for place in view.living()}
-        return [(name, (hosts[name], self.shared.port)) for name in in_order(list(hosts), self.me.name)]
+        hosts = {
+            view.at(place).name: host_and_port(view.at(place).address)[0] for place in view.living()
+        }
+        return [
+            (name, (hosts[name], self.shared.port)) for name in in_order(list(hosts), self.me.name)
+        ]
 
     async def recall(self) -> None:
         if self.learned:
@@ -108,8 +125,11 @@
 
     def reload(self, own: OwnFile | None) -> list[str]:
         """Seeds change; the names of what else differs, which waits for a restart."""
-        kept = [name for name in self.own.__struct_fields__
-                if name != "membership" and getattr(own, name, None) != getattr(self.own, name)]
+        kept = [
+            name
+            for name in self.own.__struct_fields__
+            if name != "membership" and getattr(own, name, None) != getattr(self.own, name)
+        ]
         if (self.members is None) != (own is None or own.membership is None):
             kept.append("membership")
         elif self.members and own and own.membership:
@@ -128,10 +148,13 @@
 
 def call_facts(part: ColdStartPart, boot: Boot) -> CallFacts:
     """The number of stewards is as stated, in our file or in the settings: never as membership has it."""
-    return CallFacts(rank=boot.facts.steward if part.rank is None else part.rank,
-                     stewards=part.stewards or boot.facts.stewards, calls_a_second=part.calls_a_second,
-                     pause_most_us=int(part.pause_most_s * 1e6),
-                     retry_after_most_us=int(part.retry_after_most_s * 1e6))
+    return CallFacts(
+        rank=boot.facts.steward if part.rank is None else part.rank,
+        stewards=part.stewards or boot.facts.stewards,
+        calls_a_second=part.calls_a_second,
+        pause_most_us=int(part.pause_most_s * 1e6),
+        retry_after_most_us=int(part.retry_after_most_s * 1e6),
+    )
 
 
 def drop(frame: Probed) -> None:
--- a/plankroute/net/http.py
+++ b/plankroute/net/http.py
@@ -20,7 +20,9 @@
 class Answer:
     status: int
     body: bytes
-    served_us: int  # from asking to the end, less a way there and back, as long as the connection took
+    served_us: (
+        int  # from asking to the end, less a way there and back, as long as the connection took
+    )
 
 
 @dataclass(frozen=True, slots=True)
@@ -41,8 +43,13 @@
         self.address, self.target, self.limits = address, target, limits
         self.reached, self.status = Reached.NOTHING, 0
         self.retry_after: bytes | None = None  # as the answer has it, if it does
-        self.asked = self.dialled = 0.0  # when it asked, and how long the connection took to come up
-        self.due, self.brought = 0.0, 0  # by when, on the loop's clock, something new is to come; bytes since
+        self.asked = self.dialled = (
+            0.0  # when it asked, and how long the connection took to come up
+        )
+        self.due, self.brought = (
+            0.0,
+            0,
+        )  # by when, on the loop's clock, something new is to come; bytes since
         self.machine = h11.Connection(h11.CLIENT)
         self.writer: asyncio.StreamWriter | None = None
 
@@ -65,9 +72,14 @@
         async with patience(self.limits.dial_s):
             reader, self.writer = await asyncio.open_connection(host, port, limit=READ_AT_ONCE)
         self.reached = Reached.CONNECTED
-        head = h11.Request(method="GET", target=self.target,
-                           headers=[("Host", self.address), ("Connection", "close")])
-        self.writer.write((self.machine.send(head) or b"") + (self.machine.send(h11.EndOfMessage()) or b""))
+        head = h11.Request(
+            method="GET",
+            target=self.target,
+            headers=[("Host", self.address), ("Connection", "close")],
+        )
+        self.writer.write(
+            (self.machine.send(head) or b"") + (self.machine.send(h11.EndOfMessage()) or b"")
+        )
         self.reached, self.asked = Reached.ASKED, monotonic()
         self.dialled = self.asked - begun
         self.renew()
--- a/plankroute/net/intake.py
+++ b/plankroute/net/intake.py
@@ -23,11 +23,11 @@
 
     def feed(self, piece: bytes) -> Iterator[bytes | Refused]:
         for at in range(0, len(piece), self.SLICE):
-            slice_ = piece[at:at + self.SLICE]
+            slice_ = piece[at : at + self.SLICE]
             if not self.ring.size and not self.skipping and (end := slice_.rfind(b"\n")) >= 0:
                 # What is whole already needs no room; the ring holds what is not.
                 yield from map(self.checked, slice_[:end].split(b"\n"))
-                slice_ = slice_[end + 1:]
+                slice_ = slice_[end + 1 :]
             if not self.ring.put(slice_):
                 yield from self.pass_over(slice_)
             yield from self.lines()
@@ -42,7 +42,9 @@
         self.searched = 0
         if not self.skipping:
             self.skipping = True
-            yield Refused(Stage.TAKE_IN, "line too long" if too_long else "no room left for lines", too_long)
+            yield Refused(
+                Stage.TAKE_IN, "line too long" if too_long else "no room left for lines", too_long
+            )
         if (end := piece.find(b"\n")) >= 0:
             self.ring.put(piece[end:])  # its end stays, so that skipping ends there
 
--- a/plankroute/net/keep.py
+++ b/plankroute/net/keep.py
@@ -17,11 +17,13 @@
 
     def write(self, path: Path, data: bytes) -> None:
         """Raises OSError. The bytes are on the disk when it returns; follows no link."""
-        file = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_TRUNC | os.O_NOFOLLOW | os.O_CLOEXEC, MODE)
+        file = os.open(
+            path, os.O_WRONLY | os.O_CREAT | os.O_TRUNC | os.O_NOFOLLOW | os.O_CLOEXEC, MODE
+        )
         try:
             rest = memoryview(data)
             while rest:
-                rest = rest[os.write(file, rest):]
+                rest = rest[os.write(file, rest) :]
             os.fsync(file)
         finally:
             os.close(file)
--- a/plankroute/net/learned.py
+++ b/plankroute/net/learned.py
@@ -15,9 +15,26 @@
 from plankroute.coldstart.frames import VERSION, Ask, FrameCutter, Keep, write_frame
 from plankroute.interface import notes
 from plankroute.interface.notes import HostState
-from plankroute.learned.codec import (KEPT, MOST_BYTES, Kept, Unusable, read_file, read_view, write_file,
-                                      write_view)
-from plankroute.learned.core import Action, Close, Learned, LearnedFacts, Listed, Noted, Teach, ViewCame
+from plankroute.learned.codec import (
+    KEPT,
+    MOST_BYTES,
+    Kept,
+    Unusable,
+    read_file,
+    read_view,
+    write_file,
+    write_view,
+)
+from plankroute.learned.core import (
+    Action,
+    Close,
+    Learned,
+    LearnedFacts,
+    Listed,
+    Noted,
+    Teach,
+    ViewCame,
+)
 from plankroute.learned.facts import HostFacts, View
 from plankroute.net.ahead import DrainsAhead
 from plankroute.net.book import Book
@@ -47,10 +64,24 @@
     """Keeps, tells and takes what is learned. `peers`: living members in the order in which they are asked,
     with their links' addresses."""
 
-    def __init__(self, part: LearnedPart, name: str, group: str, own_host: str, book: Book,
-                 put: Callable[[notes.Note], None], disk: Disk | None = None) -> None:
-        self.part, self.name, self.group, self.own_host, self.book, self.put = (part, name, group, own_host,
-                                                                                book, put)
+    def __init__(
+        self,
+        part: LearnedPart,
+        name: str,
+        group: str,
+        own_host: str,
+        book: Book,
+        put: Callable[[notes.Note], None],
+        disk: Disk | None = None,
+    ) -> None:
+        self.part, self.name, self.group, self.own_host, self.book, self.put = (
+            part,
+            name,
+            group,
+            own_host,
+            book,
+            put,
+        )
         self.core = Learned(LearnedFacts(int(part.limit_s * 1e6)))
         self.disk, self.most = disk or Disk(), MOST_BYTES
         self.path = Path(part.folder) / file_name(name) if part.folder else None
@@ -60,11 +91,19 @@
         self.tasks = set[asyncio.Task[None]]()
         self.peers: Callable[[], list[tuple[str, tuple[str, int]]]] = list
 
-    def attach(self, steward: Controller, directory: Directory, discovery: Discovery,
-               ahead: DrainsAhead) -> None:
+    def attach(
+        self, steward: Controller, directory: Directory, discovery: Discovery, ahead: DrainsAhead
+    ) -> None:
         """Before the first list."""
-        self.steward, self.directory, self.discovery, self.ahead = steward, directory, discovery, ahead
-        ahead.after_list = lambda: self.work(self.listed())  # hosts may have come of which more was told
+        self.steward, self.directory, self.discovery, self.ahead = (
+            steward,
+            directory,
+            discovery,
+            ahead,
+        )
+        ahead.after_list = lambda: self.work(
+            self.listed()
+        )  # hosts may have come of which more was told
 
     # The start
 
@@ -79,6 +118,7 @@
             kept = self.read()
             with suppress(RuntimeError):  # the loop has ended meanwhile
                 loop.call_soon_threadsafe(lambda: reading.done() or reading.set_result(kept))
+
         # No thread of a pool, which the end would wait for: a disk that hangs must not hold it up.
         threading.Thread(target=read, daemon=True).start()
         await asyncio.wait([reading], timeout=READ_S)
@@ -90,6 +130,7 @@
             def done(size: int, error: OSError | None) -> None:
                 with suppress(RuntimeError):  # the loop has ended meanwhile
                     loop.call_soon_threadsafe(self.wrote, size, error)
+
             self.saver = Saver(self.disk, self.path, done)
             self.keep_task(self.save_always())
         if self.part.ask_peers:
@@ -123,7 +164,10 @@
                 self.book.log.event("info", "learned_read", hosts=len(view.hosts), age_s=age_s)
                 self.work(ViewCame("file", view, age_us))
             case Kept():
-                self.refuse("unusable", "the clock of the day was set back since: nobody knows how old it is")
+                self.refuse(
+                    "unusable",
+                    "the clock of the day was set back since: nobody knows how old it is",
+                )
             case Unusable():
                 self.refuse("unusable", kept.value, aside=kept in KEPT)
             case OSError():
@@ -144,8 +188,13 @@
             self.carry_out(action)
 
     def listed(self) -> Listed:
-        return Listed({known.uid: known.boot_ms for known in self.directory.hosts.values()
-                       if known.entry and known.entry.state is not HostState.GONE})
+        return Listed(
+            {
+                known.uid: known.boot_ms
+                for known in self.directory.hosts.values()
+                if known.entry and known.entry.state is not HostState.GONE
+            }
+        )
 
     def carry_out(self, action: Action) -> None:
         match action:
@@ -153,26 +202,58 @@
                 health, powers = known.health.facts, known.powers.facts
                 self.book.count("learned.told")
                 host = self.directory.ids[uid]
-                self.put(notes.HostLearned(host, powers.weight, powers.tries, health.voided, powers.mean_us,
-                                           health.is_shut, health.needed, health_age_us, powers_age_us))
+                self.put(
+                    notes.HostLearned(
+                        host,
+                        powers.weight,
+                        powers.tries,
+                        health.voided,
+                        powers.mean_us,
+                        health.is_shut,
+                        health.needed,
+                        health_age_us,
+                        powers_age_us,
+                    )
+                )
             case Close(source, revision, closed):
                 self.ahead.hear(source, revision, closed)
             case Noted(source, taken, old, beaten):
                 for name, number in (("taken", taken), ("old", old), ("beaten", beaten)):
                     self.book.count(f"learned.{name}", number)
-                self.book.log.event("info", "learned", source=source, taken=taken, old=old, beaten=beaten)
+                self.book.log.event(
+                    "info", "learned", source=source, taken=taken, old=old, beaten=beaten
+                )
 
     def view(self) -> View:
         """What is known now; figures alone, so that a thread may write them down."""
         hosts, own = self.directory.hosts, []
         for told in self.steward.learned():
             known = hosts[told.host]
-            own.append(HostFacts(known.uid, known.boot_ms, told.weight, told.tries, told.voided, told.mean_us,
-                                 told.shut, told.needed, max(0, told.health_age_us)))
-        closed = tuple((known.uid, WORDS[known.entry.state]) for known in hosts.values()
-                       if known.entry and known.entry.state in WORDS)
-        plain = View(self.name, -1 if self.discovery.revision is None else self.discovery.revision,
-                     self.discovery.age_us(), tuple(own), closed)
+            own.append(
+                HostFacts(
+                    known.uid,
+                    known.boot_ms,
+                    told.weight,
+                    told.tries,
+                    told.voided,
+                    told.mean_us,
+                    told.shut,
+                    told.needed,
+                    max(0, told.health_age_us),
+                )
+            )
+        closed = tuple(
+            (known.uid, WORDS[known.entry.state])
+            for known in hosts.values()
+            if known.entry and known.entry.state in WORDS
+        )
+        plain = View(
+            self.name,
+            -1 if self.discovery.revision is None else self.discovery.revision,
+            self.discovery.age_us(),
+            tuple(own),
+            closed,
+        )
         return self.core.view(now_us(), plain)
 
     # The file
@@ -186,7 +267,11 @@
         """If something has changed."""
         assert self.saver
         began_us, view = now_us(), self.view()
-        mark = (view.revision, view.closed, [(facts.uid, facts.is_shut, facts.tries) for facts in view.hosts])
+        mark = (
+            view.revision,
+            view.closed,
+            [(facts.uid, facts.is_shut, facts.tries) for facts in view.hosts],
+        )
         if mark == self.saved or not (view.hosts or view.closed):
             return
         self.saved, unix_ms = mark, time.time_ns() // 1_000_000
@@ -231,7 +316,7 @@
         asked, end_s = set[str](), time.monotonic() + ASK_FOR_S
         while len(asked) < self.part.ask_peers and time.monotonic() < end_s:
             waiting = [peer for peer in self.peers() if peer[0] not in asked]
-            for name, address in waiting[:self.part.ask_peers - len(asked)]:
+            for name, address in waiting[: self.part.ask_peers - len(asked)]:
                 asked.add(name)
                 self.keep_task(self.ask(name, address))
             await asyncio.sleep(LOOK_S)
@@ -252,8 +337,14 @@
         except (OSError, TimeoutError) as error:
             why = f"{type(error).__name__}: {error}".strip(": ")
         self.book.count("learned.asks")
-        self.book.log.event("info", "learned_asked", other=name, views=len(views), why=why,
-                            took_ms=(now_us() - began_us) // 1000)
+        self.book.log.event(
+            "info",
+            "learned_asked",
+            other=name,
+            views=len(views),
+            why=why,
+            took_ms=(now_us() - began_us) // 1000,
+        )
         for source, age_us, data in views:
             if (view := read_view(data)) is not None and view.name == source:
                 # On its way at most as long as the whole call.
@@ -261,7 +352,9 @@
             else:
                 self.book.count("learned.dropped.view")
 
-    async def dial(self, address: tuple[str, int]) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
+    async def dial(
+        self, address: tuple[str, int]
+    ) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
         return await asyncio.open_connection(*address, local_addr=(self.own_host, 0))
 
     # The end
@@ -285,8 +378,10 @@
                 async with asyncio.timeout(LAST_S):
                     _, writer = await self.dial(address)
                     data = write_view(self.view())
-                    for frame in (write_frame(Keep(VERSION, self.group, self.name)),
-                                  *frames_of_view(self.name, 0, data)):
+                    for frame in (
+                        write_frame(Keep(VERSION, self.group, self.name)),
+                        *frames_of_view(self.name, 0, data),
+                    ):
                         writer.write(frame)
                         await writer.drain()
                     writer.close()
@@ -294,8 +389,12 @@
                 return name
             except (OSError, TimeoutError) as error:
                 self.book.count("learned.dropped.handing")
-                self.book.log.event("warning", "learned_not_handed", other=name,
-                                    why=f"{type(error).__name__}: {error}")
+                self.book.log.event(
+                    "warning",
+                    "learned_not_handed",
+                    other=name,
+                    why=f"{type(error).__name__}: {error}",
+                )
         return ""
 
 
--- a/plankroute/net/links.py
+++ b/plankroute/net/links.py
@@ -11,8 +11,22 @@
 
 import orjson
 
-from plankroute.coldstart.frames import (PART_BYTES, VERSION, Ask, Begin, Drains, Frame, FrameCutter,
-                                         Heartbeat, Hello, Keep, Part, Probed, ViewOf, write_frame)
+from plankroute.coldstart.frames import (
+    PART_BYTES,
+    VERSION,
+    Ask,
+    Begin,
+    Drains,
+    Frame,
+    FrameCutter,
+    Heartbeat,
+    Hello,
+    Keep,
+    Part,
+    Probed,
+    ViewOf,
+    write_frame,
+)
 from plankroute.coldstart.lists import HeldList, Incoming
 from plankroute.net.address import host_and_port
 from plankroute.net.book import Book
@@ -20,9 +34,13 @@
 BEAT_S = 0.5  # between beats: four in the shortest time after which somebody is left
 HELLO_S, DIAL_S = 2.0, 1.0
 STUCK_S = 5.0  # for one part to be taken by the kernel: three of them in the stall of who reads it
-MOST_LINKS = 512  # taken at once: two of each of 300 stewards over three watchers, and more than twice that
+MOST_LINKS = (
+    512  # taken at once: two of each of 300 stewards over three watchers, and more than twice that
+)
 WAITING_BYTES = 65536  # for the kernel: a part being written, and the next
-UNSENT_BYTES = PART_BYTES  # of a list that is handed out: what waits there a drain can't overtake any more
+UNSENT_BYTES = (
+    PART_BYTES  # of a list that is handed out: what waits there a drain can't overtake any more
+)
 MOST_DRAINS = 32768  # bytes of entries in one frame
 READ_AT_ONCE = 65536
 MOST_RESULTS = 256  # of probes in one frame
@@ -88,7 +106,9 @@
         for served in self.served:
             served.wake.set()
 
-    def share(self, results: list[tuple[str, str, int, int, float]], but: Served | None = None) -> None:
+    def share(
+        self, results: list[tuple[str, str, int, int, float]], but: Served | None = None
+    ) -> None:
         for served in self.served:
             if served is not but:
                 served.results = (served.results + results)[-MOST_RESULTS:]
@@ -109,8 +129,9 @@
                 await self.serve_views(hello, reader, writer, cutter)
                 return
             writer.transport.set_write_buffer_limits(high=UNSENT_BYTES, low=0)
-            writer.get_extra_info("socket").setsockopt(socket.IPPROTO_TCP, socket.TCP_NOTSENT_LOWAT,
-                                                       UNSENT_BYTES)
+            writer.get_extra_info("socket").setsockopt(
+                socket.IPPROTO_TCP, socket.TCP_NOTSENT_LOWAT, UNSENT_BYTES
+            )
             served = Served(writer, hello)
             self.served[served] = None
             book.count("links.served")
@@ -129,8 +150,13 @@
                 self.served.pop(served, None)
             writer.transport.abort()
 
-    async def serve_views(self, first: Ask | Keep, reader: asyncio.StreamReader,
-                          writer: asyncio.StreamWriter, cutter: FrameCutter) -> None:
+    async def serve_views(
+        self,
+        first: Ask | Keep,
+        reader: asyncio.StreamReader,
+        writer: asyncio.StreamWriter,
+        cutter: FrameCutter,
+    ) -> None:
         """What is learned of hosts, asked for or left here; in `STUCK_S`, whole or not at all."""
         assert self.views
         async with asyncio.timeout(STUCK_S):
@@ -145,7 +171,9 @@
             writer.close()
             await writer.wait_closed()
 
-    async def hello(self, reader: asyncio.StreamReader, cutter: FrameCutter) -> Hello | Ask | Keep | None:
+    async def hello(
+        self, reader: asyncio.StreamReader, cutter: FrameCutter
+    ) -> Hello | Ask | Keep | None:
         """Guards against strangers, other versions and other groups: they have said nothing of use by
         then."""
         async with asyncio.timeout(HELLO_S):
@@ -156,7 +184,9 @@
                 frames = cutter.feed(data)
         first = frames[0]
         cutter.waiting += frames[1:]
-        is_one = isinstance(first, Hello) or (self.views is not None and isinstance(first, Ask | Keep))
+        is_one = isinstance(first, Hello) or (
+            self.views is not None and isinstance(first, Ask | Keep)
+        )
         good = is_one and first.version == VERSION and first.group == self.owner.group
         return first if good else None  # type: ignore[return-value]
 
@@ -203,7 +233,7 @@
         served.partial = None
         await self.write(served, Begin(revision, is_whole, len(data), check, offset))
         for at in range(offset, len(data), PART_BYTES):
-            await self.write(served, Part(data[at:at + PART_BYTES]))
+            await self.write(served, Part(data[at : at + PART_BYTES]))
             await self.tell_drains(served, held)
         served.revision = revision
 
@@ -231,13 +261,16 @@
 
 def frames_of_view(name: str, age_us: int, data: bytes) -> list[bytes]:
     """A view as frames; in parts, so that no frame is longer than any other."""
-    parts = [Part(data[at:at + PART_BYTES]) for at in range(0, len(data), PART_BYTES)]
-    return [write_frame(frame) for frame in (ViewOf(name, age_us), Begin(0, True, len(data), crc32(data)),
-                                             *parts)]
+    parts = [Part(data[at : at + PART_BYTES]) for at in range(0, len(data), PART_BYTES)]
+    return [
+        write_frame(frame)
+        for frame in (ViewOf(name, age_us), Begin(0, True, len(data), crc32(data)), *parts)
+    ]
 
 
-async def read_views(reader: asyncio.StreamReader, cutter: FrameCutter,
-                     most: int) -> AsyncIterator[tuple[str, int, bytes]]:
+async def read_views(
+    reader: asyncio.StreamReader, cutter: FrameCutter, most: int
+) -> AsyncIterator[tuple[str, int, bytes]]:
     """Whole views alone: what breaks off, is too large or spoilt ends it. Bounded in time by its callers."""
     incoming, of = Incoming(most), ViewOf("", 0)
     frames, cutter.waiting = cutter.waiting, []
@@ -279,8 +312,16 @@
 class LinkClient:
     """A link to one that is followed, from its dialling to its end."""
 
-    def __init__(self, owner: Owner, name: str, address: tuple[str, int], own_host: str, hello: Hello,
-                 hear: Callable[[str, Frame], str | None], end: Callable[["LinkClient", str], None]) -> None:
+    def __init__(
+        self,
+        owner: Owner,
+        name: str,
+        address: tuple[str, int],
+        own_host: str,
+        hello: Hello,
+        hear: Callable[[str, Frame], str | None],
+        end: Callable[["LinkClient", str], None],
+    ) -> None:
         self.owner, self.name, self.address, self.hello = owner, name, address, hello
         self.hear, self.end = hear, end
         self.own_host = own_host  # from the address at which others know this steward
@@ -291,14 +332,15 @@
         why = "ended"
         try:
             async with asyncio.timeout(DIAL_S):
-                reader, self.writer = await asyncio.open_connection(*self.address,
-                                                                    local_addr=(self.own_host, 0))
+                reader, self.writer = await asyncio.open_connection(
+                    *self.address, local_addr=(self.own_host, 0)
+                )
             self.writer.transport.set_write_buffer_limits(high=WAITING_BYTES)
             self.writer.write(write_frame(self.hello))
             cutter = FrameCutter()
             while data := await reader.read(READ_AT_ONCE):
                 for frame in cutter.feed(data):
-                    if (objection := self.hear(self.name, frame) if frame else "unreadable"):
+                    if objection := self.hear(self.name, frame) if frame else "unreadable":
                         why = objection
                         return
         except (OSError, TimeoutError) as error:
@@ -313,8 +355,11 @@
 
     def say(self, frame: Frame) -> None:
         """Dropped where the link is not up, or holds too much already."""
-        if self.writer and not self.writer.is_closing() and (
-                self.writer.transport.get_write_buffer_size() < WAITING_BYTES):
+        if (
+            self.writer
+            and not self.writer.is_closing()
+            and (self.writer.transport.get_write_buffer_size() < WAITING_BYTES)
+        ):
             self.writer.write(write_frame(frame))
 
     def hang(self) -> None:
--- a/plankroute/net/listener.py
+++ b/plankroute/net/listener.py
@@ -14,24 +14,46 @@
 from plankroute.net.ring import Pool
 from plankroute.net.room import Room
 from plankroute.net.streams import Streams
-from plankroute.net.wire import (ALIVE, ERROR, AppliedSaid, Asked, CollectorSaid, HelloSaid, HostSaid, Said,
-                                 TrafficSaid, read_line)
+from plankroute.net.wire import (
+    ALIVE,
+    ERROR,
+    AppliedSaid,
+    Asked,
+    CollectorSaid,
+    HelloSaid,
+    HostSaid,
+    Said,
+    TrafficSaid,
+    read_line,
+)
 
 READ_AT_ONCE = 16384  # bytes: a collector's second of lines
-TAKEN_BYTES = 65536  # the kernel's buffer of a connection: what one read may bring, times hundreds of them
+TAKEN_BYTES = (
+    65536  # the kernel's buffer of a connection: what one read may bring, times hundreds of them
+)
 BACKLOG = 512  # connections that wait in the kernel: hundreds come at once
-AT_ONCE = 16  # are taken before others are read: each is heard before many younger ones could push it out
+AT_ONCE = (
+    16  # are taken before others are read: each is heard before many younger ones could push it out
+)
 STRANGER_S = 1.5  # from connecting: joinings come within a second, in pieces at worst
 MOST_ASKED = 32  # signs of life between two sweeps: who asks on without end is turned away
-TAKEN = {kind: f"taken.{kind.__name__.removesuffix('Said').lower()}"
-         for kind in (Asked, AppliedSaid, CollectorSaid, HelloSaid, HostSaid, TrafficSaid)}
+TAKEN = {
+    kind: f"taken.{kind.__name__.removesuffix('Said').lower()}"
+    for kind in (Asked, AppliedSaid, CollectorSaid, HelloSaid, HostSaid, TrafficSaid)
+}
 QUIET_COLLECTOR_S = 60.0  # reports come each second or so; a late one must not cost the connection
 MOST_COLLECTORS = 4  # of a zone: it has one, and one or two that a cut or a restart has left behind
 
 
 class Listener:
-    def __init__(self, admission: Admission, streams: Streams, book: Book, room: Room,
-                 put: Callable[[notes.Note], None]) -> None:
+    def __init__(
+        self,
+        admission: Admission,
+        streams: Streams,
+        book: Book,
+        room: Room,
+        put: Callable[[notes.Note], None],
+    ) -> None:
         self.admission, self.streams, self.book, self.put = admission, streams, book, put
         self.room, self.pool = room, Pool(room.ring_bytes)
         self.peers = dict[Peer, None]()
@@ -47,10 +69,13 @@
         listening = socket.socket()
         try:
             listening.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-            listening.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, TAKEN_BYTES // 2)  # it is doubled
+            listening.setsockopt(
+                socket.SOL_SOCKET, socket.SO_RCVBUF, TAKEN_BYTES // 2
+            )  # it is doubled
             listening.bind(host_and_port(address))
-            self.server = await asyncio.start_server(self.serve, sock=listening, backlog=AT_ONCE,
-                                                     limit=READ_AT_ONCE)
+            self.server = await asyncio.start_server(
+                self.serve, sock=listening, backlog=AT_ONCE, limit=READ_AT_ONCE
+            )
             listening.listen(BACKLOG)
         except OSError:
             listening.close()
@@ -101,7 +126,9 @@
 
     def refuse(self, peer: Peer, what: Refused) -> None:
         """It costs a stranger the connection, and a stream or a collector where nothing can follow it."""
-        self.book.refuse(what.stage.value, what.why, role=peer.party.role.value, proxy=peer.party.proxy)
+        self.book.refuse(
+            what.stage.value, what.why, role=peer.party.role.value, proxy=peer.party.proxy
+        )
         if peer.is_stranger():
             peer.outlet.turn_away(ERROR)
         elif what.is_end:
@@ -145,8 +172,14 @@
         Guards against a flood of collectors, too, that leaves proxies no room: those that never brought sums
         go first, then the one that has been quiet for longest."""
         late, zone = time.monotonic() - QUIET_COLLECTOR_S, peer.party.zone
-        others = [old for old in self.peers if old is not peer and old.party.role is Role.COLLECTOR
-                  and old.party.zone == zone and not old.is_ending()]
+        others = [
+            old
+            for old in self.peers
+            if old is not peer
+            and old.party.role is Role.COLLECTOR
+            and old.party.zone == zone
+            and not old.is_ending()
+        ]
         others.sort(key=lambda old: (old.party.has_told, old.heard))
         for place, old in enumerate(others):
             if old.heard < late or len(others) - place >= MOST_COLLECTORS:
--- a/plankroute/net/members.py
+++ b/plankroute/net/members.py
@@ -18,8 +18,21 @@
 from plankroute.membership.codec import Codec, Unread
 from plankroute.membership.facts import MOST_DATAGRAM, MemberFacts
 from plankroute.membership.group import Membership
-from plankroute.membership.messages import (Action, BeatDue, Change, Counted, Event, Finished, Heard,
-                                            LeaveAsked, Rest, SeedsChanged, Send, Told, ViewAsked)
+from plankroute.membership.messages import (
+    Action,
+    BeatDue,
+    Change,
+    Counted,
+    Event,
+    Finished,
+    Heard,
+    LeaveAsked,
+    Rest,
+    SeedsChanged,
+    Send,
+    Told,
+    ViewAsked,
+)
 from plankroute.membership.views import MOST_MEMBERS, mark_of
 from plankroute.net.address import host_and_port
 from plankroute.net.book import Book
@@ -29,14 +42,23 @@
 
 TAKEN_BYTES = 262144  # the kernel's buffer: two seconds' datagrams of a large group, for a pause
 UNSENT_BYTES = 65536  # waiting for the kernel: beyond, datagrams are dropped, a loss as any
-WORKED_RATE, WORKED_BURST = 2000, 4000  # datagrams looked at a second: far above a large group's worst
+WORKED_RATE, WORKED_BURST = (
+    2000,
+    4000,
+)  # datagrams looked at a second: far above a large group's worst
 OPEN_EVERY_S = 1.0  # between tries for an address that is held
 LEAVE_S = 0.4  # for the last words: two beats, well within what operators leave after SIGTERM
 SELF = frozenset({Change.CALLED_GONE, Change.DISPLACED, Change.ALONE, Change.IN_COMPANY})
-WARNINGS = frozenset({Change.SUSPECTED, Change.GONE, Change.DOUBLED, Change.CALLED_GONE, Change.ALONE})
-STATES = {Change.JOINED: notes.StewardState.ALIVE, Change.BACK: notes.StewardState.ALIVE,
-          Change.SUSPECTED: notes.StewardState.SUSPECTED, Change.GONE: notes.StewardState.GONE,
-          Change.LEFT: notes.StewardState.LEFT}
+WARNINGS = frozenset(
+    {Change.SUSPECTED, Change.GONE, Change.DOUBLED, Change.CALLED_GONE, Change.ALONE}
+)
+STATES = {
+    Change.JOINED: notes.StewardState.ALIVE,
+    Change.BACK: notes.StewardState.ALIVE,
+    Change.SUSPECTED: notes.StewardState.SUSPECTED,
+    Change.GONE: notes.StewardState.GONE,
+    Change.LEFT: notes.StewardState.LEFT,
+}
 
 
 @dataclass(frozen=True, slots=True)
@@ -49,17 +71,31 @@
 
 
 def member_facts(part: MembershipPart, own: Self) -> MemberFacts:
-    return MemberFacts(own.name, part.advertise or part.listen, own.zone, part.group, part.seeds,
-                       part.patience_ms * 1000, part.probe_ms * 1000, part.forget_s * 1_000_000)
+    return MemberFacts(
+        own.name,
+        part.advertise or part.listen,
+        own.zone,
+        part.group,
+        part.seeds,
+        part.patience_ms * 1000,
+        part.probe_ms * 1000,
+        part.forget_s * 1_000_000,
+    )
 
 
 class Members(asyncio.DatagramProtocol):
-    def __init__(self, part: MembershipPart, own: Self, book: Book, put: Callable[[notes.Note],
-                                                                                  None]) -> None:
+    def __init__(
+        self, part: MembershipPart, own: Self, book: Book, put: Callable[[notes.Note], None]
+    ) -> None:
         self.part, self.book, self.put = part, book, put
         self.codec = Codec(part.group)
-        self.core = Membership(member_facts(part, own), own.seed, secrets.randbits(62),
-                               time.time_ns() // 1000, self.codec.size)
+        self.core = Membership(
+            member_facts(part, own),
+            own.seed,
+            secrets.randbits(62),
+            time.time_ns() // 1000,
+            self.codec.size,
+        )
         self.worked = Tokens(WORKED_RATE, WORKED_BURST)
         self.transport: asyncio.DatagramTransport | None = None
         self.wake: asyncio.TimerHandle | None = None
@@ -80,8 +116,14 @@
             except OSError as error:
                 self.book.say_once("members_address_held", address=self.part.listen, why=str(error))
                 await asyncio.sleep(OPEN_EVERY_S)
-        self.book.log.event("info", "members_open", address=self.part.listen, group=self.part.group,
-                            advertised=self.core.facts.address, life=self.core.view.own().life)
+        self.book.log.event(
+            "info",
+            "members_open",
+            address=self.part.listen,
+            group=self.part.group,
+            advertised=self.core.facts.address,
+            life=self.core.view.own().life,
+        )
         self.work([BeatDue()])
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -151,10 +193,20 @@
         self.book.count(f"members.told.{change.value}")
         self.book.counts["members.living"] = 1 + len(view.living_places)
         name = f"members_{change.value}" if change in SELF else f"member_{change.value}"
-        level = "error" if change is Change.DISPLACED else "warning" if change in WARNINGS else "info"
-        self.book.log.event(level, name, member=record.name, address=record.address, zone=record.zone,
-                            life=record.life, incarnation=record.incarnation, voters=told.voters,
-                            living=1 + len(view.living_places))
+        level = (
+            "error" if change is Change.DISPLACED else "warning" if change in WARNINGS else "info"
+        )
+        self.book.log.event(
+            level,
+            name,
+            member=record.name,
+            address=record.address,
+            zone=record.zone,
+            life=record.life,
+            incarnation=record.incarnation,
+            voters=told.voters,
+            living=1 + len(view.living_places),
+        )
         if (state := STATES.get(change)) is not None:
             self.put(notes.StewardSeen(mark_of(record.name), state))
 
@@ -175,8 +227,11 @@
         """A changed seed list is taken; the names of what else differs, which holds until a restart."""
         if part.seeds != self.part.seeds:
             self.work([SeedsChanged(part.seeds)])
-        kept = [name for name in part.__struct_fields__
-                if name != "seeds" and getattr(part, name) != getattr(self.part, name)]
+        kept = [
+            name
+            for name in part.__struct_fields__
+            if name != "seeds" and getattr(part, name) != getattr(self.part, name)
+        ]
         self.part = msgspec.structs.replace(self.part, seeds=part.seeds)
         return [f"membership.{name}" for name in kept]
 
--- a/plankroute/net/peers.py
+++ b/plankroute/net/peers.py
@@ -12,7 +12,11 @@
 
 class Peer:
     def __init__(self, writer: asyncio.StreamWriter, pool: Pool) -> None:
-        self.party, self.cutter, self.outlet = Party(), LineCutter(MOST_JOINING, pool), Outlet(writer, pool)
+        self.party, self.cutter, self.outlet = (
+            Party(),
+            LineCutter(MOST_JOINING, pool),
+            Outlet(writer, pool),
+        )
         self.since = self.heard = self.asked = time.monotonic()
         self.times_asked = 0  # for a sign of life, since the last sweep
 
--- a/plankroute/net/probes.py
+++ b/plankroute/net/probes.py
@@ -13,15 +13,25 @@
 from plankroute.net.http import Answer, Limits, fetch
 from plankroute.net.wire import read_report
 
-PACE_S = 0.002  # between calls: of thirty at once each would be timed by the steward's own work for all
+PACE_S = (
+    0.002  # between calls: of thirty at once each would be timed by the steward's own work for all
+)
 MOST_BODY = 4096  # bytes: a report is one line
 
 
 class Prober:
     """A connection a probe, closed after it: kept ones would lie idle, new ones cost half a millisecond."""
 
-    def __init__(self, facts: StartFacts, directory: Directory, clock: Clock, book: Book, dial_us: int,
-                 at_once: Callable[[], int], put: Callable[[notes.Note], None]) -> None:
+    def __init__(
+        self,
+        facts: StartFacts,
+        directory: Directory,
+        clock: Clock,
+        book: Book,
+        dial_us: int,
+        at_once: Callable[[], int],
+        put: Callable[[notes.Note], None],
+    ) -> None:
         self.directory, self.clock, self.book, self.put = directory, clock, book, put
         self.at_once = at_once  # a descriptor each
         self.target = "/ping" if facts.reports is ReportWay.NONE else "/_load"
@@ -79,8 +89,9 @@
         if report:
             self.book.count_report(report)
         if outcome is not Outcome.ANSWERED:
-            self.book.log.event("info", "probe_bad", host=known.uid, outcome=outcome.value,
-                                how=str(answer))
+            self.book.log.event(
+                "info", "probe_bad", host=known.uid, outcome=outcome.value, how=str(answer)
+            )
         # Guards against far hosts taken for slow ones.
         took_us = answer.served_us if isinstance(answer, Answer) else self.clock.now() - asked_us
         self.put(notes.ProbeResult(host, outcome, took_us, report))
--- a/plankroute/net/relay.py
+++ b/plankroute/net/relay.py
@@ -5,7 +5,9 @@
 from plankroute.net.ring import Pool, Ring
 from plankroute.net.wire import MOST_LINE
 
-MOST_WAITING = 2 * MOST_LINE  # bytes to a slow reader: one longest message while another is under way
+MOST_WAITING = (
+    2 * MOST_LINE
+)  # bytes to a slow reader: one longest message while another is under way
 WRITE_AT_ONCE = 16384  # bytes handed to the transport, which holds no more than as many again
 
 
@@ -22,7 +24,11 @@
         transport = self.writer.transport
         if transport.is_closing():
             return False
-        if not self.ring.size and len(data) <= WRITE_AT_ONCE and not transport.get_write_buffer_size():
+        if (
+            not self.ring.size
+            and len(data) <= WRITE_AT_ONCE
+            and not transport.get_write_buffer_size()
+        ):
             self.writer.write(data)
             return True
         if not self.ring.put(data):
--- a/plankroute/net/ring.py
+++ b/plankroute/net/ring.py
@@ -28,8 +28,8 @@
             return False
         at = (self.start + self.size) % len(self.data) if self.data else 0
         straight = min(len(piece), len(self.data) - at)
-        self.data[at:at + straight] = piece[:straight]
-        self.data[:len(piece) - straight] = piece[straight:]
+        self.data[at : at + straight] = piece[:straight]
+        self.data[: len(piece) - straight] = piece[straight:]
         self.size += len(piece)
         return True
 
@@ -43,13 +43,13 @@
         held = self.peek(self.size)
         self.pool.left -= size - len(self.data)
         self.data = bytearray(size)
-        self.data[:len(held)] = held
+        self.data[: len(held)] = held
         self.start = 0
         return True
 
     def peek(self, count: int) -> bytes:
         end = self.start + min(count, self.size)
-        return bytes(self.data[self.start:end] + self.data[:max(0, end - len(self.data))])
+        return bytes(self.data[self.start : end] + self.data[: max(0, end - len(self.data))])
 
     def take(self, count: int) -> bytes:
         piece = self.peek(count)
--- a/plankroute/net/route.py
+++ b/plankroute/net/route.py
@@ -13,7 +13,9 @@
 class Router:
     """One batch at a time; batches follow no closer than operators state, as in the simulator."""
 
-    def __init__(self, steward: Controller, player: Player, clock: Clock, book: Book, gather_us: int) -> None:
+    def __init__(
+        self, steward: Controller, player: Player, clock: Clock, book: Book, gather_us: int
+    ) -> None:
         self.steward, self.player, self.clock, self.book = steward, player, clock, book
         self.gather_us, self.last_us = gather_us, 0
         self.alarms, self.pending = Alarms(), list[notes.Note]()
@@ -63,7 +65,9 @@
             for message in self.player.play(decided):
                 self.send(message)
             for order in decided:
-                if isinstance(order, orders.Forget):  # last of all: no message can name the host from here
+                if isinstance(
+                    order, orders.Forget
+                ):  # last of all: no message can name the host from here
                     self.player.forget(order.host)
                     self.forget(order.host)
         except Exception as error:
@@ -82,4 +86,6 @@
                 case orders.Log(text):
                     self.book.log.event("info", "core", text=text)
                 case orders.Tell():
-                    self.book.say_once("unsupported_tell")  # the protocol has no messages between stewards
+                    self.book.say_once(
+                        "unsupported_tell"
+                    )  # the protocol has no messages between stewards
--- a/plankroute/net/send.py
+++ b/plankroute/net/send.py
@@ -19,7 +19,9 @@
         if not peer.outlet.send(data):
             # It reads nothing, or its connection is gone: what follows would rest on what it never got.
             self.book.count("dropped.messages")
-            self.book.log.event("error", "stream_overrun", proxy=message.proxy, waiting=peer.outlet.ring.size)
+            self.book.log.event(
+                "error", "stream_overrun", proxy=message.proxy, waiting=peer.outlet.ring.size
+            )
             peer.outlet.reset()
             return
         if message.mark is not None:
--- a/plankroute/net/service.py
+++ b/plankroute/net/service.py
@@ -31,8 +31,13 @@
     from plankroute.net.extras import Extras
     from plankroute.ownfile import OwnFile
 
-OWN_FILE = "PLANKROUTE_FILE"  # names our own JSON file; without it all that the file switches on is off
-OPEN_AGAIN_S, OPEN_EVERY_S = 25.0, 0.1  # how long, and how often, a held address is tried: 30 s end a start
+OWN_FILE = (
+    "PLANKROUTE_FILE"  # names our own JSON file; without it all that the file switches on is off
+)
+OPEN_AGAIN_S, OPEN_EVERY_S = (
+    25.0,
+    0.1,
+)  # how long, and how often, a held address is tried: 30 s end a start
 SWEEP_S = 0.25  # between looks at strangers: their time is counted in seconds
 UNUSABLE = (KeyError, OSError, StartError)  # what a configuration that can't be used ends in
 KEPT = ("listen", "facts", "zones", "kinds", "products")  # for the life of the process
@@ -45,26 +50,51 @@
 
     def __init__(self, boot: Boot, book: Book, own: "OwnFile | None" = None) -> None:
         self.boot, self.book, self.stop = boot, book, asyncio.Event()
-        self.signals = {signal.SIGTERM: self.stop.set, signal.SIGINT: self.stop.set,
-                        signal.SIGUSR1: book.print, signal.SIGHUP: self.reload}
+        self.signals = {
+            signal.SIGTERM: self.stop.set,
+            signal.SIGINT: self.stop.set,
+            signal.SIGUSR1: book.print,
+            signal.SIGHUP: self.reload,
+        }
         clock = Clock()
         self.directory = Directory(clock, boot.zones, boot.kinds, boot.products)
-        self.router = Router(Controller(boot.facts, boot.seed), Player(len(boot.products)), clock, book,
-                             boot.gather_us)
+        self.router = Router(
+            Controller(boot.facts, boot.seed),
+            Player(len(boot.products)),
+            clock,
+            book,
+            boot.gather_us,
+        )
         put = self.router.put
         longest_us = 2 * max((product.expiry_us for product in boot.facts.products), default=0)
         admission = Admission(self.directory, boot.facts.proxies, longest_us)
-        answer_s = boot.facts.queue_cap / max(1.0, boot.facts.lines_per_s) + boot.facts.way_most_us / 1e6
+        answer_s = (
+            boot.facts.queue_cap / max(1.0, boot.facts.lines_per_s) + boot.facts.way_most_us / 1e6
+        )
         streams = Streams(admission.joined, book, answer_s, put)
         self.listener = Listener(admission, streams, book, boot.room, put)
         self.extras = self.extras_of(own)
         make = self.extras.make_discovery if self.extras else Discovery
-        self.discovery = make(boot.discovery, boot.room.list_bytes, self.directory, book, boot.seed,
-                              boot.facts.must_subscribe, put)
+        self.discovery = make(
+            boot.discovery,
+            boot.room.list_bytes,
+            self.directory,
+            book,
+            boot.seed,
+            boot.facts.must_subscribe,
+            put,
+        )
         self.router.send = Sender(streams, Writer(boot.products, self.directory.uid), book).send
         make_prober = self.extras.make_prober if self.extras else Prober
-        self.prober = make_prober(boot.facts, self.directory, clock, book, boot.dial_us,
-                                  self.listener.room_for_probes, put)
+        self.prober = make_prober(
+            boot.facts,
+            self.directory,
+            clock,
+            book,
+            boot.dial_us,
+            self.listener.room_for_probes,
+            put,
+        )
         self.router.probe = self.prober.probe
         self.router.ask, self.router.forget = self.discovery.obey, self.directory.forget
         if self.extras:
@@ -73,7 +103,10 @@
     def extras_of(self, own: "OwnFile | None") -> "Extras | None":
         if own is None:
             return None
-        from plankroute.net.extras import Extras  # off, it costs a bare start neither time nor memory
+        from plankroute.net.extras import (
+            Extras,
+        )  # off, it costs a bare start neither time nor memory
+
         return Extras(own, self.boot, self.book, self.router.put)
 
     async def run(self) -> None:
@@ -90,8 +123,9 @@
             await self.extras.recall()
         self.router.flush()  # the core has its list before anybody can ask whether the steward is alive
         if await self.open():
-            self.book.log.event("info", "listening", address=self.boot.listen,
-                                hosts=len(self.directory.hosts))
+            self.book.log.event(
+                "info", "listening", address=self.boot.listen, hosts=len(self.directory.hosts)
+            )
             sweeping = asyncio.create_task(self.sweep())
             if self.extras:
                 self.extras.start()
@@ -132,7 +166,9 @@
         if moved:
             self.discovery.move(self.boot.discovery)
         self.book.count("taken.configurations")
-        self.book.log.event("warning" if kept else "info", "reloaded", discovery=new.discovery, kept=kept)
+        self.book.log.event(
+            "warning" if kept else "info", "reloaded", discovery=new.discovery, kept=kept
+        )
 
     async def open(self) -> bool:
         """Guards against a start that fails because the process before has not quite gone. False: told to end
@@ -171,12 +207,15 @@
     if not (path := os.environ.get(OWN_FILE)):
         return None
     from plankroute.ownfile import read_own_file
+
     return read_own_file(path)
 
 
 async def run_to_its_end(service: Service) -> None:
     await service.run()
-    signal.pthread_sigmask(signal.SIG_BLOCK, service.signals)  # while they have no handler, a moment each
+    signal.pthread_sigmask(
+        signal.SIG_BLOCK, service.signals
+    )  # while they have no handler, a moment each
     for number in service.signals:
         asyncio.get_running_loop().remove_signal_handler(number)
     early.ignore()
@@ -188,7 +227,9 @@
     try:
         boot = read_configuration()
     except UNUSABLE as error:
-        print(f"plankroute: GW_CONFIG can't be used: {type(error).__name__}: {error}", file=sys.stderr)
+        print(
+            f"plankroute: GW_CONFIG can't be used: {type(error).__name__}: {error}", file=sys.stderr
+        )
         return 2
     try:
         own = own_file()
--- a/plankroute/net/shared.py
+++ b/plankroute/net/shared.py
@@ -10,10 +10,34 @@
 import orjson
 
 from plankroute.coldstart.calls import Began, CallFacts, Caller, Event
-from plankroute.coldstart.follow import (BEAT_US, NO_WORD_US, Action, BeatDue, Dial, Ended, Follow,
-                                         FollowFacts, Hang, Holds, Living, Moved, Noted, Said, Watch)
+from plankroute.coldstart.follow import (
+    BEAT_US,
+    NO_WORD_US,
+    Action,
+    BeatDue,
+    Dial,
+    Ended,
+    Follow,
+    FollowFacts,
+    Hang,
+    Holds,
+    Living,
+    Moved,
+    Noted,
+    Said,
+    Watch,
+)
 from plankroute.coldstart.follow import Event as FollowEvent
-from plankroute.coldstart.frames import VERSION, Heartbeat, Begin, Drains, Frame, Hello, Part, Probed
+from plankroute.coldstart.frames import (
+    VERSION,
+    Heartbeat,
+    Begin,
+    Drains,
+    Frame,
+    Hello,
+    Part,
+    Probed,
+)
 from plankroute.coldstart.lists import HeldList, Incoming
 from plankroute.net.address import host_and_port
 from plankroute.net.ahead import DrainsAhead
@@ -26,7 +50,9 @@
 
 PLACE_US = 200_000  # between first calls of watchers: the second finds the list on its way already
 OPEN_EVERY_S = 1.0  # between tries for an address that is held
-WARNINGS = frozenset({"left_behind", "left_old", "left_ahead", "left_stalled", "began_anew", "on_its_own"})
+WARNINGS = frozenset(
+    {"left_behind", "left_old", "left_ahead", "left_stalled", "began_anew", "on_its_own"}
+)
 
 
 class Closed(msgspec.Struct):
@@ -39,8 +65,15 @@
 class SharedDiscovery(CarefulDiscovery):
     """Needs membership; `prepare_links` before `start`."""
 
-    def prepare_links(self, members: Members, facts: FollowFacts, listen: str, port: int, call: CallFacts,
-                      seed: int) -> None:
+    def prepare_links(
+        self,
+        members: Members,
+        facts: FollowFacts,
+        listen: str,
+        port: int,
+        call: CallFacts,
+        seed: int,
+    ) -> None:
         self.members, self.roles, self.listen, self.port = members, Follow(facts), listen, port
         self.name, self.group, self.call_facts, self.seed = facts.name, facts.group, call, seed
         self.held, self.server = HeldList(), LinkServer(self)
@@ -116,7 +149,9 @@
             case Noted(what, name):
                 self.book.count(f"follow.{what}")
                 level = "warning" if what in WARNINGS else "info"
-                self.book.log.event(level, f"follow_{what}", other=name, revision=self.held.revision)
+                self.book.log.event(
+                    level, f"follow_{what}", other=name, revision=self.held.revision
+                )
                 if what == "left_ahead":
                     self.ahead.reopen(self.ahead.core.left(name))
 
@@ -125,9 +160,16 @@
         caller = self.caller
         event: Event = Began()
         if place is not None:
-            caller = Caller(CallFacts(place, self.roles.facts.watchers, self.call_facts.calls_a_second,
-                                      self.call_facts.pause_most_us, self.call_facts.retry_after_most_us),
-                                      self.seed)
+            caller = Caller(
+                CallFacts(
+                    place,
+                    self.roles.facts.watchers,
+                    self.call_facts.calls_a_second,
+                    self.call_facts.pause_most_us,
+                    self.call_facts.retry_after_most_us,
+                ),
+                self.seed,
+            )
             await asyncio.sleep(place * PLACE_US / 1e6)
             event = await self.call_once()
         await self.call_on(caller, event)
@@ -159,9 +201,13 @@
             revision = orjson.loads(text)["rev"]
         except (ValueError, KeyError, TypeError):
             return "no list"
-        if not isinstance(revision, int) or (revision < self.held.revision and name not in self.anew):
+        if not isinstance(revision, int) or (
+            revision < self.held.revision and name not in self.anew
+        ):
             self.book.count("links.dropped.lower")
-            return None if isinstance(revision, int) else "no list"  # what it goes on to say may explain it
+            return (
+                None if isinstance(revision, int) else "no list"
+            )  # what it goes on to say may explain it
         self.anew.discard(name)
         if not Discovery.take(self, text):
             return "no list"
@@ -225,9 +271,15 @@
         partial = self.partial.partial() if self.partial and not wanted.light else None
         revision = -1 if wanted.anew else self.held.revision
         hello = Hello(VERSION, self.group, self.name, revision, wanted.light, partial)
-        self.clients[wanted.name] = LinkClient(self, wanted.name, address,
-                                               host_and_port(self.listen)[0], hello, self.hear_frame,
-                                               self.ended)
+        self.clients[wanted.name] = LinkClient(
+            self,
+            wanted.name,
+            address,
+            host_and_port(self.listen)[0],
+            hello,
+            self.hear_frame,
+            self.ended,
+        )
 
     def ended(self, client: LinkClient, why: str) -> None:
         if self.clients.get(client.name) is client:
--- a/plankroute/net/sharedprobes.py
+++ b/plankroute/net/sharedprobes.py
@@ -21,8 +21,13 @@
 class SharedProber(Prober):
     """`prepare_survey` before the first probe."""
 
-    def prepare_survey(self, survey: Survey, zones: tuple[str, ...], living: Callable[[], dict[str, str]],
-                       tell: Callable[[Probed], None]) -> None:
+    def prepare_survey(
+        self,
+        survey: Survey,
+        zones: tuple[str, ...],
+        living: Callable[[], dict[str, str]],
+        tell: Callable[[Probed], None],
+    ) -> None:
         self.survey, self.zone_names, self.living, self.tell = survey, zones, living, tell
         self.to_core, self.put = self.put, self.on_result
         self.batch: list[int] = []
@@ -76,7 +81,9 @@
             known = self.directory.hosts.get(note.host)
             if known and note.outcome is Outcome.ANSWERED:
                 self.survey.keep(known.uid, Result(note.took_us, now_us(), known.boot_ms))
-                self.untold.append((known.uid, note.outcome.value, note.took_us, now_us(), known.boot_ms))
+                self.untold.append(
+                    (known.uid, note.outcome.value, note.took_us, now_us(), known.boot_ms)
+                )
                 if self.handle is None:
                     self.handle = asyncio.get_running_loop().call_later(GATHER_S, self.tell_all)
         self.to_core(note)
@@ -86,9 +93,15 @@
         self.handle, now = None, now_us()
         untold, self.untold = self.untold, []
         for at in range(0, len(untold), MOST_TOLD):
-            self.book.count("survey.told", len(untold[at:at + MOST_TOLD]))
-            self.tell(Probed(tuple((uid, outcome, took, now - told, boot) for uid, outcome, took, told, boot
-                                   in untold[at:at + MOST_TOLD])))
+            self.book.count("survey.told", len(untold[at : at + MOST_TOLD]))
+            self.tell(
+                Probed(
+                    tuple(
+                        (uid, outcome, took, now - told, boot)
+                        for uid, outcome, took, told, boot in untold[at : at + MOST_TOLD]
+                    )
+                )
+            )
 
     def hear(self, frame: Probed) -> None:
         """Others' results: answered ones, of hosts that are listed here."""
@@ -97,6 +110,9 @@
             if host is None or outcome != Outcome.ANSWERED.value or took_us <= 0 or age_us < 0:
                 continue
             result = Result(took_us, now_us() - age_us, boot_ms)
-            if self.survey.keep(uid, result) and uid in self.awaited and self.survey.fresh(
-                    uid, self.directory.hosts[host].boot_ms, now_us()):
+            if (
+                self.survey.keep(uid, result)
+                and uid in self.awaited
+                and self.survey.fresh(uid, self.directory.hosts[host].boot_ms, now_us())
+            ):
                 self.note(self.awaited.pop(uid), result)
--- a/plankroute/net/streams.py
+++ b/plankroute/net/streams.py
@@ -17,10 +17,13 @@
     one that the steward ends is held against it. Harm: a proxy that stands still for longer gets no orders.
     """
 
-    PATIENCE = 3.0  # times the longest regular way: a slow channel and a stalled proxy answer within it
+    PATIENCE = (
+        3.0  # times the longest regular way: a slow channel and a stalled proxy answer within it
+    )
 
-    def __init__(self, joined: set[int], book: Book, answer_s: float,
-                 put: Callable[[notes.Note], None]) -> None:
+    def __init__(
+        self, joined: set[int], book: Book, answer_s: float, put: Callable[[notes.Note], None]
+    ) -> None:
         self.joined, self.book, self.put = joined, book, put
         self.silent_s = self.PATIENCE * answer_s
         self.by_proxy: dict[int, Peer] = {}
@@ -56,13 +59,18 @@
         for proxy, peer in self.by_proxy.items():
             if proxy in self.joined and peer.owes_for(now) > self.silent_s:
                 self.book.count("dropped.silent")
-                self.book.log.event("warning", "stream_silent", proxy=proxy, owes=len(peer.party.marks))
+                self.book.log.event(
+                    "warning", "stream_silent", proxy=proxy, owes=len(peer.party.marks)
+                )
                 self.tell_left(proxy)
 
     def oldest_silent(self) -> Peer | None:
         """Of those that count as left, whoever has been silent for longest."""
-        silent = (peer for peer, hello in self.hellos.items()
-                  if hello.proxy not in self.joined and not peer.is_ending())
+        silent = (
+            peer
+            for peer, hello in self.hellos.items()
+            if hello.proxy not in self.joined and not peer.is_ending()
+        )
         return min(silent, key=lambda peer: peer.heard, default=None)
 
     def hear(self, peer: Peer) -> None:
--- a/plankroute/net/wire.py
+++ b/plankroute/net/wire.py
@@ -20,10 +20,18 @@
 MOST_DIGITS = 10
 NUMBER = re.compile(r"[0-9]*\.?[0-9]+(?:[eE][+-]?[0-9]{1,3})?")
 PLAIN = re.compile(r"[a-z]+(?: [a-z]+=[^ =]*)*")  # a kind of another version, most likely
-TORN = re.compile(r"(?:agent|outcomes|hello|ack|demand) [a-z]+=")  # within a line: two messages ran together
+TORN = re.compile(
+    r"(?:agent|outcomes|hello|ack|demand) [a-z]+="
+)  # within a line: two messages ran together
 # Guards against load reports read as empty: hosts name figures as the settings do, or as the protocol's page.
-REPORT_FIELDS = SETTINGS_FIELDS | {"inflight": "inflight", "queue": "queue", "util": "util",
-                                   "latency_ms": "service_us", "qps": "rate", "eps": "error_rate"}
+REPORT_FIELDS = SETTINGS_FIELDS | {
+    "inflight": "inflight",
+    "queue": "queue",
+    "util": "util",
+    "latency_ms": "service_us",
+    "qps": "rate",
+    "eps": "error_rate",
+}
 ALIVE, ERROR = b"alive\r\n", b"error\r\n"
 
 
@@ -127,15 +135,31 @@
 READERS: dict[str, Callable[[Words], Said]] = {
     "probe": lambda words: Asked(),
     "agent": lambda words: CollectorSaid(words.text("locality")),
-    "hello": lambda words: HelloSaid(words.count("node"), words.text("locality"),
-                                     words.number("w", MOST_COUNT), words.flag("cold")),
-    "ack": lambda words: AppliedSaid(words.count("node"), words.count("nonce"), words.time_us("latency")),
+    "hello": lambda words: HelloSaid(
+        words.count("node"),
+        words.text("locality"),
+        words.number("w", MOST_COUNT),
+        words.flag("cold"),
+    ),
+    "ack": lambda words: AppliedSaid(
+        words.count("node"), words.count("nonce"), words.time_us("latency")
+    ),
     "outcomes": lambda words: HostSaid(
-        words.text("locality"), words.text("endpoint"), words.count("total"), words.count("errors"),
-        words.time_us("rtt") if "rtt" in words.values else 0, words.time_us("interval"),
-        words.report("metrics")),
-    "demand": lambda words: TrafficSaid(words.count("node"), words.text("route"), words.count("total"),
-                                        words.count("errors"), words.time_us("interval")),
+        words.text("locality"),
+        words.text("endpoint"),
+        words.count("total"),
+        words.count("errors"),
+        words.time_us("rtt") if "rtt" in words.values else 0,
+        words.time_us("interval"),
+        words.report("metrics"),
+    ),
+    "demand": lambda words: TrafficSaid(
+        words.count("node"),
+        words.text("route"),
+        words.count("total"),
+        words.count("errors"),
+        words.time_us("interval"),
+    ),
 }
 
 
@@ -163,8 +187,13 @@
 
     def __init__(self, products: tuple[str, ...], uid: Callable[[int], str]) -> None:
         self.products, self.uid = products, uid
-        self.parts: list[Part] | None = None  # those written last, which hundreds of proxies may share
-        self.before, self.last = "", ""  # their text: all but the last one with its end, and that one
+        self.parts: list[Part] | None = (
+            None  # those written last, which hundreds of proxies may share
+        )
+        self.before, self.last = (
+            "",
+            "",
+        )  # their text: all but the last one with its end, and that one
 
     def write(self, message: Message) -> bytes:
         """Hosts held back, and the mark, are the proxy's own; they go with the last part."""
@@ -195,8 +224,10 @@
         if part.whole:
             words.append("replace=1")
         if part.lines:
-            words.append("rows=" + ",".join(f"{self.uid(host)}:{weight:.9g}"
-                                            for host, weight in part.lines.items()))
+            words.append(
+                "rows="
+                + ",".join(f"{self.uid(host)}:{weight:.9g}" for host, weight in part.lines.items())
+            )
         if part.level:
             words += [f"gate={part.level[0]:.9g}", f"again={int(part.level[1])}"]
         return words
@@ -206,16 +237,23 @@
     lines = list(part.lines.items())
     yield Part(part.products, part.whole, dict(lines[:ROWS_A_PART]), part.level)
     for at in range(ROWS_A_PART, len(lines), ROWS_A_PART):
-        yield Part(part.products, False, dict(lines[at:at + ROWS_A_PART]))
+        yield Part(part.products, False, dict(lines[at : at + ROWS_A_PART]))
 
 
 def read_report(body: bytes) -> LoadReport | None:
     """The load report that a probe's answer carries, if it does."""
     form, _, rest = body.decode("ascii", "replace").strip().partition(" ")
-    return report_from(pair.strip().partition("=") for pair in rest.split(",")) if form == "TEXT" else None
+    return (
+        report_from(pair.strip().partition("=") for pair in rest.split(","))
+        if form == "TEXT"
+        else None
+    )
 
 
 def report_from(pairs: Iterable[tuple[str, str, str]]) -> LoadReport:
     """What is not known by its name, or no figure, is left out: the sums beside it still count."""
-    return load_report((REPORT_FIELDS[name], float(value)) for name, _, value in pairs
-                       if name in REPORT_FIELDS and NUMBER.fullmatch(value) and float(value) <= MOST_LOAD)
+    return load_report(
+        (REPORT_FIELDS[name], float(value))
+        for name, _, value in pairs
+        if name in REPORT_FIELDS and NUMBER.fullmatch(value) and float(value) <= MOST_LOAD
+    )
--- a/plankroute/ownfile.py
+++ b/plankroute/ownfile.py
@@ -15,50 +15,88 @@
 SCHEMA = Path("deploy/plankroute.schema.json")
 LINE_OF_PATH = re.compile(r" - at `\$?([^`]*)`$")
 UNKNOWN = re.compile(r"unknown field `([^`]*)`")
-MOST_BYTES = 1 << 20  # a file of ours is some hundred bytes; what is longer was meant for somebody else
+MOST_BYTES = (
+    1 << 20
+)  # a file of ours is some hundred bytes; what is longer was meant for somebody else
 
 Text = Annotated[str, msgspec.Meta(min_length=1, max_length=64, pattern=r"^[!-~]+$")]
-Address = Annotated[str, msgspec.Meta(max_length=21, pattern=r"^[0-9]{1,3}(\.[0-9]{1,3}){3}:[0-9]{1,5}$",
-                                      description="IPv4 address and port; no names are looked up")]
+Address = Annotated[
+    str,
+    msgspec.Meta(
+        max_length=21,
+        pattern=r"^[0-9]{1,3}(\.[0-9]{1,3}){3}:[0-9]{1,5}$",
+        description="IPv4 address and port; no names are looked up",
+    ),
+]
 
 
 class MembershipPart(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
     """Who of the stewards is alive (docs/membership.md)."""
 
-    group: Annotated[Text, msgspec.Meta(description="stewards of another group's name are not heard")]
+    group: Annotated[
+        Text, msgspec.Meta(description="stewards of another group's name are not heard")
+    ]
     listen: Annotated[Address, msgspec.Meta(description="UDP address of this steward")]
-    advertise: Annotated[Address | None, msgspec.Meta(
-        description="the address at which others reach it, where it is not `listen`")] = None
-    seeds: Annotated[tuple[Address, ...], msgspec.Meta(
-        max_length=64, description="some of the group, asked at the start; may name this steward too")] = ()
+    advertise: Annotated[
+        Address | None,
+        msgspec.Meta(description="the address at which others reach it, where it is not `listen`"),
+    ] = None
+    seeds: Annotated[
+        tuple[Address, ...],
+        msgspec.Meta(
+            max_length=64,
+            description="some of the group, asked at the start; may name this steward too",
+        ),
+    ] = ()
     patience_ms: Annotated[
         int,
-        msgspec.Meta(ge=500,
-                     le=60_000,
-                     description="how long a member may say nothing: above the longest pause, by half a "
-                     "second and the way there and back")] = 2600
-    probe_ms: Annotated[int, msgspec.Meta(
-        ge=50, le=10_000, description="between two probes of this steward, each of another member")] = 200
-    forget_s: Annotated[int, msgspec.Meta(
-        ge=60, le=86_400, description="how long those gone or left are remembered and called")] = 3600
+        msgspec.Meta(
+            ge=500,
+            le=60_000,
+            description="how long a member may say nothing: above the longest pause, by half a "
+            "second and the way there and back",
+        ),
+    ] = 2600
+    probe_ms: Annotated[
+        int,
+        msgspec.Meta(
+            ge=50,
+            le=10_000,
+            description="between two probes of this steward, each of another member",
+        ),
+    ] = 200
+    forget_s: Annotated[
+        int,
+        msgspec.Meta(
+            ge=60, le=86_400, description="how long those gone or left are remembered and called"
+        ),
+    ] = 3600
 
 
 class LinksPart(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
     """The list through peers: a few stewards watch the list service, the others take it from them over
     TCP."""
 
-    listen: Annotated[Address, msgspec.Meta(description="TCP address of this steward, for other stewards")]
+    listen: Annotated[
+        Address, msgspec.Meta(description="TCP address of this steward, for other stewards")
+    ]
     port: Annotated[
         Annotated[int, msgspec.Meta(ge=1, le=65535)] | None,
         msgspec.Meta(
             description="at which all others are reached, beside their membership addresses; else `listen`'s"
-        )] = None
-    watchers: Annotated[int, msgspec.Meta(ge=1, le=16, description="of the list service, at any time")] = 3
+        ),
+    ] = None
+    watchers: Annotated[
+        int, msgspec.Meta(ge=1, le=16, description="of the list service, at any time")
+    ] = 3
     stall_ms: Annotated[
         int,
-        msgspec.
-        Meta(ge=1000, le=60_000, description="without a word from who is followed, it is left for the next"
-             )] = 2000
+        msgspec.Meta(
+            ge=1000,
+            le=60_000,
+            description="without a word from who is followed, it is left for the next",
+        ),
+    ] = 2000
 
 
 class ColdStartPart(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
@@ -66,43 +104,84 @@
 
     calls_a_second: Annotated[
         float,
-        msgspec.Meta(ge=0.1,
-                     le=100_000,
-                     description="calls that the list service answers in a second, of all stewards")] = 20.0
-    stewards: Annotated[Annotated[int, msgspec.Meta(ge=1, le=10_000)] | None, msgspec.Meta(
-        description="how many stewards there are at most; else as the settings state")] = None
-    rank: Annotated[Annotated[int, msgspec.Meta(ge=0, le=10_000)] | None, msgspec.Meta(
-        description="this one's place among them, from 0; else as the settings state")] = None
-    pause_most_s: Annotated[float, msgspec.Meta(
-        ge=1, le=3600, description="the longest round of calls to a service that goes on refusing")] = 60.0
-    retry_after_most_s: Annotated[float, msgspec.Meta(
-        ge=0, le=3600, description="what a Retry-After may ask for at most")] = 30.0
+        msgspec.Meta(
+            ge=0.1,
+            le=100_000,
+            description="calls that the list service answers in a second, of all stewards",
+        ),
+    ] = 20.0
+    stewards: Annotated[
+        Annotated[int, msgspec.Meta(ge=1, le=10_000)] | None,
+        msgspec.Meta(description="how many stewards there are at most; else as the settings state"),
+    ] = None
+    rank: Annotated[
+        Annotated[int, msgspec.Meta(ge=0, le=10_000)] | None,
+        msgspec.Meta(description="this one's place among them, from 0; else as the settings state"),
+    ] = None
+    pause_most_s: Annotated[
+        float,
+        msgspec.Meta(
+            ge=1,
+            le=3600,
+            description="the longest round of calls to a service that goes on refusing",
+        ),
+    ] = 60.0
+    retry_after_most_s: Annotated[
+        float, msgspec.Meta(ge=0, le=3600, description="what a Retry-After may ask for at most")
+    ] = 30.0
     list_old_s: Annotated[
         float,
-        msgspec.Meta(ge=1,
-                     le=3600,
-                     description="without a word from the list for so long, drains may have been missed: said"
-                     )] = 15.0
+        msgspec.Meta(
+            ge=1,
+            le=3600,
+            description="without a word from the list for so long, drains may have been missed: said",
+        ),
+    ] = 15.0
     probers: Annotated[
         int,
-        msgspec.Meta(ge=0,
-                     le=100,
-                     description="stewards that probe each host when all are asked at once; 0: every steward"
-                     )] = 3
+        msgspec.Meta(
+            ge=0,
+            le=100,
+            description="stewards that probe each host when all are asked at once; 0: every steward",
+        ),
+    ] = 3
     links: LinksPart | None = None
 
 
 class LearnedPart(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
     """What is learned of hosts outlives a steward (docs/learned.md)."""
 
-    folder: Annotated[str, msgspec.Meta(min_length=1, max_length=1024, description="that lasts, and is "
-                                        "this steward's to write; none: nothing is written")] | None = None
-    every_s: Annotated[float, msgspec.Meta(
-        ge=0.01, le=3600, description="between two writings, where something has changed")] = 3.0
-    limit_s: Annotated[float, msgspec.Meta(
-        ge=0, le=2_592_000, description="news that are older count for nothing; 0: none count")] = 900.0
-    ask_peers: Annotated[int, msgspec.Meta(
-        ge=0, le=2, description="living stewards that are asked at the start; needs coldstart.links")] = 2
+    folder: (
+        Annotated[
+            str,
+            msgspec.Meta(
+                min_length=1,
+                max_length=1024,
+                description="that lasts, and is this steward's to write; none: nothing is written",
+            ),
+        ]
+        | None
+    ) = None
+    every_s: Annotated[
+        float,
+        msgspec.Meta(
+            ge=0.01, le=3600, description="between two writings, where something has changed"
+        ),
+    ] = 3.0
+    limit_s: Annotated[
+        float,
+        msgspec.Meta(
+            ge=0, le=2_592_000, description="news that are older count for nothing; 0: none count"
+        ),
+    ] = 900.0
+    ask_peers: Annotated[
+        int,
+        msgspec.Meta(
+            ge=0,
+            le=2,
+            description="living stewards that are asked at the start; needs coldstart.links",
+        ),
+    ] = 2
     ask_ms: Annotated[int, msgspec.Meta(ge=50, le=10_000, description="for a whole answer")] = 1000
 
 
--- a/plankroute/simhost/__main__.py
+++ b/plankroute/simhost/__main__.py
@@ -9,7 +9,14 @@
 from plankroute.interface.notes import Note
 from plankroute.interface.orders import Forget
 from plankroute.simwire.frames import WireError, read_batch, write_reply
-from plankroute.simwire.records import Decoder, Delivered, Destroyed, Enlisted, encode_failure, encode_order
+from plankroute.simwire.records import (
+    Decoder,
+    Delivered,
+    Destroyed,
+    Enlisted,
+    encode_failure,
+    encode_order,
+)
 from plankroute.start import microseconds
 
 
@@ -42,8 +49,11 @@
         if steward is None:
             return []
         try:
-            return [encode_order(instance, order) for order in steward.deliver(clock_us, notes)
-                    if not isinstance(order, Forget)]  # the wire keeps every host
+            return [
+                encode_order(instance, order)
+                for order in steward.deliver(clock_us, notes)
+                if not isinstance(order, Forget)
+            ]  # the wire keeps every host
         except Exception as error:  # the wire asks for a word on any failure of a decision
             place = traceback.extract_tb(error.__traceback__)[-1]
             text = f"{type(error).__name__}: {error} at {place.name}:{place.lineno}"
--- a/plankroute/simwire/frames.py
+++ b/plankroute/simwire/frames.py
@@ -36,7 +36,7 @@
     body = read_exactly(stream, length)
     if len(body) < length:
         raise WireError(f"input ends within batch {number} ({len(body)} of {length} bytes)")
-    return number, CLOCK.unpack_from(body)[0], body[CLOCK.size:]
+    return number, CLOCK.unpack_from(body)[0], body[CLOCK.size :]
 
 
 def write_reply(stream: BinaryIO, number: int, records: list[bytes]) -> None:
--- a/plankroute/simwire/records.py
+++ b/plankroute/simwire/records.py
@@ -13,19 +13,58 @@
 ALL_TABLES = 0xFFFF
 ALL_PEERS = 0xFFFF
 STATES = {0: notes.HostState.DRAINING, 1: notes.HostState.READY, 2: notes.HostState.GONE}
-LIST_KINDS = {0: notes.ListKind.CACHED, 1: notes.ListKind.FULL, 2: notes.ListKind.CHANGES,
-              3: notes.ListKind.FAILED}
-OUTCOMES = {0: notes.Outcome.ANSWERED, 5: notes.Outcome.ERROR, 11: notes.Outcome.TURNED_AWAY,
-            110: notes.Outcome.SILENT, 111: notes.Outcome.UNREACHED, 104: notes.Outcome.ERROR}
+LIST_KINDS = {
+    0: notes.ListKind.CACHED,
+    1: notes.ListKind.FULL,
+    2: notes.ListKind.CHANGES,
+    3: notes.ListKind.FAILED,
+}
+OUTCOMES = {
+    0: notes.Outcome.ANSWERED,
+    5: notes.Outcome.ERROR,
+    11: notes.Outcome.TURNED_AWAY,
+    110: notes.Outcome.SILENT,
+    111: notes.Outcome.UNREACHED,
+    104: notes.Outcome.ERROR,
+}
 ENTRY = struct.Struct("<dfHBHIH")
-EVENTS = {0: "enlist", 1: "sync", 2: "ring", 3: "status_back", 4: "mail", 5: "destroy", 6: "attached",
-          7: "dropped_off", 8: "installed", 9: "stats", 10: "traffic", 11: "pressure", 12: "mandate",
-          13: "stored_line", 14: "list"}
-LAYOUTS = {name: struct.Struct("<" + layout) for name, layout in {
-    "enlist": "HQI", "sync": "HBQI", "ring": "HI", "status_back": "HIHdB", "mail": "HIH", "destroy": "H",
-    "attached": "HHHfB", "dropped_off": "HH", "installed": "HHQd", "stats": "HHdIIdIB",
-    "traffic": "HdBIHI", "pressure": "HHBIId", "mandate": "HHB", "stored_line": "HHIf",
-    "list": "II"}.items()}
+EVENTS = {
+    0: "enlist",
+    1: "sync",
+    2: "ring",
+    3: "status_back",
+    4: "mail",
+    5: "destroy",
+    6: "attached",
+    7: "dropped_off",
+    8: "installed",
+    9: "stats",
+    10: "traffic",
+    11: "pressure",
+    12: "mandate",
+    13: "stored_line",
+    14: "list",
+}
+LAYOUTS = {
+    name: struct.Struct("<" + layout)
+    for name, layout in {
+        "enlist": "HQI",
+        "sync": "HBQI",
+        "ring": "HI",
+        "status_back": "HIHdB",
+        "mail": "HIH",
+        "destroy": "H",
+        "attached": "HHHfB",
+        "dropped_off": "HH",
+        "installed": "HHQd",
+        "stats": "HHdIIdIB",
+        "traffic": "HdBIHI",
+        "pressure": "HHBIId",
+        "mandate": "HHB",
+        "stored_line": "HHIf",
+        "list": "II",
+    }.items()
+}
 
 
 @dataclass(frozen=True, slots=True)
@@ -82,9 +121,11 @@
     def tail(body: bytes, at: int, size: int) -> bytes:
         if at + size > len(body):
             raise WireError(f"{size} bytes promised at byte {at}, {len(body) - at} there")
-        return body[at:at + size]
+        return body[at : at + size]
 
-    def report(self, instance: int, count: int, body: bytes, at: int) -> tuple[notes.LoadReport | None, int]:
+    def report(
+        self, instance: int, count: int, body: bytes, at: int
+    ) -> tuple[notes.LoadReport | None, int]:
         raw = self.tail(body, at, 4 * count)
         if not count:
             return None, at
@@ -106,9 +147,17 @@
         number, count = values
         raw = self.tail(body, at, ENTRY.size * count)
         self.lists[number] = tuple(
-            notes.HostEntry(host, STATES.get(mode, notes.HostState.GONE), zone, kind, cell,
-                            finite(weight), microseconds(launched))
-            for launched, weight, kind, mode, zone, host, cell in ENTRY.iter_unpack(raw))
+            notes.HostEntry(
+                host,
+                STATES.get(mode, notes.HostState.GONE),
+                zone,
+                kind,
+                cell,
+                finite(weight),
+                microseconds(launched),
+            )
+            for launched, weight, kind, mode, zone, host, cell in ENTRY.iter_unpack(raw)
+        )
         return None, at + len(raw)
 
     def on_sync(self, values, body, at):
@@ -149,7 +198,9 @@
     def on_stats(self, values, body, at):
         instance, zone, mean, voided, tries, span, host, count = values
         report, at = self.report(instance, count, body, at)
-        note = notes.HostSums(host, zone, tries, voided, finite(mean) * 1000, microseconds(span), report)
+        note = notes.HostSums(
+            host, zone, tries, voided, finite(mean) * 1000, microseconds(span), report
+        )
         return Delivered(instance, note), at
 
     def on_traffic(self, values, body, at):
--- a/plankroute/tokens.py
+++ b/plankroute/tokens.py
@@ -12,7 +12,9 @@
 
     def read(self, now_us: int) -> float:
         """A clock that steps back adds nothing."""
-        self.left = min(self.burst, self.left + self.rate * max(0, now_us - self.read_us) / SECOND_US)
+        self.left = min(
+            self.burst, self.left + self.rate * max(0, now_us - self.read_us) / SECOND_US
+        )
         self.read_us = max(now_us, self.read_us)
         return self.left
 
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -40,7 +40,9 @@
 @pytest.hookimpl(tryfirst=True)
 def pytest_collection_modifyitems(config: pytest.Config, items: list[pytest.Item]) -> None:
     listed, by_id = known_red(config.rootpath), {item.nodeid: item for item in items}
-    whole = config.args_source is not pytest.Config.ArgsSource.ARGS  # else a test may be there, not asked for
+    whole = (
+        config.args_source is not pytest.Config.ArgsSource.ARGS
+    )  # else a test may be there, not asked for
     for red in listed:
         if item := by_id.get(red.test):
             item.add_marker(pytest.mark.xfail(reason=f"{red.cause} ({red.issue})", strict=True))
--- a/tests/model.py
+++ b/tests/model.py
@@ -4,8 +4,15 @@
 
 from plankroute.controller.controller import Controller
 from plankroute.interface import notes, orders
-from plankroute.interface.facts import (LevelUnit, Prices, ProductFacts, Repeat, ReportWay, Scope,
-                                        StartFacts)
+from plankroute.interface.facts import (
+    LevelUnit,
+    Prices,
+    ProductFacts,
+    Repeat,
+    ReportWay,
+    Scope,
+    StartFacts,
+)
 from plankroute.interface.notes import HostState, ListKind
 
 SECOND = 1_000_000
@@ -13,26 +20,65 @@
 
 
 def product(**changes) -> ProductFacts:
-    plain = ProductFacts(sla_us=SECOND, expiry_us=4 * SECOND, revenue=1.0, late_share=0.1,
-                         repeat=Repeat.ONCE_ONLY, scope=Scope.ALL, repeat_window_us=0)
+    plain = ProductFacts(
+        sla_us=SECOND,
+        expiry_us=4 * SECOND,
+        revenue=1.0,
+        late_share=0.1,
+        repeat=Repeat.ONCE_ONLY,
+        scope=Scope.ALL,
+        repeat_window_us=0,
+    )
     return replace(plain, **changes)
 
 
 def start_facts(**changes) -> StartFacts:
     plain = StartFacts(
-        products=(product(),), zones=3, own_zone=0, steward=0, stewards=1, proxies=6, prices=Prices(),
-        lines_per_s=2000.0, head_lines=6, queue_cap=4000, messages_most=0, messages_window_us=10 * SECOND,
+        products=(product(),),
+        zones=3,
+        own_zone=0,
+        steward=0,
+        stewards=1,
+        proxies=6,
+        prices=Prices(),
+        lines_per_s=2000.0,
+        head_lines=6,
+        queue_cap=4000,
+        messages_most=0,
+        messages_window_us=10 * SECOND,
         lets_back=False,
-        way_us=200_000, way_most_us=500_000, bare_us=3 * SECOND, grace_us=2 * SECOND, cold_us=15 * SECOND,
-        cold_share=0.2, fall_multiple=3.0, fall_window_us=2 * SECOND, only_draining_binds=False,
-        must_ask_us=10 * SECOND, level_unit=LevelUnit.NONE, usual_retry=1, retry_wait_share=1.0,
-        may_probe=True, may_tell=False, reports=ReportWay.ANSWERS, period_us=SECOND, must_subscribe=False,
-        slices=0, exclusive=False)
+        way_us=200_000,
+        way_most_us=500_000,
+        bare_us=3 * SECOND,
+        grace_us=2 * SECOND,
+        cold_us=15 * SECOND,
+        cold_share=0.2,
+        fall_multiple=3.0,
+        fall_window_us=2 * SECOND,
+        only_draining_binds=False,
+        must_ask_us=10 * SECOND,
+        level_unit=LevelUnit.NONE,
+        usual_retry=1,
+        retry_wait_share=1.0,
+        may_probe=True,
+        may_tell=False,
+        reports=ReportWay.ANSWERS,
+        period_us=SECOND,
+        must_subscribe=False,
+        slices=0,
+        exclusive=False,
+    )
     return replace(plain, **changes)
 
 
-def entry(host: int, state: HostState = READY, zone: int = 0, kind: int = 0, weight: float = 1.0,
-          started_us: int = 0) -> notes.HostEntry:
+def entry(
+    host: int,
+    state: HostState = READY,
+    zone: int = 0,
+    kind: int = 0,
+    weight: float = 1.0,
+    started_us: int = 0,
+) -> notes.HostEntry:
     return notes.HostEntry(host, state, zone, kind, 0, weight, started_us)
 
 
@@ -47,7 +93,9 @@
 class Bench:
     """One steward, its channel of a given speed, and proxies that do as their messages say."""
 
-    def __init__(self, facts: StartFacts, speed: float = 1.0, steward: Controller | None = None) -> None:
+    def __init__(
+        self, facts: StartFacts, speed: float = 1.0, steward: Controller | None = None
+    ) -> None:
         self.facts, self.rate = facts, facts.lines_per_s * speed
         self.steward = steward or Controller(facts, 7)
         self.now, self.timers = 100 * SECOND, []
@@ -120,8 +168,12 @@
                 case orders.Withdraw(host, out_):
                     assert host in self.hosts
                     products = range(len(self.facts.products))
-                    users = {p for p in self.joined if not any((p, i) in self.bound for i in products)
-                             or host in {h for i in products for h in self.picks(p, i)}}
+                    users = {
+                        p
+                        for p in self.joined
+                        if not any((p, i) in self.bound for i in products)
+                        or host in {h for i in products for h in self.picks(p, i)}
+                    }
                     (self.withdrawn.add if out_ else self.withdrawn.discard)(host)
                 case orders.SetLevel(table, _, level, retry):
                     assert level >= 0 and retry <= orders.Retry.UNRUN
@@ -142,7 +194,9 @@
             for proxy in users:
                 cost[proxy] = cost.get(proxy, self.facts.head_lines) + lines
         self.queue += [[proxy, lines + (mark is not None), mark] for proxy, lines in cost.items()]
-        self.sent = [(at, proxy) for at, proxy in self.sent if at > self.now - self.facts.messages_window_us]
+        self.sent = [
+            (at, proxy) for at, proxy in self.sent if at > self.now - self.facts.messages_window_us
+        ]
         self.sent += [(self.now, proxy) for proxy in cost]
         self.most_waiting = max(self.most_waiting, sum(item[1] for item in self.queue))
 
@@ -169,9 +223,11 @@
 
     def open_to(self, place: int, zone: int, host: int) -> bool:
         item, facts = self.hosts[host], self.facts.products[place]
-        return ((facts.zones is None or item.zone in facts.zones)
-                and (facts.kinds is None or item.kind in facts.kinds)
-                and (not facts.own_zone or item.zone == zone))
+        return (
+            (facts.zones is None or item.zone in facts.zones)
+            and (facts.kinds is None or item.kind in facts.kinds)
+            and (not facts.own_zone or item.zone == zone)
+        )
 
     def picks(self, proxy: int, place: int) -> dict[int, float]:
         lines = self.lines.get(self.bound.get((proxy, place), -1), {})
@@ -187,14 +243,22 @@
         assert self.most_waiting <= self.facts.queue_cap, "the queue grew past its limit"
         for proxy, zone in self.joined.items():
             written = sum(at >= self.since[proxy] and to == proxy for at, to in self.sent)
-            assert not self.facts.messages_most or written <= self.facts.messages_most, "too many messages"
+            assert not self.facts.messages_most or written <= self.facts.messages_most, (
+                "too many messages"
+            )
             for place in range(len(self.facts.products)):
                 picks = self.picks(proxy, place)
                 told = {h: max(self.told[h], self.since[proxy]) for h in picks if h in self.told}
                 late = [h for h, at in told.items() if self.now - at > grace]
                 assert not late, "a drained host is still picked"
-                assert all(self.open_to(place, zone, host) for host in picks), "a product where it may not go"
-                ready = [host for host in self.hosts if self.warm(host) and self.open_to(place, zone, host)]
+                assert all(self.open_to(place, zone, host) for host in picks), (
+                    "a product where it may not go"
+                )
+                ready = [
+                    host
+                    for host in self.hosts
+                    if self.warm(host) and self.open_to(place, zone, host)
+                ]
                 if picks or not ready or (proxy, place) not in self.bound:
                     self.bare_since[proxy, place] = self.now
                 bare = self.now - max(self.since[proxy], self.bare_since[proxy, place])
--- a/tests/test_coldstart.py
+++ b/tests/test_coldstart.py
@@ -10,12 +10,39 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from plankroute.coldstart.calls import BURST, Began, Broke, CallFacts, Caller, Refused, retry_after_us
+from plankroute.coldstart.calls import (
+    BURST,
+    Began,
+    Broke,
+    CallFacts,
+    Caller,
+    Refused,
+    retry_after_us,
+)
 from plankroute.coldstart.early import EarlyDrains
-from plankroute.coldstart.follow import (Dial, Ended, Follow, FollowFacts, Hang, Holds, Living, Noted, Said,
-                                         Watch, ranked)
-from plankroute.coldstart.frames import (VERSION, Heartbeat, Begin, Drains, FrameCutter, Hello, Part,
-                                         write_frame)
+from plankroute.coldstart.follow import (
+    Dial,
+    Ended,
+    Follow,
+    FollowFacts,
+    Hang,
+    Holds,
+    Living,
+    Noted,
+    Said,
+    Watch,
+    ranked,
+)
+from plankroute.coldstart.frames import (
+    VERSION,
+    Heartbeat,
+    Begin,
+    Drains,
+    FrameCutter,
+    Hello,
+    Part,
+    write_frame,
+)
 from plankroute.coldstart.lists import HeldList, Incoming
 from plankroute.coldstart.probers import Result, Survey, is_drawn, probers_of
 from plankroute.interface import notes
@@ -63,7 +90,7 @@
 
 
 def test_pauses_grow_in_a_long_outage_and_shrink_after_a_good_watch():
-    caller, = callers(100)[50:51]
+    (caller,) = callers(100)[50:51]
     due, dues = caller.deliver(0, Began()).due_us, []
     for _ in range(12):
         due = caller.deliver(due, Refused()).due_us
@@ -84,7 +111,7 @@
 
 def test_watches_that_break_at_once_run_out_of_their_budget():
     """Guards against a service that takes calls and drops them: it sees fewer calls, not more."""
-    caller, = callers(2)[:1]
+    (caller,) = callers(2)[:1]
     now, times = 0, []
     for _ in range(40):
         now = caller.deliver(now, Broke(1000)).due_us
@@ -92,8 +119,10 @@
     assert busiest(times) <= BURST + 1 and times[-1] > 15 * SECOND
 
 
-@pytest.mark.parametrize("asked_us, least_s, most_s", [
-    (3600 * SECOND, 30, 36), (12 * SECOND, 12, 18), (None, 0, 11), (0, 0, 11)])
+@pytest.mark.parametrize(
+    "asked_us, least_s, most_s",
+    [(3600 * SECOND, 30, 36), (12 * SECOND, 12, 18), (None, 0, 11), (0, 0, 11)],
+)
 def test_retry_after_is_heeded_within_its_bound(asked_us, least_s, most_s):
     for caller in callers(100)[::9]:
         due = caller.deliver(0, Began()).due_us
@@ -106,7 +135,16 @@
     assert retry_after_us(b"120", unix) == 120 * SECOND
     assert retry_after_us(b"Sun, 06 Nov 1994 08:49:47 GMT", unix) == 10 * SECOND
     assert retry_after_us(b"Sun, 06 Nov 1994 08:00:00 GMT", unix) == 0
-    for nonsense in (None, b"", b"soon", b"-5", b"1e9", b"99999999999999999999", b"\xff\xfe", b"Sun, 99 Nov"):
+    for nonsense in (
+        None,
+        b"",
+        b"soon",
+        b"-5",
+        b"1e9",
+        b"99999999999999999999",
+        b"\xff\xfe",
+        b"Sun, 99 Nov",
+    ):
         assert retry_after_us(nonsense, unix) is None
 
 
@@ -126,9 +164,23 @@
 @pytest.fixture(scope="module")
 def alone():
     async def run():
-        return await asyncio.gather(*(run_case(Case(
-            "alone", STEWARDS, 500, behaviour, net=100 + place, limit_s=60.0,
-            own={"retry_after_most_s": 3.0})) for place, behaviour in enumerate(ALONE.values())))
+        return await asyncio.gather(
+            *(
+                run_case(
+                    Case(
+                        "alone",
+                        STEWARDS,
+                        500,
+                        behaviour,
+                        net=100 + place,
+                        limit_s=60.0,
+                        own={"retry_after_most_s": 3.0},
+                    )
+                )
+                for place, behaviour in enumerate(ALONE.values())
+            )
+        )
+
     return dict(zip(ALONE, asyncio.run(run()), strict=True))
 
 
@@ -152,10 +204,17 @@
 
 @settings(max_examples=60)
 @given(
-    st.lists(st.lists(st.tuples(st.sampled_from("abcdefg"),
-                                st.sampled_from(["SERVING", "DRAINING", "DELETED"])),
-                      max_size=4),
-             max_size=12), st.integers(0, 12))
+    st.lists(
+        st.lists(
+            st.tuples(
+                st.sampled_from("abcdefg"), st.sampled_from(["SERVING", "DRAINING", "DELETED"])
+            ),
+            max_size=4,
+        ),
+        max_size=12,
+    ),
+    st.integers(0, 12),
+)
 def test_what_has_changed_since_a_revision_brings_any_older_list_up(steps, behind):
     held, older = HeldList(), HeldList()
     held.take({"rev": 5, "all": True, "targets": [entry(uid) for uid in "abc"]})
@@ -187,9 +246,16 @@
 
 @given(st.binary(max_size=200), st.integers(1, 50))
 def test_frames_come_out_as_they_went_in_however_they_are_cut_and_noise_ends_it(noise, step):
-    frames = [Hello(1, "g", "n", 5, False, (1, 2, 3)), Begin(5, True, 9, 1), Part(noise), Heartbeat(5, 0)]
+    frames = [
+        Hello(1, "g", "n", 5, False, (1, 2, 3)),
+        Begin(5, True, 9, 1),
+        Part(noise),
+        Heartbeat(5, 0),
+    ]
     data, cutter = b"".join(map(write_frame, frames)), FrameCutter()
-    assert [f for at in range(0, len(data), step) for f in cutter.feed(data[at:at + step])] == frames
+    assert [
+        f for at in range(0, len(data), step) for f in cutter.feed(data[at : at + step])
+    ] == frames
     spoilt = FrameCutter()
     out = spoilt.feed(b"\xff" + noise + b"\xff" * 8)
     assert out in ([], [None]) and len(spoilt.held) <= 70_000
@@ -243,7 +309,9 @@
     main, witness = stage.main(), stage.witness()
     assert not stage.say(4, Said(main, 5, 0), Said(witness, 5, 0))
     out = stage.say(3, Said(witness, 5, 0))
-    assert Hang(main) in out and stage.main() not in (main, witness) and Watch(True, None) not in out
+    assert (
+        Hang(main) in out and stage.main() not in (main, witness) and Watch(True, None) not in out
+    )
     out = stage.say(14)
     assert Watch(True, None) in out
     out = stage.say(2, Said(stage.main(), 5, 0))
@@ -286,15 +354,20 @@
         assert len(set(probers)) == 3 and all(zones[name] == "a" for name in probers)
         asked.update(probers)
     assert max(asked.values()) < 2 * 600 / 10
-    assert len(probers_of("h", "d", zones, 3)) == 3 and len(probers_of("h", "a", {"n0": "b"}, 3)) == 1
-    drawn = [sum(is_drawn(f"n{name}", f"h{host}", 3, 300) for name in range(300)) for host in range(100)]
+    assert (
+        len(probers_of("h", "d", zones, 3)) == 3 and len(probers_of("h", "a", {"n0": "b"}, 3)) == 1
+    )
+    drawn = [
+        sum(is_drawn(f"n{name}", f"h{host}", 3, 300) for name in range(300)) for host in range(100)
+    ]
     assert 2 < sum(drawn) / 100 < 4
 
 
 def test_results_count_by_their_age_and_by_the_start_of_the_host():
     survey = Survey("n0", 3, 10)
-    assert survey.keep("h", Result(9000, 10 * SECOND,
-                                   5.0)) and not survey.keep("h", Result(1, 9 * SECOND, 5.0))
+    assert survey.keep("h", Result(9000, 10 * SECOND, 5.0)) and not survey.keep(
+        "h", Result(1, 9 * SECOND, 5.0)
+    )
     assert survey.fresh("h", 5.0, 11 * SECOND) and not survey.fresh("h", 5.0, 13 * SECOND)
     assert not survey.fresh("h", 6.0, 11 * SECOND)  # another start: another host
     assert survey.keep("h", Result(1, 9 * SECOND, 6.0)) and survey.fresh("h", 6.0, 10 * SECOND)
@@ -306,7 +379,8 @@
     """Real stewards, stand-in hosts that count, a proxy for each: today's way probes each host once a
     steward."""
     seen = asyncio.run(
-        run_case(Case(way, 10, 60, Behaviour(20.0), net=160 + (way == "alone"), with_hosts=True)))
+        run_case(Case(way, 10, 60, Behaviour(20.0), net=160 + (way == "alone"), with_hosts=True))
+    )
     assert seen.served == 10 and seen.notes["connections_most"] <= 10
     assert 2 <= seen.notes["probes_a_host_mean"] <= 4.5
     if way == "peers":
@@ -321,7 +395,11 @@
 
 def test_a_drain_told_ahead_holds_until_a_list_of_its_revision_says_otherwise():
     early = EarlyDrains()
-    assert early.hear(0, "n1", 7, [*DRAINS, ("d", HostState.READY)], held=5, listed=10) == ["a", "b", "c"]
+    assert early.hear(0, "n1", 7, [*DRAINS, ("d", HostState.READY)], held=5, listed=10) == [
+        "a",
+        "b",
+        "c",
+    ]
     assert not early.hear(0, "n2", 7, DRAINS, 5, 10)  # known already
     assert not early.hear(0, "n2", 5, [("e", HostState.GONE)], 5, 10)  # the list held says more
     assert early.hear(0, "n2", 8, DRAINS[:1], 5, 10) == ["a"]
@@ -347,29 +425,45 @@
     ahead = DrainsAhead(directory, book, told.append)
 
     def listed(revision: int, whole: bool, **states: str) -> dict[str, str]:
-        items = [{**target(0, "127.0.0.1:1"), "uid": uid, "state": state} for uid, state in states.items()]
+        items = [
+            {**target(0, "127.0.0.1:1"), "uid": uid, "state": state}
+            for uid, state in states.items()
+        ]
         said = list_from({"rev": revision, "all": whole, "targets": items})
         return states_of(ahead.over(revision, whole, directory.note(said)[0]))
 
     def states_of(note: notes.HostList) -> dict[str, str]:
         return {directory.uid(entry.host): entry.state.value for entry in note.entries}
+
     everybody = dict.fromkeys("abcdef", "SERVING")
     listed(5, True, **everybody)
     ahead.hear("n1", 7, DRAINS)
     assert states_of(told[-1]) == dict.fromkeys("abc", "draining")
     assert listed(6, True, **everybody)["a"] == "draining"  # an older list opens nobody
     assert listed(6, False, a="SERVING") == {"a": "draining"}
-    assert listed(7, False, a="DRAINING") == {"a": "draining", "b": "ready", "c": "ready"}  # those were lies
+    assert listed(7, False, a="DRAINING") == {
+        "a": "draining",
+        "b": "ready",
+        "c": "ready",
+    }  # those were lies
     ahead.hear("n1", 9, [("d", HostState.GONE)])
     ahead.reopen(ahead.core.left("n1"))
     assert states_of(told[-1]) == {"d": "ready"} and not ahead.listed
     ahead.hear("n1", 9, DRAINS[1:])
-    assert listed(2, True, **everybody) == dict.fromkeys("abcdef", "ready")  # the service began anew
+    assert listed(2, True, **everybody) == dict.fromkeys(
+        "abcdef", "ready"
+    )  # the service began anew
 
 
 @settings(max_examples=80)
-@given(st.lists(st.tuples(st.integers(1, 20), st.sampled_from("abcdef"),
-                          st.sampled_from(HostState), st.booleans()), max_size=30))
+@given(
+    st.lists(
+        st.tuples(
+            st.integers(1, 20), st.sampled_from("abcdef"), st.sampled_from(HostState), st.booleans()
+        ),
+        max_size=30,
+    )
+)
 def test_no_host_is_open_that_the_newest_word_heard_has_closed(words):
     """A plain model beside it: of each host the newest word, from early drains and from lists alike."""
     early, newest, held = EarlyDrains(), {}, 0
@@ -407,6 +501,7 @@
 @pytest.mark.parametrize("light", [False, True])
 def test_a_drain_overtakes_a_large_list_on_its_link(light):
     """Guards against a drain that waits until 4 MB have gone over a slow link."""
+
     async def run() -> list:
         owner = HoldsList(1000, 4000)
         server = LinkServer(owner)
@@ -425,6 +520,7 @@
         writer.transport.abort()
         server.close()
         return frames
+
     frames = asyncio.run(run())
     drains = [place for place, frame in enumerate(frames) if isinstance(frame, Drains)]
     parts = [place for place, frame in enumerate(frames) if isinstance(frame, Part)]
@@ -474,7 +570,9 @@
         async def one(name: str, net: int):
             async with room:
                 return await run_cold(name, net)
+
         return await asyncio.gather(*(one(name, 140 + place) for place, name in enumerate(CASES)))
+
     return dict(zip(CASES, asyncio.run(run()), strict=True))
 
 
@@ -483,12 +581,17 @@
     assert not through_peers[name][0]
 
 
-@pytest.mark.parametrize("answer, expected", [
-    (b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n0\r\n\r\n", Broke),
-    (b"HTTP/1.1 503 Busy\r\nRetry-After: 7\r\nContent-Length: 5\r\n\r\nbusy\n", Refused),
-    (b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\n{\"re\r\n", Refused)])
+@pytest.mark.parametrize(
+    "answer, expected",
+    [
+        (b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n0\r\n\r\n", Broke),
+        (b"HTTP/1.1 503 Busy\r\nRetry-After: 7\r\nContent-Length: 5\r\n\r\nbusy\n", Refused),
+        (b'HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\n{"re\r\n', Refused),
+    ],
+)
 def test_a_watch_that_had_nothing_to_tell_is_no_refusal(answer, expected):
     """Guards against pauses that grow though the service is well, and a 503's body taken for its word."""
+
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.readuntil(b"\r\n\r\n")
         writer.write(answer)
@@ -498,8 +601,15 @@
     async def scene():
         async with asyncio.timeout(20), await asyncio.start_server(serve, "127.0.0.1", 0) as server:
             port = server.sockets[0].getsockname()[1]
-            careful = CarefulDiscovery(f"127.0.0.1:{port}", 1 << 20, Directory(Clock(), ("a",), ("m",), ()),
-                                       Book(Log("n", [].append)), 1, False, [].append)
+            careful = CarefulDiscovery(
+                f"127.0.0.1:{port}",
+                1 << 20,
+                Directory(Clock(), ("a",), ("m",), ()),
+                Book(Log("n", [].append)),
+                1,
+                False,
+                [].append,
+            )
             careful.prepare(CallFacts(0, 1, 20.0, SECOND, SECOND), SECOND, 1)
             careful.revision = 5
             return await careful.call_once()
--- a/tests/test_decide.py
+++ b/tests/test_decide.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from model import (DRAINING, GONE, READY, SECOND, Bench, changes, entry, full, product, start_facts)
+from model import DRAINING, GONE, READY, SECOND, Bench, changes, entry, full, product, start_facts
 from plankroute.decide import Host, Publisher
 from plankroute.controller.controller import Controller
 from plankroute.interface import notes, orders
@@ -23,12 +23,31 @@
     return bench
 
 
-def feed(bench: Bench, turns: int, time_ms=lambda host: 200.0, voided=lambda host: 0, tries: int = 8,
-         skip: tuple[int, ...] = (), inflight: float = 2.0) -> None:
+def feed(
+    bench: Bench,
+    turns: int,
+    time_ms=lambda host: 200.0,
+    voided=lambda host: 0,
+    tries: int = 8,
+    skip: tuple[int, ...] = (),
+    inflight: float = 2.0,
+) -> None:
     for _ in range(turns):
-        bench.give(*[notes.HostSums(host, 0, tries, voided(host), time_ms(host) * 1000, SECOND,
-                                    notes.LoadReport(inflight=inflight))
-                     for host, item in bench.hosts.items() if item.state is READY and host not in skip])
+        bench.give(
+            *[
+                notes.HostSums(
+                    host,
+                    0,
+                    tries,
+                    voided(host),
+                    time_ms(host) * 1000,
+                    SECOND,
+                    notes.LoadReport(inflight=inflight),
+                )
+                for host, item in bench.hosts.items()
+                if item.state is READY and host not in skip
+            ]
+        )
         bench.pass_time(SECOND)
 
 
@@ -65,7 +84,9 @@
         turns = len(found)
         bench.give(changes(entry(100, DRAINING, zone=0, kind=0)))
         assert turns == 0 < len(found) and 100 not in bench.lines[0]
-        assert publisher.all_slots() == [plain(publisher.tables[0], bench.steward.fleet, publisher.withdrawn)]
+        assert publisher.all_slots() == [
+            plain(publisher.tables[0], bench.steward.fleet, publisher.withdrawn)
+        ]
     finally:
         table.slots = plain
 
@@ -103,11 +124,26 @@
 
 def test_load_that_other_stewards_bring_counts():
     bench = Bench(start_facts(products=(product(), product(own_zone=True))))
-    bench.give(full(*[entry(100 + i, zone=i % 3) for i in range(9)]), notes.ProxyJoined(0, 1, 10.0, True))
-    for _ in range(8):  # this steward's proxy brings zone 0 nothing, the hosts there hold three times as much
-        bench.give(*[notes.HostSums(h, 0, 3 if e.zone == 0 else 9, 0, 200e3, SECOND,
-                                    notes.LoadReport(inflight=2.7 if e.zone == 0 else 0.9))
-                     for h, e in bench.hosts.items()])
+    bench.give(
+        full(*[entry(100 + i, zone=i % 3) for i in range(9)]), notes.ProxyJoined(0, 1, 10.0, True)
+    )
+    for _ in range(
+        8
+    ):  # this steward's proxy brings zone 0 nothing, the hosts there hold three times as much
+        bench.give(
+            *[
+                notes.HostSums(
+                    h,
+                    0,
+                    3 if e.zone == 0 else 9,
+                    0,
+                    200e3,
+                    SECOND,
+                    notes.LoadReport(inflight=2.7 if e.zone == 0 else 0.9),
+                )
+                for h, e in bench.hosts.items()
+            ]
+        )
         bench.pass_time(SECOND)
     assert bench.lines[0][100] < bench.lines[0][101]
 
@@ -115,7 +151,12 @@
 def test_fast_errors_do_not_attract_weight():
     bench = ready_bench()
     before = bench.lines[0][101]
-    feed(bench, 8, time_ms=lambda host: 20.0 if host == 101 else 200.0, voided=lambda host: 4 * (host == 101))
+    feed(
+        bench,
+        8,
+        time_ms=lambda host: 20.0 if host == 101 else 200.0,
+        voided=lambda host: 4 * (host == 101),
+    )
     assert bench.lines[0][101] < before / 2
 
 
@@ -124,9 +165,20 @@
     bench.give(full(*[entry(100 + i, zone=i % 3) for i in range(6)]))
     bench.give(notes.ProxyJoined(0, 0, 10.0, True))
     for _ in range(10):  # zone 2 has a third of the tries and longer work, and holds less for it
-        bench.give(*[notes.HostSums(h, 0, 3 if e.zone == 2 else 9, 0, 300e3 if e.zone == 2 else 150e3, SECOND,
-                                    notes.LoadReport(inflight=0.9 if e.zone == 2 else 1.35))
-                     for h, e in bench.hosts.items()])
+        bench.give(
+            *[
+                notes.HostSums(
+                    h,
+                    0,
+                    3 if e.zone == 2 else 9,
+                    0,
+                    300e3 if e.zone == 2 else 150e3,
+                    SECOND,
+                    notes.LoadReport(inflight=0.9 if e.zone == 2 else 1.35),
+                )
+                for h, e in bench.hosts.items()
+            ]
+        )
         bench.pass_time(SECOND)
     assert bench.lines[0][102] > bench.lines[0][100]
 
@@ -180,7 +232,9 @@
     bench = ready_bench(hosts=12)
     feed(bench, 3)
     for _ in range(4):
-        bench.give(*[notes.ProbeResult(host, Outcome.SILENT, 500_000, None) for host in range(100, 106)])
+        bench.give(
+            *[notes.ProbeResult(host, Outcome.SILENT, 500_000, None) for host in range(100, 106)]
+        )
         feed(bench, 1, skip=tuple(range(100, 106)))
     assert bench.lines[0].keys() == set(range(106, 112))
     shut = bench.steward.fleet.shut
@@ -200,8 +254,14 @@
     asked = probes(bench.give(*[notes.ProxyLeft(p) for p in range(1, 8)]))
     assert asked == set(range(100, 112))
     near = {host for host in asked if bench.hosts[host].zone == 0}
-    bench.give(*[notes.ProbeResult(host, Outcome.ANSWERED if host in near else Outcome.UNREACHED, 1000, None)
-                 for host in asked])
+    bench.give(
+        *[
+            notes.ProbeResult(
+                host, Outcome.ANSWERED if host in near else Outcome.UNREACHED, 1000, None
+            )
+            for host in asked
+        ]
+    )
     bench.pass_time(SECOND // 5)
     assert bench.lines[0].keys() == near
 
@@ -273,7 +333,9 @@
         bench = ready_bench()
         feed(bench, 6, voided=lambda host: 6)
         started_us = bench.now - 9 * SECOND
-        bench.give(changes(*[entry(200 + i, zone=i % 3, started_us=started_us) for i in range(fresh)]))
+        bench.give(
+            changes(*[entry(200 + i, zone=i % 3, started_us=started_us) for i in range(fresh)])
+        )
         bench.pass_time(SECOND)
         assert (200 in bench.lines[0]) == taken
 
@@ -308,12 +370,18 @@
 def test_a_steward_that_starts_anew_takes_over_what_old_tables_have_learnt():
     """Guards against even weights for proxies whose tables were right: their tries tell the weights."""
     bench = Bench(start_facts(proxies=30, grace_us=7 * SECOND))
-    bench.give(full(*[entry(100 + i, zone=i % 3, kind=i % 2) for i in range(12)], entry(200), entry(201)))
+    bench.give(
+        full(*[entry(100 + i, zone=i % 3, kind=i % 2) for i in range(12)], entry(200), entry(201))
+    )
     bench.give(*[notes.ProxyJoined(p, p % 3, 10.0, False) for p in range(30)])
     for host in (200, 201):
         assert not bench.bound
-        bench.give(*[notes.HostSums(host, 0, 9 if host % 2 else 3, 0, 2e5, SECOND, None)
-                     for host in range(100, 112)])
+        bench.give(
+            *[
+                notes.HostSums(host, 0, 9 if host % 2 else 3, 0, 2e5, SECOND, None)
+                for host in range(100, 112)
+            ]
+        )
         bench.pass_time(SECOND // 2)
         bench.steward.publisher.round = 100.0  # a channel that is busy with withdrawals
         bench.give(changes(entry(host, DRAINING)))
@@ -334,11 +402,17 @@
     bench.give(full(*[entry(100 + i, kind=i % 2, weight=weight * (1 + i)) for i in range(6)]))
     asked = probes(bench.give(notes.ProxyJoined(0, 0, 10.0, True)))
     assert asked == (bench.hosts.keys() if may_probe and not weight else set())
-    took = {host: 10_000 + host % 2 * 15_000 for host in asked} | {100: 1}  # one seems to answer at once
+    took = {host: 10_000 + host % 2 * 15_000 for host in asked} | {
+        100: 1
+    }  # one seems to answer at once
     bench.give(*[notes.ProbeResult(host, Outcome.ANSWERED, took[host], None) for host in asked])
     bench.pass_time(SECOND // 10)
     lines = bench.lines[0]
-    assert bench.bound and (lines[102] > 1.5 * lines[101]) is bool(asked) and lines[100] < 2 * lines[102]
+    assert (
+        bench.bound
+        and (lines[102] > 1.5 * lines[101]) is bool(asked)
+        and lines[100] < 2 * lines[102]
+    )
 
 
 def test_a_first_probe_that_stays_away_does_not_hold_up_binds():
@@ -396,7 +470,9 @@
         bench.log.clear()
         bench.give(notes.ProxyLeft(proxy), notes.ProxyJoined(proxy, proxy % 3, 1.0, False))
         bench.pass_time(SECOND // 2)
-        assert (proxy, 0) in bench.bound and not [o for o in bench.log if isinstance(o, orders.Withdraw)]
+        assert (proxy, 0) in bench.bound and not [
+            o for o in bench.log if isinstance(o, orders.Withdraw)
+        ]
 
 
 def test_who_can_not_be_bound_in_time_is_told_who_is_gone():
@@ -406,8 +482,10 @@
     bench.pass_time(4 * SECOND)
     bench.steward.publisher.spare_us = 2 * SECOND  # binds of all take three
     bench.log.clear()
-    bench.give(*[notes.ProxyLeft(p) for p in range(100)],
-               *[notes.ProxyJoined(p, p % 3, 1.0, False) for p in range(100)])
+    bench.give(
+        *[notes.ProxyLeft(p) for p in range(100)],
+        *[notes.ProxyJoined(p, p % 3, 1.0, False) for p in range(100)],
+    )
     bench.pass_time(SECOND)
     assert {o.host for o in bench.log if isinstance(o, orders.Withdraw)} == set(range(100, 112))
 
@@ -433,7 +511,9 @@
         assert not bench.levels
         return
     whole = 1.0 if unit is LevelUnit.SHARE else 20.0
-    assert 0.4 * whole < bench.levels[-1].level < whole  # one late answer is counted once, not every turn
+    assert (
+        0.4 * whole < bench.levels[-1].level < whole
+    )  # one late answer is counted once, not every turn
     feed(bench, 25)
     assert bench.levels[-1].level == Publisher.OPEN[unit]
 
@@ -449,7 +529,9 @@
 
 def test_slices_stay_as_the_store_has_them_but_drains_are_kept():
     bench = Bench(start_facts(slices=4, exclusive=True))
-    bench.give(full(entry(1), entry(2)), notes.ProxyJoined(0, 0, 1.0, True), notes.SliceCharge(0, True))
+    bench.give(
+        full(entry(1), entry(2)), notes.ProxyJoined(0, 0, 1.0, True), notes.SliceCharge(0, True)
+    )
     bench.give(changes(entry(1, DRAINING)))
     assert not bench.lines and not bench.bound and bench.withdrawn == {1}
 
@@ -470,12 +552,19 @@
 
 
 def odd_notes(rng: random.Random) -> list[notes.Note]:
-    return [notes.HostSums(9999, 0, 3, 1, 1.0, 0, None), notes.HostSums(100, 2, 0, 5, 0.0, 0, None),
-            notes.Applied(77, 3, 0), notes.ProxyLeft(78), notes.TimerDue(rng.randrange(9)),
-            notes.PeerMessage(1, b"?"), notes.ProbeResult(9999, Outcome.SILENT, 1, None),
-            notes.ProxyTraffic(50, 0, 0, 0, 0), notes.HostSums(101, 0, 1, 9, 1e12, 1, notes.LoadReport()),
-            notes.HostSums(100, 0, 4, 0, math.nan, 1, notes.LoadReport(inflight=math.nan)),
-            notes.HostSums(100, 1, 4, 0, math.inf, 1, notes.LoadReport(inflight=math.inf))]
+    return [
+        notes.HostSums(9999, 0, 3, 1, 1.0, 0, None),
+        notes.HostSums(100, 2, 0, 5, 0.0, 0, None),
+        notes.Applied(77, 3, 0),
+        notes.ProxyLeft(78),
+        notes.TimerDue(rng.randrange(9)),
+        notes.PeerMessage(1, b"?"),
+        notes.ProbeResult(9999, Outcome.SILENT, 1, None),
+        notes.ProxyTraffic(50, 0, 0, 0, 0),
+        notes.HostSums(101, 0, 1, 9, 1e12, 1, notes.LoadReport()),
+        notes.HostSums(100, 0, 4, 0, math.nan, 1, notes.LoadReport(inflight=math.nan)),
+        notes.HostSums(100, 1, 4, 0, math.inf, 1, notes.LoadReport(inflight=math.inf)),
+    ]
 
 
 def generated_day(bench: Bench, rng: random.Random, steps: int) -> None:
@@ -493,7 +582,9 @@
                 zones.setdefault(host + 10, rng.randrange(3))
                 bench.give(changes(entry(host + 10, READY, zones[host + 10], started_us=bench.now)))
             case 3:
-                bench.give(*[notes.ProxyJoined(p, p % 3, 1.0, False) for p in range(bench.facts.proxies)])
+                bench.give(
+                    *[notes.ProxyJoined(p, p % 3, 1.0, False) for p in range(bench.facts.proxies)]
+                )
             case 4:
                 bench.give(notes.ProxyJoined(proxy, proxy % 3, 1.0, True), notes.ProxyLeft(proxy))
             case 5:
@@ -502,19 +593,35 @@
             case 6:
                 bench.give(*odd_notes(rng))
             case _:
-                feed(bench, rng.randint(1, 3), time_ms=lambda _: math.exp(rng.gauss(5.5, 1.0)),
-                     voided=lambda _: rng.choice([0, 0, 0, 8]), inflight=rng.uniform(0, 20))
-                bench.give(*[notes.ProbeResult(h, rng.choice(list(Outcome)), 1000, None) for h in zones])
+                feed(
+                    bench,
+                    rng.randint(1, 3),
+                    time_ms=lambda _: math.exp(rng.gauss(5.5, 1.0)),
+                    voided=lambda _: rng.choice([0, 0, 0, 8]),
+                    inflight=rng.uniform(0, 20),
+                )
+                bench.give(
+                    *[notes.ProbeResult(h, rng.choice(list(Outcome)), 1000, None) for h in zones]
+                )
 
 
 @pytest.mark.parametrize("seed", range(12))
 def test_generated_days_keep_the_rules(seed):
     rng = random.Random(seed)
-    products = rng.choice([(product(),), (product(), product(zones=(0, 1))),
-                           (product(own_zone=True), product(kinds=(0,)))])
-    facts = start_facts(products=products, reports=rng.choice(list(ReportWay)),
-                        level_unit=rng.choice(list(LevelUnit)), may_probe=rng.random() < 0.7,
-                        messages_most=rng.choice([0, 12]))
+    products = rng.choice(
+        [
+            (product(),),
+            (product(), product(zones=(0, 1))),
+            (product(own_zone=True), product(kinds=(0,))),
+        ]
+    )
+    facts = start_facts(
+        products=products,
+        reports=rng.choice(list(ReportWay)),
+        level_unit=rng.choice(list(LevelUnit)),
+        may_probe=rng.random() < 0.7,
+        messages_most=rng.choice([0, 12]),
+    )
     generated_day(Bench(facts, speed=rng.choice([1.0, 0.4])), rng, 50)
 
 
@@ -526,8 +633,13 @@
         bench = Bench(start_facts(stewards=20), steward=Controller(start_facts(stewards=20), seed))
         bench.give(full(*[entry(host, zone=host % 3, started_us=bench.now) for host in total]))
         bench.give(*[notes.ProxyJoined(p, p % 3, 10.0, True) for p in range(4)])
-        bench.give(*[notes.ProbeResult(host, Outcome.ANSWERED, took[host], None, age_us=SECOND)
-                     for host in total if rng.random() < 0.9])
+        bench.give(
+            *[
+                notes.ProbeResult(host, Outcome.ANSWERED, took[host], None, age_us=SECOND)
+                for host in total
+                if rng.random() < 0.9
+            ]
+        )
         bench.pass_time(SECOND)
         lines = bench.lines[0]
         for host, weight in lines.items():
@@ -540,8 +652,16 @@
     """Stewards of a fleet in which to bind all proxies to whole tables takes half a minute."""
     benches = []
     for rank in range(stewards):
-        told = start_facts(steward=rank, stewards=stewards, proxies=stewards * 60, lines_per_s=500.0,
-                           queue_cap=40_000, grace_us=12 * SECOND, bare_us=60 * SECOND, may_probe=False)
+        told = start_facts(
+            steward=rank,
+            stewards=stewards,
+            proxies=stewards * 60,
+            lines_per_s=500.0,
+            queue_cap=40_000,
+            grace_us=12 * SECOND,
+            bare_us=60 * SECOND,
+            may_probe=False,
+        )
         bench = Bench(told, steward=Controller(told, rank))
         bench.give(full(*[entry(100 + i, zone=i % 3, kind=i % 2) for i in range(hosts)]))
         bench.give(*[notes.ProxyJoined(p, p % 3, 10.0, True) for p in range(joined)])
@@ -561,7 +681,9 @@
     bench.give(changes(entry(hosts[0], GONE, zone=(hosts[0] - 100) % 3)))
     bench.pass_time(2 * SECOND)
     after = set(bench.lines[0])
-    assert hosts[0] in before - after and len(before ^ after) <= 4  # the arc's ends alone have moved
+    assert (
+        hosts[0] in before - after and len(before ^ after) <= 4
+    )  # the arc's ends alone have moved
 
 
 def test_a_controller_that_gets_all_proxies_keeps_its_subset_and_a_small_fleet_has_whole_tables():
@@ -579,8 +701,16 @@
 
 def test_a_subset_is_as_large_as_can_be_bound_in_time():
     """Guards against whole tables that take longer to hand out than a drain may, after a restart."""
-    told = start_facts(steward=1, stewards=4, proxies=240, lines_per_s=2000.0, queue_cap=40_000,
-                       grace_us=12 * SECOND, bare_us=60 * SECOND, may_probe=False)
+    told = start_facts(
+        steward=1,
+        stewards=4,
+        proxies=240,
+        lines_per_s=2000.0,
+        queue_cap=40_000,
+        grace_us=12 * SECOND,
+        bare_us=60 * SECOND,
+        may_probe=False,
+    )
     sizes = {}
     for grace_s in (12, 3):
         facts = replace(told, grace_us=grace_s * SECOND)
@@ -599,9 +729,16 @@
     for stewards, lines_per_s in ((5, 2000.0), (2, 500.0)):
         held: list[int] = []
         for rank in range(stewards):
-            told = start_facts(steward=rank, stewards=stewards, proxies=stewards * 60, may_probe=False,
-                               lines_per_s=lines_per_s, queue_cap=40_000, grace_us=12 * SECOND,
-                               bare_us=60 * SECOND)
+            told = start_facts(
+                steward=rank,
+                stewards=stewards,
+                proxies=stewards * 60,
+                may_probe=False,
+                lines_per_s=lines_per_s,
+                queue_cap=40_000,
+                grace_us=12 * SECOND,
+                bare_us=60 * SECOND,
+            )
             bench = Bench(told, steward=Controller(told, rank))
             bench.give(full(*[entry(100 + n, zone=n % 3) for n in range(200)]))
             bench.give(*[notes.ProxyJoined(p, p % 3, 10.0, True) for p in range(4)])
@@ -631,7 +768,9 @@
     mine = set(bench.lines[0])
     feed(bench, 8, skip=tuple(set(bench.hosts) - mine))
     fleet = bench.steward.fleet
-    assert fleet.outside_subset and not any(bench.steward.hosts[i].silent() for i in fleet.outside_subset)
+    assert fleet.outside_subset and not any(
+        bench.steward.hosts[i].silent() for i in fleet.outside_subset
+    )
     mean = sum(fleet.weight[i] for i in fleet.outside_subset) / len(fleet.outside_subset)
     assert not any(fleet.shut) and mean == pytest.approx(1.0, abs=0.01)
 
@@ -663,8 +802,10 @@
         case "flapping":
             return [notes.StewardSeen(rng.randrange(3), state) for state in (gone, alive) * 3]
         case "lying":
-            return [notes.StewardSeen(rng.randrange(-9, 2**40), rng.choice(list(notes.StewardState)))
-                    for _ in range(50)]
+            return [
+                notes.StewardSeen(rng.randrange(-9, 2**40), rng.choice(list(notes.StewardState)))
+                for _ in range(50)
+            ]
         case _:
             return [notes.StewardSeen(1, alive)]  # of one that is gone
 
@@ -674,6 +815,7 @@
 def test_no_rule_rests_on_what_membership_says(kind, seed):
     """Orders are the same to the letter, so each rule is kept as it was; the bench objects to breaks
     besides."""
+
     class Told(Bench):
         def give(self, *batch: notes.Note) -> list[orders.Order]:
             return super().give(*views_of_stewards(kind, random.Random(self.now)), *batch)
@@ -688,8 +830,13 @@
 def large_bench(seed: int, order: float = 0.02) -> tuple[Bench, random.Random]:
     """All proxies on one steward, whose channel may be slow: every bind is half a hundred lines."""
     rng = random.Random(seed)
-    facts = start_facts(proxies=100, queue_cap=4000, grace_us=7 * SECOND, bare_us=12 * SECOND,
-                        prices=Prices(order=order))
+    facts = start_facts(
+        proxies=100,
+        queue_cap=4000,
+        grace_us=7 * SECOND,
+        bare_us=12 * SECOND,
+        prices=Prices(order=order),
+    )
     bench = Bench(facts, speed=rng.choice([1.0, 0.7]))
     bench.give(full(*[entry(100 + i, zone=i % 3) for i in range(60)]))
     bench.give(*[notes.ProxyJoined(p, p % 3, rng.uniform(1, 9), True) for p in range(100)])
@@ -703,10 +850,18 @@
         host = rng.randrange(100, 150)
         match rng.randrange(3):
             case 0:
-                bench.give(changes(*[entry(host + i, GONE, (host + i - 100) % 3) for i in range(10)]))
+                bench.give(
+                    changes(*[entry(host + i, GONE, (host + i - 100) % 3) for i in range(10)])
+                )
             case 1:
-                bench.give(changes(*[entry(host + i, READY, (host + i - 100) % 3, started_us=bench.now)
-                                     for i in range(10)]))
+                bench.give(
+                    changes(
+                        *[
+                            entry(host + i, READY, (host + i - 100) % 3, started_us=bench.now)
+                            for i in range(10)
+                        ]
+                    )
+                )
             case _:
                 again = rng.sample(range(100), 50)
                 bench.give(*[notes.ProxyLeft(p) for p in again])
@@ -759,8 +914,14 @@
 
 def test_proxies_on_standing_tables_are_bound_while_slots_move_and_a_tenth_of_their_zone_is_gone():
     """Guards against proxies left with nobody to pick: slots filled the channel, turn after turn."""
-    facts = start_facts(lines_per_s=600.0, queue_cap=6000, grace_us=20 * SECOND, way_us=400_000, proxies=60,
-                        may_probe=False)
+    facts = start_facts(
+        lines_per_s=600.0,
+        queue_cap=6000,
+        grace_us=20 * SECOND,
+        way_us=400_000,
+        proxies=60,
+        may_probe=False,
+    )
     bench = Bench(facts, steward=Controller(facts, 3))
     bench.give(full(*[entry(100 + n, zone=n % 3) for n in range(60)]))
     bench.give(*[notes.ProxyJoined(p, p % 3, 10.0 / (1 + p), True) for p in range(40)])
@@ -769,16 +930,29 @@
         if turn in (2, 4):
             gone += range(100 + 9 * (turn // 2 - 1), 109 + 9 * (turn // 2 - 1))
             bench.give(changes(*[entry(host, DRAINING, zone=(host - 100) % 3) for host in gone]))
-        bench.give(*[notes.HostSums(host, 0, 40, 0, 200_000 * (1 + (host + turn) % 7), SECOND, None)
-                     for host in range(100, 160) if host not in gone])
+        bench.give(
+            *[
+                notes.HostSums(host, 0, 40, 0, 200_000 * (1 + (host + turn) % 7), SECOND, None)
+                for host in range(100, 160)
+                if host not in gone
+            ]
+        )
         bench.pass_time(SECOND)
     assert not bench.steward.publisher.unbound
 
 
 def test_a_table_of_a_part_widens_until_it_holds_enough_warm_hosts():
     """Guards against whole tables, which take minutes to bind, after half of the hosts were replaced."""
-    told = start_facts(steward=1, stewards=5, proxies=300, lines_per_s=500.0, queue_cap=40_000,
-                       grace_us=12 * SECOND, bare_us=60 * SECOND, may_probe=False)
+    told = start_facts(
+        steward=1,
+        stewards=5,
+        proxies=300,
+        lines_per_s=500.0,
+        queue_cap=40_000,
+        grace_us=12 * SECOND,
+        bare_us=60 * SECOND,
+        may_probe=False,
+    )
     bench = Bench(told, steward=Controller(told, 1))
     new = bench.now - SECOND
     bench.give(full(*[entry(100 + n, zone=n % 3, started_us=new * (n % 2)) for n in range(200)]))
@@ -789,8 +963,14 @@
 
 def test_who_comes_from_elsewhere_is_told_of_the_newest_drains_at_once_and_of_each_once():
     """Guards against the last drains of a steward that ended, which nobody told its proxies of in time."""
-    facts = start_facts(lines_per_s=800.0, queue_cap=6000, grace_us=4 * SECOND, way_us=100_000, proxies=60,
-                        may_probe=False)
+    facts = start_facts(
+        lines_per_s=800.0,
+        queue_cap=6000,
+        grace_us=4 * SECOND,
+        way_us=100_000,
+        proxies=60,
+        may_probe=False,
+    )
     bench = Bench(facts, steward=Controller(facts, 3))
     bench.give(full(*[entry(100 + n, zone=n % 3) for n in range(120)]))
     bench.give(*[notes.ProxyJoined(p, p % 3, 10.0, True) for p in range(4)])
@@ -801,18 +981,31 @@
     bench.pass_time(SECOND // 5)
     bench.log.clear()
     for first in (10, 30):  # they come within a second, as another steward ends
-        bench.give(*[notes.ProxyJoined(proxy, proxy % 3, 10.0, False) for proxy in range(first, first + 20)])
+        bench.give(
+            *[
+                notes.ProxyJoined(proxy, proxy % 3, 10.0, False)
+                for proxy in range(first, first + 20)
+            ]
+        )
         bench.pass_time(SECOND // 2)
     told = [order.host for order in bench.log if isinstance(order, orders.Withdraw) and order.out]
     assert set(told[:20]) == set(range(100, 120))
     publisher = bench.steward.publisher
-    assert publisher.unbound and all(publisher.knows[publisher.fleet.index[host]] for host in range(100, 120))
+    assert publisher.unbound and all(
+        publisher.knows[publisher.fleet.index[host]] for host in range(100, 120)
+    )
 
 
 def test_hosts_that_return_are_let_back_only_as_the_channel_has_room():
     """Guards against a channel filled past its cap: a zone returns while hundreds of proxies wait."""
-    facts = start_facts(proxies=100, queue_cap=1500, lines_per_s=1000.0, grace_us=20 * SECOND,
-                        bare_us=60 * SECOND, may_probe=False)
+    facts = start_facts(
+        proxies=100,
+        queue_cap=1500,
+        lines_per_s=1000.0,
+        grace_us=20 * SECOND,
+        bare_us=60 * SECOND,
+        may_probe=False,
+    )
     bench = Bench(facts, steward=Controller(facts, 3))
     bench.give(full(*[entry(100 + n, zone=n % 3) for n in range(60)]))
     bench.give(*[notes.ProxyJoined(0, 0, 10.0, True)])
@@ -836,7 +1029,10 @@
     bench.give(*[notes.ProxyJoined(p, p % 3, 5.0, True) for p in range(100)])
     bench.pass_time(8 * SECOND)
     publisher = bench.steward.publisher
-    publisher.round, publisher.written_us = 0.0, bench.now  # as if it had just written, and more still waits
+    publisher.round, publisher.written_us = (
+        0.0,
+        bench.now,
+    )  # as if it had just written, and more still waits
     publisher.channel.charge([0], 1)
     bench.steward.fleet.shut[0] = True
     bench.pass_time(SECOND // 2)
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -63,9 +63,12 @@
 # Streams
 
 
-@pytest.mark.parametrize("how", ["ends", "reset", "replaced", "speaks and ends", "speaks and is replaced"])
+@pytest.mark.parametrize(
+    "how", ["ends", "reset", "replaced", "speaks and ends", "speaks and is replaced"]
+)
 def test_a_stream_that_fell_silent_is_told_as_left_once(how):
     """Guards against one end that counts twice among those that break together."""
+
     async def scene(stage: Stage) -> None:
         notes_told = told(stage)
         proxy = await silent(stage)
@@ -85,7 +88,9 @@
         twice = how.startswith("speaks")
         assert kinds.count("ProxyLeft") == 1 + twice
         assert kinds.count("ProxyJoined") == 1 + twice + ("replaced" in how)
-        assert kinds == ["ProxyJoined", "ProxyLeft"] * (len(kinds) // 2) + ["ProxyJoined"] * (len(kinds) % 2)
+        assert kinds == ["ProxyJoined", "ProxyLeft"] * (len(kinds) // 2) + ["ProxyJoined"] * (
+            len(kinds) % 2
+        )
 
     play(scene)
 
@@ -133,8 +138,12 @@
 
 def test_joins_of_one_proxy_without_end_are_no_streams_that_break_together():
     """Guards against an alarm, in which one probe shuts a host, that a single proxy can raise."""
+
     async def scene(stage: Stage) -> None:
-        fleet, publisher = stage.service.router.steward.fleet, stage.service.router.steward.publisher
+        fleet, publisher = (
+            stage.service.router.steward.fleet,
+            stage.service.router.steward.publisher,
+        )
         for _ in range(40):
             await (await stage.dial(RETURNED)).hear()
         assert list(publisher.zone_of) == [3] and len(stage.service.listener.streams.by_proxy) == 1
@@ -157,7 +166,7 @@
         late = await stage.dial()
         late.writer.write(HELLO[:-1].encode())
         await stage.until(lambda: stage.counts["taken.bytes"] == len(HELLO) - 1)
-        peer, = listens.peers
+        (peer,) = listens.peers
         peer.since -= listener.STRANGER_S
         late.writer.write(b"1\r\n")
         listens.sweep()
@@ -179,7 +188,9 @@
         listens.streams.silent_s = 60.0
         news = list[Caller]()
         for proxy in range(6):
-            news.append(await stage.dial())  # its first word comes later than room has to be found for it
+            news.append(
+                await stage.dial()
+            )  # its first word comes later than room has to be found for it
             await stage.until(lambda: len(listens.strangers) == 1)
             news[-1].say(RETURNED.replace("=3", f"={proxy}"))
             assert await news[-1].hear("replace=1")
@@ -196,7 +207,9 @@
         collector.say(sums)
         await stage.until(lambda: stage.counts["taken.host"] == 1)
         flood = [await stage.dial("agent locality=a") for _ in range(100)]
-        await stage.until(lambda: stage.counts["taken.collector"] == 101 and len(listens.peers) < 10)
+        await stage.until(
+            lambda: stage.counts["taken.collector"] == 101 and len(listens.peers) < 10
+        )
         assert await flood[0].is_ended()
         collector.say(sums)
         await stage.until(lambda: stage.counts["taken.host"] == 2)
@@ -242,28 +255,41 @@
             writer.close()
         elif then == "reset":
             writer.transport.abort()
+
     return fault
 
 
 FAULTS: dict[str, Callable[[asyncio.StreamWriter], Awaitable[None]]] = {
-    "hangs after the dial": write(b""), "hangs after the head": write(HEAD),
+    "hangs after the dial": write(b""),
+    "hangs after the head": write(HEAD),
     "hangs in a line": write(HEAD + chunk(DRAINED[:30])),
     "hangs after whole lines": write(HEAD + chunk(b"\n")),
-    "ends after the head": write(HEAD, "fin"), "ends in a line": write(HEAD + chunk(DRAINED[:30]), "fin"),
-    "is reset in a line": write(HEAD + chunk(DRAINED[:30]), "reset"), "is reset at once": write(b"", "reset"),
+    "ends after the head": write(HEAD, "fin"),
+    "ends in a line": write(HEAD + chunk(DRAINED[:30]), "fin"),
+    "is reset in a line": write(HEAD + chunk(DRAINED[:30]), "reset"),
+    "is reset at once": write(b"", "reset"),
     "drips in a line": lambda writer: drip(writer, HEAD, chunk(b" ")),
     "drips in the head": lambda writer: drip(writer, b"HTTP/1.1 200 OK\r\nX-Slow: ", b"x"),
     "drips heads to come": lambda writer: drip(writer, b"", b"HTTP/1.1 100 Continue\r\n\r\n"),
     "says 503": write(b"HTTP/1.1 503 No\r\nContent-Length: 2\r\n\r\nno"),
     "says 503 and hangs": write(b"HTTP/1.1 503 No\r\nContent-Length: 2\r\n\r\n"),
-    "redirects": write(b"HTTP/1.1 302 Found\r\nLocation: http://127.0.0.1:9/\r\nContent-Length: 0\r\n\r\n"),
-    "has a wrong length": write(b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n" + DRAINED[:5], "fin"),
+    "redirects": write(
+        b"HTTP/1.1 302 Found\r\nLocation: http://127.0.0.1:9/\r\nContent-Length: 0\r\n\r\n"
+    ),
+    "has a wrong length": write(
+        b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n" + DRAINED[:5], "fin"
+    ),
     "has a line too long": write(HEAD + chunk(b"x" * 9_000_000)),
-    "is nonsense": write(b"\x16\x03\x01\x02\x00\x01\r\n\r\n"), "is no list": write(HEAD + chunk(b"[3]\n"))}
+    "is nonsense": write(b"\x16\x03\x01\x02\x00\x01\r\n\r\n"),
+    "is no list": write(HEAD + chunk(b"[3]\n")),
+}
 
 
-def play_fault(fault: str, scene: Callable[[Stage, Held], Awaitable[None]], log: list[bytes]) -> None:
+def play_fault(
+    fault: str, scene: Callable[[Stage, Held], Awaitable[None]], log: list[bytes]
+) -> None:
     """The scene with an agent whose first call meets the fault."""
+
     async def inner(stage: Stage) -> None:
         held = Held(FAULTS[fault])
         async with await asyncio.start_server(held.serve, "127.0.0.1", 0) as server:
@@ -337,7 +363,9 @@
         proxy = await stage.dial(HELLO)
         await proxy.hear("replace=1")
         path.write_bytes(config(int(stage.service.boot.discovery.rpartition(":")[2])))
-        stage.service.boot = replace(stage.service.boot, discovery="127.0.0.1:1")  # as if it had been there
+        stage.service.boot = replace(
+            stage.service.boot, discovery="127.0.0.1:1"
+        )  # as if it had been there
         while not stage.agent.watches.empty():
             stage.agent.watches.get_nowait()
         os.kill(os.getpid(), signal.SIGHUP)
@@ -351,7 +379,9 @@
 # Probes
 
 
-def play_probe(act: Callable[[Stage, asyncio.StreamWriter], Awaitable[None]]) -> list[notes.ProbeResult]:
+def play_probe(
+    act: Callable[[Stage, asyncio.StreamWriter], Awaitable[None]],
+) -> list[notes.ProbeResult]:
     """One probe of host 0, whose stand-in holds its answer until `act` has been called."""
     results = list[notes.ProbeResult]()
 
@@ -366,8 +396,12 @@
 
         async with await asyncio.start_server(serve, "127.0.0.1", 0) as server:
             prober = stage.service.prober
-            prober.put = lambda note: results.append(note) if isinstance(note, notes.ProbeResult) else None
-            stage.service.directory.hosts[0].address = "127.0.0.1:%d" % server.sockets[0].getsockname()[1]
+            prober.put = lambda note: (
+                results.append(note) if isinstance(note, notes.ProbeResult) else None
+            )
+            stage.service.directory.hosts[0].address = (
+                "127.0.0.1:%d" % server.sockets[0].getsockname()[1]
+            )
             prober.probe(0)
             await act(stage, await asked.get())
             await stage.until(lambda: not prober.busy)
@@ -380,10 +414,13 @@
     writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 
 
-@pytest.mark.parametrize("change", ["restarted", "moved", "forgotten", "forgotten, and another of its name"])
+@pytest.mark.parametrize(
+    "change", ["restarted", "moved", "forgotten", "forgotten, and another of its name"]
+)
 @pytest.mark.parametrize("ends", ["answers", "breaks"])
 def test_a_probes_end_after_its_host_has_changed_counts_for_nobody(change, ends):
     """Guards against the word of an old process that is held for, or against, the new one."""
+
     async def act(stage: Stage, writer: asyncio.StreamWriter) -> None:
         directory = stage.service.directory
         known = directory.hosts[0]
@@ -407,23 +444,27 @@
         limits = stage.service.prober.limits
         assert time.monotonic() - began < limits.dial_s + limits.quiet_s + 1.0
 
-    result, = play_probe(act)
+    (result,) = play_probe(act)
     assert result.outcome is Outcome.SILENT
 
 
 def test_a_pause_of_the_stewards_own_is_not_held_against_a_host():
     """Guards against hosts taken for silent, or out of reach, because this process stood still."""
+
     async def act(stage: Stage, writer: asyncio.StreamWriter) -> None:
         limits = stage.service.prober.limits
-        time.sleep(1.2 * (limits.dial_s + limits.quiet_s))  # the loop stands still, timers become due
+        time.sleep(
+            1.2 * (limits.dial_s + limits.quiet_s)
+        )  # the loop stands still, timers become due
         answer(writer)
 
-    result, = play_probe(act)
+    (result,) = play_probe(act)
     assert result.outcome is Outcome.ANSWERED
 
 
-@pytest.mark.parametrize("pause_s, after_s, in_time", [
-    (0.0, 0.4, False), (0.6, 0.05, True), (0.6, 0.9, False)])
+@pytest.mark.parametrize(
+    "pause_s, after_s, in_time", [(0.0, 0.4, False), (0.6, 0.05, True), (0.6, 0.9, False)]
+)
 def test_patience_is_as_long_again_as_its_own_timer_was_late(pause_s, after_s, in_time):
     async def run() -> bool:
         loop, came = asyncio.get_running_loop(), asyncio.Event()
@@ -445,8 +486,9 @@
 @contextmanager
 def started(path: Path, **more: object) -> Iterator[subprocess.Popen]:
     env = {**os.environ, "GW_CONFIG": str(path)}
-    with subprocess.Popen([sys.executable, "-m", "plankroute"], env=env, stderr=subprocess.PIPE,
-                          **more) as steward:  # type: ignore[call-overload]
+    with subprocess.Popen(
+        [sys.executable, "-m", "plankroute"], env=env, stderr=subprocess.PIPE, **more
+    ) as steward:  # type: ignore[call-overload]
         yield steward
         steward.kill()
 
@@ -543,9 +585,11 @@
 def test_sigterm_with_lines_waiting_and_half_a_message_said(tmp_path):
     """No whole line goes out in part: what a proxy has at the end ends with a line's end, or is no line."""
     port = free_port()
-    with (process(tmp_path / "config.json", config(discovery=9, listen=port)) as steward,
-          socket.create_connection(("127.0.0.1", port)) as proxy,
-          socket.create_connection(("127.0.0.1", port)) as half):
+    with (
+        process(tmp_path / "config.json", config(discovery=9, listen=port)) as steward,
+        socket.create_connection(("127.0.0.1", port)) as proxy,
+        socket.create_connection(("127.0.0.1", port)) as half,
+    ):
         proxy.sendall((HELLO + "\r\n").encode())
         half.sendall(HELLO[:-3].replace("=3", "=4").encode())
         bound = proxy.recv(65536)
@@ -559,7 +603,9 @@
             while more := proxy.recv(65536):
                 rest += more
         events = [line["event"] for line in last_lines(steward)]
-        assert time.monotonic() - began < 0.7 + 1.0  # a slow machine's second; it takes a few hundredths
+        assert (
+            time.monotonic() - began < 0.7 + 1.0
+        )  # a slow machine's second; it takes a few hundredths
     assert all(line.startswith("push ") for line in (bound + rest).decode().split("\r\n")[:-1])
     assert events[-1] == "ended"
 
@@ -577,7 +623,9 @@
             while len(back) < 9:  # as the proxies do: again until it is there
                 with suppress(OSError):
                     back.append(socket.create_connection(("127.0.0.1", port), 10))
-                    back[-1].sendall((RETURNED.replace("=3", f"={len(back) - 1}") + "\r\n").encode())
+                    back[-1].sendall(
+                        (RETURNED.replace("=3", f"={len(back) - 1}") + "\r\n").encode()
+                    )
             assert ask(port) == b"alive\r\n"
             took.append(time.monotonic() - began)
             if len(took) % 2:
@@ -591,6 +639,8 @@
     for old in proxies:
         old.close()
     took.sort()
-    print(f"ready after, s: median {took[len(took) // 2]:.2f}, nine in ten {took[int(0.9 * len(took))]:.2f}, "
-          f"worst {took[-1]:.2f}")
+    print(
+        f"ready after, s: median {took[len(took) // 2]:.2f}, nine in ten {took[int(0.9 * len(took))]:.2f}, "
+        f"worst {took[-1]:.2f}"
+    )
     assert took[int(0.9 * len(took))] < 10.0
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -13,24 +13,38 @@
 
 def run(root: Path, listed: str | None) -> tuple[int, str]:
     (root / "tests").mkdir()
-    (root / "pytest.ini").write_text("[pytest]\ntestpaths = tests\naddopts = -q -p no:cacheprovider\n")
+    (root / "pytest.ini").write_text(
+        "[pytest]\ntestpaths = tests\naddopts = -q -p no:cacheprovider\n"
+    )
     (root / "tests" / "test_two.py").write_text(TESTS)
     shutil.copy(Path(__file__).with_name("conftest.py"), root / "tests")
     if listed is not None:
         (root / "KNOWN-RED.txt").write_text(listed)
-    done = subprocess.run([sys.executable, "-m", "pytest"], cwd=root, capture_output=True, text=True,
-                          timeout=60, check=False)
+    done = subprocess.run(
+        [sys.executable, "-m", "pytest"],
+        cwd=root,
+        capture_output=True,
+        text=True,
+        timeout=60,
+        check=False,
+    )
     return done.returncode, done.stdout + done.stderr
 
 
-@pytest.mark.parametrize("listed, status, said", [
-    (None, 1, "1 failed, 1 passed"),
-    (GOOD_LINE, 0, "test_fails: the channel's books forget a mark (issue 7)"),
-    (GOOD_LINE.replace("fails", "good"), 1, "2 failed"),
-    (GOOD_LINE.replace("fails", "gone"), 4, "there is no test tests/test_two.py::test_gone"),
-    (GOOD_LINE.replace(" | issue 7", ""), 4, "line 1 is not 'test | cause | issue N'"),
-    ("\n" + GOOD_LINE, 4, "line 1 is not"),
-    (GOOD_LINE * 4, 4, "4 lines, 3 at most")])
-def test_a_listed_test_fails_and_is_printed_and_a_wrong_list_fails_the_run(tmp_path, listed, status, said):
+@pytest.mark.parametrize(
+    "listed, status, said",
+    [
+        (None, 1, "1 failed, 1 passed"),
+        (GOOD_LINE, 0, "test_fails: the channel's books forget a mark (issue 7)"),
+        (GOOD_LINE.replace("fails", "good"), 1, "2 failed"),
+        (GOOD_LINE.replace("fails", "gone"), 4, "there is no test tests/test_two.py::test_gone"),
+        (GOOD_LINE.replace(" | issue 7", ""), 4, "line 1 is not 'test | cause | issue N'"),
+        ("\n" + GOOD_LINE, 4, "line 1 is not"),
+        (GOOD_LINE * 4, 4, "4 lines, 3 at most"),
+    ],
+)
+def test_a_listed_test_fails_and_is_printed_and_a_wrong_list_fails_the_run(
+    tmp_path, listed, status, said
+):
     returned, text = run(tmp_path, listed)
     assert returned == status and said in text, text
--- a/tests/test_learned.py
+++ b/tests/test_learned.py
@@ -21,9 +21,27 @@
 from plankroute.lab.kills import run_kills
 from plankroute.lab.processes import Fleet, Plan
 from plankroute.lab.restart import run_ways
-from plankroute.learned.codec import (HEADER, MOST_BYTES, Kept, Unusable, check_of, read_file, read_view,
-                                      write_file, write_view)
-from plankroute.learned.core import HALF_US, Close, Learned, LearnedFacts, Listed, Noted, Teach, ViewCame
+from plankroute.learned.codec import (
+    HEADER,
+    MOST_BYTES,
+    Kept,
+    Unusable,
+    check_of,
+    read_file,
+    read_view,
+    write_file,
+    write_view,
+)
+from plankroute.learned.core import (
+    HALF_US,
+    Close,
+    Learned,
+    LearnedFacts,
+    Listed,
+    Noted,
+    Teach,
+    ViewCame,
+)
 from plankroute.learned.facts import HostFacts, View
 from plankroute.learned.merge import Heard, first, join
 from plankroute.net.book import Book, Log
@@ -44,10 +62,17 @@
 # Merging
 
 
-HEARD = st.builds(lambda boot, weight, tries, voided, shut, at: first(Heard(
-    HostFacts("h", boot, weight, tries, voided, 1.0, shut, 2, 0), at)), st.sampled_from([1.0, 2.0]),
-    st.sampled_from([0.1, 1.0]), st.sampled_from([0.0, 5.0, 50.0]), st.sampled_from([0.0, 50.0]),
-    st.booleans(), st.integers(0, 4 * HALF_US))
+HEARD = st.builds(
+    lambda boot, weight, tries, voided, shut, at: first(
+        Heard(HostFacts("h", boot, weight, tries, voided, 1.0, shut, 2, 0), at)
+    ),
+    st.sampled_from([1.0, 2.0]),
+    st.sampled_from([0.1, 1.0]),
+    st.sampled_from([0.0, 5.0, 50.0]),
+    st.sampled_from([0.0, 50.0]),
+    st.booleans(),
+    st.integers(0, 4 * HALF_US),
+)
 
 
 @settings(max_examples=200)
@@ -55,6 +80,7 @@
 def test_views_join_to_the_same_in_any_order_and_any_number_of_times(one, two, three):
     def both(a, b):
         return join(a, b, HALF_US)
+
     assert both(one, one) == one and both(one, two) == both(two, one)
     assert both(both(one, two), three) == both(one, both(two, three))
     assert both(both(one, two), two) == both(one, two)
@@ -71,12 +97,23 @@
 
 
 def taught(core: Learned, now: int, *events) -> list[Teach]:
-    return [action for event in events for action in core.deliver(now, event) if isinstance(action, Teach)]
-
-
-@pytest.mark.parametrize("limit_us, age_us, counts", [
-    (0, 0, False), (900 * SECOND, 899 * SECOND, True), (900 * SECOND, 900 * SECOND, False),
-    (900 * SECOND, 86_400 * SECOND, False)])
+    return [
+        action
+        for event in events
+        for action in core.deliver(now, event)
+        if isinstance(action, Teach)
+    ]
+
+
+@pytest.mark.parametrize(
+    "limit_us, age_us, counts",
+    [
+        (0, 0, False),
+        (900 * SECOND, 899 * SECOND, True),
+        (900 * SECOND, 900 * SECOND, False),
+        (900 * SECOND, 86_400 * SECOND, False),
+    ],
+)
 def test_what_is_older_than_the_limit_counts_for_nothing(limit_us, age_us, counts):
     core = Learned(LearnedFacts(limit_us))
     out = taught(core, 10**12, Listed({"h": 5.0}), ViewCame("file", view(BAD), age_us))
@@ -88,7 +125,7 @@
     assert not taught(core, SECOND, ViewCame("file", view(BAD), 0), Listed({"h": 6.0}))
     core = Learned(LearnedFacts(900 * SECOND))
     assert not taught(core, SECOND, ViewCame("file", view(BAD), 0), Listed({}))
-    told, = taught(core, 2 * SECOND, Listed({"h": 5.0}))
+    (told,) = taught(core, 2 * SECOND, Listed({"h": 5.0}))
     assert told.known.health.facts == BAD and told.health_age_us == SECOND
     assert not taught(core, 3 * SECOND, Listed({"h": 5.0}))  # once
 
@@ -96,20 +133,31 @@
 def test_a_peer_cut_off_for_a_minute_loses_against_a_snapshot_of_two_seconds_ago():
     core = Learned(LearnedFacts(900 * SECOND))
     old = msgspec.structs.replace(BAD, age_us=62 * SECOND)
-    told = taught(core, 1000 * SECOND, Listed({"h": 5.0}), ViewCame("file", view(FACTS), 2 * SECOND),
-                  ViewCame("n1", view(old), 0))
+    told = taught(
+        core,
+        1000 * SECOND,
+        Listed({"h": 5.0}),
+        ViewCame("file", view(FACTS), 2 * SECOND),
+        ViewCame("n1", view(old), 0),
+    )
     assert [one.known.health.facts.is_shut for one in told] == [False]
-    noted = [a for a in core.deliver(1000 * SECOND, ViewCame("n1", view(old), 0)) if isinstance(a, Noted)]
+    noted = [
+        a for a in core.deliver(1000 * SECOND, ViewCame("n1", view(old), 0)) if isinstance(a, Noted)
+    ]
     assert noted == [Noted("n1", 0, 0, 1)]
 
 
 def test_drains_of_either_are_told_with_their_revision():
     core = Learned(LearnedFacts(900 * SECOND))
     one = core.deliver(0, ViewCame("n1", view(revision=9, closed=[("x", "DRAINING")]), 0))
-    other = core.deliver(0, ViewCame("n2", view(revision=8, closed=[("x", "SERVING"), ("y", "DELETED")]), 0))
+    other = core.deliver(
+        0, ViewCame("n2", view(revision=8, closed=[("x", "SERVING"), ("y", "DELETED")]), 0)
+    )
     assert Close("n1", 9, (("x", HostState.DRAINING),)) in one
     assert Close("n2", 8, (("y", GONE),)) in other
-    old = ViewCame("file", view(closed=[("x", "DRAINING")]), 10**15)  # of another service, for all one knows
+    old = ViewCame(
+        "file", view(closed=[("x", "DRAINING")]), 10**15
+    )  # of another service, for all one knows
     assert not any(isinstance(action, Close) for action in core.deliver(0, old))
 
 
@@ -132,7 +180,7 @@
     assert read_file(data, "n1", 7000) == Kept(view(FACTS, BAD), 2 * SECOND)
     for place in range(len(data)):
         for bits in (1, 128, 255):
-            spoilt = data[:place] + bytes([data[place] ^ bits]) + data[place + 1:]
+            spoilt = data[:place] + bytes([data[place] ^ bits]) + data[place + 1 :]
             assert isinstance(read_file(spoilt, "n1", 7000), Unusable), place
         assert read_file(data[:place], "n1", 7000) is Unusable.CUT
     assert read_file(data + b"x", "n1", 7000) is Unusable.CUT
@@ -140,7 +188,10 @@
 
 def with_version(version: int) -> bytes:
     data = write_file(view(FACTS), 5000)
-    head, body = HEADER.pack(b"PKLR", version, 0, len(data) - HEADER.size, 5000, 0), data[HEADER.size:]
+    head, body = (
+        HEADER.pack(b"PKLR", version, 0, len(data) - HEADER.size, 5000, 0),
+        data[HEADER.size :],
+    )
     return head[:-8] + struct.pack("!Q", check_of(head, body)) + body
 
 
@@ -149,7 +200,9 @@
     assert read_file(with_version(0), "n1", 0) is Unusable.OLDER
     assert read_file(write_file(view(FACTS), 0), "n2", 0) is Unusable.OTHERS
     assert read_file(b"x" * (MOST_BYTES + 1), "n1", 0) is Unusable.LARGE
-    assert read_file(write_file(view(FACTS), 10**9), "n1", 0) == Kept(view(FACTS), None)  # a clock set back
+    assert read_file(write_file(view(FACTS), 10**9), "n1", 0) == Kept(
+        view(FACTS), None
+    )  # a clock set back
 
 
 @given(st.binary(max_size=300))
@@ -178,7 +231,7 @@
         if sync:
             self.synced[path] = data
         else:
-            self.synced[path] = data[:self.chance.randrange(len(data))]
+            self.synced[path] = data[: self.chance.randrange(len(data))]
         self.step()
 
     def rename(self, path: Path, to: Path) -> None:
@@ -221,8 +274,11 @@
             if self.fails:
                 raise OSError(28, "No space left on device")
             super().write(path, data)
+
     said, disk = [], Full()
-    saver = Saver(disk, tmp_path / "f", lambda size, error: said.append((size, error and error.errno)))
+    saver = Saver(
+        disk, tmp_path / "f", lambda size, error: said.append((size, error and error.errno))
+    )
     saver.want(lambda: b"one")
     assert saver.idle.wait(10) and said == [(0, 28)]
     disk.fails = False
@@ -276,8 +332,12 @@
 # Decisions
 
 
-def learned(host: int, bad: bool = False, weight: float = 1.0, age_us: int = SECOND) -> notes.HostLearned:
-    return notes.HostLearned(host, weight, 40.0, 40.0 * bad, 20_000.0, bad, 8 if bad else 2, age_us, age_us)
+def learned(
+    host: int, bad: bool = False, weight: float = 1.0, age_us: int = SECOND
+) -> notes.HostLearned:
+    return notes.HostLearned(
+        host, weight, 40.0, 40.0 * bad, 20_000.0, bad, 8 if bad else 2, age_us, age_us
+    )
 
 
 def started(*told: notes.HostLearned, hosts: int = 10, fresh: bool = True) -> Bench:
@@ -286,8 +346,14 @@
     bench.give(full(*[entry(100 + i, zone=i % 3) for i in range(hosts)]), *told)
     asked = probes(bench.give(*[notes.ProxyJoined(p, p % 3, 10.0, fresh) for p in range(4)]))
     bad = {note.host for note in told if note.shut}
-    bench.give(*[notes.ProbeResult(host, Outcome.ERROR if host in bad else Outcome.ANSWERED, 10_000, None)
-                 for host in sorted(asked | bad)])
+    bench.give(
+        *[
+            notes.ProbeResult(
+                host, Outcome.ERROR if host in bad else Outcome.ANSWERED, 10_000, None
+            )
+            for host in sorted(asked | bad)
+        ]
+    )
     bench.pass_time(SECOND // 2)
     return bench
 
@@ -315,14 +381,24 @@
     plain = Bench(start_facts())
     plain.give(full(*[entry(100 + i, zone=i % 3) for i in range(10)]))
     wrong = Bench(start_facts())
-    wrong.give(full(*[entry(100 + i, zone=i % 3) for i in range(10)]),
-               *[learned(100 + i, i < 2, 1.4 if i > 7 else 1.0) for i in range(10)])
+    wrong.give(
+        full(*[entry(100 + i, zone=i % 3) for i in range(10)]),
+        *[learned(100 + i, i < 2, 1.4 if i > 7 else 1.0) for i in range(10)],
+    )
     for bench in (plain, wrong):
         bench.give(*[notes.ProxyJoined(p, p % 3, 10.0, True) for p in range(4)])
-        bench.give(*[notes.ProbeResult(100 + i, Outcome.ERROR if i > 7 else Outcome.ANSWERED, 10_000, None)
-                     for i in range(10)])
+        bench.give(
+            *[
+                notes.ProbeResult(
+                    100 + i, Outcome.ERROR if i > 7 else Outcome.ANSWERED, 10_000, None
+                )
+                for i in range(10)
+            ]
+        )
         bench.pass_time(SECOND // 2)
-    assert wrong.lines[0] == pytest.approx(plain.lines[0], rel=0.05) and not wrong.steward.fleet.told
+    assert (
+        wrong.lines[0] == pytest.approx(plain.lines[0], rel=0.05) and not wrong.steward.fleet.told
+    )
 
 
 def test_news_that_most_hosts_are_bad_shut_a_third_at_most_and_leave_nobody_bare():
@@ -333,10 +409,15 @@
 def test_beside_old_tables_news_may_only_lower_a_weight():
     """Guards against a shunned host that wrong news call good."""
     bench = Bench(start_facts())
-    bench.give(full(*[entry(100 + i, zone=i % 3) for i in range(10)]), learned(109, False, 1.4),
-               learned(101, False, 0.3))
+    bench.give(
+        full(*[entry(100 + i, zone=i % 3) for i in range(10)]),
+        learned(109, False, 1.4),
+        learned(101, False, 0.3),
+    )
     bench.give(*[notes.ProxyJoined(p, p % 3, 10.0, False) for p in range(4)])
-    bench.give(*[notes.HostSums(100 + i, 0, 30 * (i != 9), 0, 20_000.0, SECOND, None) for i in range(10)])
+    bench.give(
+        *[notes.HostSums(100 + i, 0, 30 * (i != 9), 0, 20_000.0, SECOND, None) for i in range(10)]
+    )
     bench.pass_time(SECOND)
     lines = bench.lines[0]
     assert lines[109] < lines[100] / 2 and lines[101] < lines[100] / 2
@@ -350,20 +431,35 @@
     assert bench.lines[0] == before and not any(bench.steward.fleet.shut)
     bench = started(learned(103, True))
     bench.give(changes(entry(103, READY, zone=0, started_us=bench.now)))
-    assert not bench.steward.fleet.shut[bench.steward.fleet.index[103]] and not bench.steward.fleet.told
+    assert (
+        not bench.steward.fleet.shut[bench.steward.fleet.index[103]]
+        and not bench.steward.fleet.told
+    )
 
 
 @pytest.mark.parametrize("seed", range(8))
 def test_no_rule_rests_on_what_was_learned(seed):
     """The bench objects to any break, whatever news come, in any order, at any time."""
+
     class Told(Bench):
         def give(self, *batch):
             rng = random.Random(self.now + seed)
-            told = [notes.HostLearned(rng.randrange(95, 125), rng.choice([0.0, 1e9, rng.random()]),
-                                      rng.choice([0.0, 40.0]), rng.choice([0.0, 40.0]), rng.random() * 1e6,
-                                      rng.random() < 0.7, rng.randrange(1000), rng.randrange(90 * SECOND),
-                                      rng.randrange(90 * SECOND)) for _ in range(6)]
+            told = [
+                notes.HostLearned(
+                    rng.randrange(95, 125),
+                    rng.choice([0.0, 1e9, rng.random()]),
+                    rng.choice([0.0, 40.0]),
+                    rng.choice([0.0, 40.0]),
+                    rng.random() * 1e6,
+                    rng.random() < 0.7,
+                    rng.randrange(1000),
+                    rng.randrange(90 * SECOND),
+                    rng.randrange(90 * SECOND),
+                )
+                for _ in range(6)
+            ]
             return super().give(*told, *batch)
+
     generated_day(Told(start_facts(may_probe=seed % 2 == 0)), random.Random(seed), 40)
 
 
@@ -396,21 +492,32 @@
     return learner, came, took
 
 
-WHOLE = frames_of_view("n1", 5, write_view(view(FACTS, *[msgspec.structs.replace(FACTS, uid=f"h{i}")
-                                                         for i in range(900)])))
-
-
-@pytest.mark.parametrize("frames, ends, views", [
-    (WHOLE, True, 1),
-    (WHOLE[:-1], True, 0),  # it restarts between two pieces: half an answer is none
-    (WHOLE[:-1], False, 0),  # it is paused in the middle
-    ([], False, 0), ([], True, 0),
-    ([*WHOLE[:-1], write_frame(Part(b"x" * 9000))], False, 0),
-    ([write_frame(ViewOf("n1", 0)), write_frame(Begin(0, True, 1 << 40, 1))], False, 0),
-    ([b"\xff" * 50], False, 0),
-    ([*frames_of_view("n1", 0, b"no view at all")], True, 0),
-    ([*frames_of_view("n9", 0, write_view(view(FACTS)))], True, 0),  # one steward's in another's name
-])
+WHOLE = frames_of_view(
+    "n1",
+    5,
+    write_view(view(FACTS, *[msgspec.structs.replace(FACTS, uid=f"h{i}") for i in range(900)])),
+)
+
+
+@pytest.mark.parametrize(
+    "frames, ends, views",
+    [
+        (WHOLE, True, 1),
+        (WHOLE[:-1], True, 0),  # it restarts between two pieces: half an answer is none
+        (WHOLE[:-1], False, 0),  # it is paused in the middle
+        ([], False, 0),
+        ([], True, 0),
+        ([*WHOLE[:-1], write_frame(Part(b"x" * 9000))], False, 0),
+        ([write_frame(ViewOf("n1", 0)), write_frame(Begin(0, True, 1 << 40, 1))], False, 0),
+        ([b"\xff" * 50], False, 0),
+        ([*frames_of_view("n1", 0, b"no view at all")], True, 0),
+        (
+            [*frames_of_view("n9", 0, write_view(view(FACTS)))],
+            True,
+            0,
+        ),  # one steward's in another's name
+    ],
+)
 def test_a_peer_in_trouble_is_left_in_time_and_half_an_answer_is_none(frames, ends, views):
     async def answer(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         for frame in frames:
@@ -419,6 +526,7 @@
             writer.close()
         else:
             await reader.read()
+
     _, came, took = asyncio.run(asked(answer))
     assert len(came) == views and took < 3.0
     if views:
@@ -449,9 +557,16 @@
 def ways():
     async def run():
         return await asyncio.gather(
-            run_ways(("nothing", "snapshot", "peer", "wrong"), net=60, warm_s=12.0, is_killed=True,
-                     proxies_too=True),
-            run_ways(("snapshot", "peer"), net=64, warm_s=12.0))
+            run_ways(
+                ("nothing", "snapshot", "peer", "wrong"),
+                net=60,
+                warm_s=12.0,
+                is_killed=True,
+                proxies_too=True,
+            ),
+            run_ways(("snapshot", "peer"), net=64, warm_s=12.0),
+        )
+
     fresh, stay = asyncio.run(run())
     return {one.way: one for one in fresh}, {one.way: one for one in stay}
 
@@ -473,15 +588,37 @@
     """Three stewards with files and links, and a list of hosts that is handed over."""
 
     def __init__(self, folder: str, net: int) -> None:
-        targets = [{"uid": f"h{host}", "endpoint": "127.0.0.1:9", "az": "a", "model": "m", "pod_group": 0,
-                    "state": "SERVING", "capacity_hint": 1.0, "boot_ms": 0} for host in range(20)]
-        self.fleet = Fleet(Plan(3, Script(1), net, more={
-            "coldstart": {}, "learned": {"folder": folder, "every_s": 0.2}},
-            told={"known": {"rev": 5, "all": True, "targets": targets}}, has_links=True, is_direct=True))
+        targets = [
+            {
+                "uid": f"h{host}",
+                "endpoint": "127.0.0.1:9",
+                "az": "a",
+                "model": "m",
+                "pod_group": 0,
+                "state": "SERVING",
+                "capacity_hint": 1.0,
+                "boot_ms": 0,
+            }
+            for host in range(20)
+        ]
+        self.fleet = Fleet(
+            Plan(
+                3,
+                Script(1),
+                net,
+                more={"coldstart": {}, "learned": {"folder": folder, "every_s": 0.2}},
+                told={"known": {"rev": 5, "all": True, "targets": targets}},
+                has_links=True,
+                is_direct=True,
+            )
+        )
 
     def has(self, member: int, event: str, **facts) -> bool:
-        return any(line.get("event") == event and all(line.get(key) == value for key, value in facts.items())
-                   for line in self.fleet.lines[member])
+        return any(
+            line.get("event") == event
+            and all(line.get(key) == value for key, value in facts.items())
+            for line in self.fleet.lines[member]
+        )
 
     async def wanted(self, holds) -> None:
         assert await self.fleet.until(holds, 60.0), [list(lines)[-8:] for lines in self.fleet.lines]
@@ -496,8 +633,11 @@
         """Sums by which it finds out that a host voids all."""
         reader, writer = await asyncio.open_connection(self.fleet.real[member][0], 7948)
         lines = [b"agent locality=a\r\n"]
-        lines += [b"outcomes locality=a endpoint=h%d total=40 errors=%d rtt=20.0 interval=1000.0\r\n"
-                  % (host, 40 * (host == 7)) for host in range(20)]
+        lines += [
+            b"outcomes locality=a endpoint=h%d total=40 errors=%d rtt=20.0 interval=1000.0\r\n"
+            % (host, 40 * (host == 7))
+            for host in range(20)
+        ]
         writer.write(b"".join(lines))
         await writer.drain()
         self.writer = writer
@@ -511,6 +651,7 @@
 
 def test_three_restarted_one_after_another_and_then_all_at_once(tmp_path):
     """What one found out reaches its successor through the file and a peer, and all of them through files."""
+
     async def run() -> None:
         group = Group(str(tmp_path), 70)
         try:
@@ -525,7 +666,9 @@
                 assert group.has(member, "learned_handed_over")
                 await group.begin([member])
                 await group.wanted(lambda member=member: group.has(member, "learned_asked"))
-            assert group.has(0, "learned_read", hosts=20) and group.has(0, "learned", source="file", taken=20)
+            assert group.has(0, "learned_read", hosts=20) and group.has(
+                0, "learned", source="file", taken=20
+            )
             assert any(group.has(0, "learned_asked", views=views) for views in (1, 2))
             await group.end(range(3), Act.KILL)
             await group.begin(range(3))  # nobody is left to ask
@@ -534,6 +677,7 @@
             assert counters["learned.told"] == 20 and not counters.get("core.failed")
         finally:
             await group.fleet.close()
+
     asyncio.run(run())
 
 
@@ -560,10 +704,16 @@
                 await group.wanted(lambda: group.has(0, "learned_unwritten"))
                 return
             assert group.has(0, "learned_unusable")
-            await group.wanted(lambda: isinstance(read_file(path.read_bytes(), "n0000", 0), Kept)
-                               if path.exists() else False)
+            await group.wanted(
+                lambda: (
+                    isinstance(read_file(path.read_bytes(), "n0000", 0), Kept)
+                    if path.exists()
+                    else False
+                )
+            )
         finally:
             await group.fleet.close()
+
     asyncio.run(run())
     aside = tmp_path / "n0000.learned.aside"
     assert aside.exists() is (what in ("newer", "others"))
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -14,14 +14,31 @@
 from plankroute.membership.codec import HEADER, Codec, Unread
 from plankroute.membership.facts import MOST_DATAGRAM
 from plankroute.membership.health import LATE_US, SETTLE_US, Awake, OwnDoubt
-from plankroute.membership.messages import Change, Heard, News, Piece, Ping, Rest, Send, Told, ViewAsked
+from plankroute.membership.messages import (
+    Change,
+    Heard,
+    News,
+    Piece,
+    Ping,
+    Rest,
+    Send,
+    Told,
+    ViewAsked,
+)
 from plankroute.membership.records import Record, Standing, canonical, join
 from plankroute.membership.views import MOST_MEMBERS, View
 
 RECORDS = st.builds(
-    Record, st.just("n1"), st.sampled_from(["127.0.0.1:1", "127.0.0.1:2"]), st.sampled_from(["a", "b"]),
-    st.integers(0, 2), st.integers(0, 2), st.sampled_from(Standing),
-    st.lists(st.integers(0, 7), max_size=6).map(tuple), st.integers(0, 2)).map(canonical)
+    Record,
+    st.just("n1"),
+    st.sampled_from(["127.0.0.1:1", "127.0.0.1:2"]),
+    st.sampled_from(["a", "b"]),
+    st.integers(0, 2),
+    st.integers(0, 2),
+    st.sampled_from(Standing),
+    st.lists(st.integers(0, 7), max_size=6).map(tuple),
+    st.integers(0, 2),
+).map(canonical)
 
 
 @given(RECORDS, RECORDS, RECORDS)
@@ -33,7 +50,9 @@
 
 
 @settings(max_examples=50)
-@given(st.lists(st.tuples(st.integers(0, 5), RECORDS), max_size=30), st.randoms(use_true_random=False))
+@given(
+    st.lists(st.tuples(st.integers(0, 5), RECORDS), max_size=30), st.randoms(use_true_random=False)
+)
 def test_views_that_heard_the_same_are_equal_and_have_equal_sums(said, chance):
     """Sums are kept by difference: guards against one that drifts from the records that it stands for."""
     named = [msgspec.structs.replace(record, name=f"m{number}") for number, record in said]
@@ -44,8 +63,11 @@
         for record in records:
             view.merge(record, 0)
     assert [{n: v.at(p) for n, p in v.index.items()} for v in views][0] == {
-        n: views[1].at(p) for n, p in views[1].index.items()}
-    assert views[0].bucket_sums() == views[1].bucket_sums() and views[0].digest() == views[1].digest()
+        n: views[1].at(p) for n, p in views[1].index.items()
+    }
+    assert (
+        views[0].bucket_sums() == views[1].bucket_sums() and views[0].digest() == views[1].digest()
+    )
     fresh = View(Record("own", "a:1", "z", 1, 1))
     for place in views[0].index.values():
         fresh.merge(views[0].at(place), 0)
@@ -64,7 +86,9 @@
 
 @pytest.mark.parametrize("loss", [0.0, 0.3])
 def test_a_killed_member_is_found_by_all_and_nobody_else(loss):
-    run = group(12, Rule(loss=loss, twice=0.1, spread_ms=20), steps=(Step(30, Act.KILL, 11),)).run(45)
+    run = group(12, Rule(loss=loss, twice=0.1, spread_ms=20), steps=(Step(30, Act.KILL, 11),)).run(
+        45
+    )
     times = detected(run, 11, 30, range(11))
     assert times[5] < 4 * SECOND and times[-1] < 8 * SECOND
     assert {entry.subject for entry in run.history.of("gone")} == {11}
@@ -84,10 +108,16 @@
     assert not checkers.wrongly_gone(run.history) and detected(run, 15, 35, range(15))
 
 
-@pytest.mark.parametrize("rule", [
-    Rule(20, 40, (3,), None, cut=True), Rule(20, 40, None, (3,), cut=True),
-    Rule(20, 40, (3,), (4, 5, 6, 7), cut=True), Rule(20, 40, (4, 5, 6, 7), (3,), cut=True)],
-    ids=["not heard", "hears not", "not heard by a third", "hears not a third"])
+@pytest.mark.parametrize(
+    "rule",
+    [
+        Rule(20, 40, (3,), None, cut=True),
+        Rule(20, 40, None, (3,), cut=True),
+        Rule(20, 40, (3,), (4, 5, 6, 7), cut=True),
+        Rule(20, 40, (4, 5, 6, 7), (3,), cut=True),
+    ],
+    ids=["not heard", "hears not", "not heard by a third", "hears not a third"],
+)
 def test_a_one_sided_cut_has_one_verdict_that_does_not_flap(rule):
     run = group(12, rule).run(60)
     changes = checkers.verdict_changes(run.history, 20 * SECOND, 40 * SECOND)
@@ -99,23 +129,32 @@
     assert agreed < 5 * SECOND
 
 
-@pytest.mark.parametrize("parts", [
-    (tuple(range(6)), tuple(range(6, 12))), (tuple(range(7)), tuple(range(7, 11)), (11,))])
+@pytest.mark.parametrize(
+    "parts", [(tuple(range(6)), tuple(range(6, 12))), (tuple(range(7)), tuple(range(7, 11)), (11,))]
+)
 def test_a_partition_heals_and_old_verdicts_kill_nobody(parts):
     """Guards against verdicts of the other side: nobody here had suspected those that they name."""
     run = group(12, *partition(parts, 20, 40)).run(60)
     held = checkers.standing_at(run.history, 39 * SECOND)
     for part in parts:
-        assert all(held[one, other] == ("joined" if other in part else "gone")
-                   for one in part for other in range(12) if one != other)
+        assert all(
+            held[one, other] == ("joined" if other in part else "gone")
+            for one in part
+            for other in range(12)
+            if one != other
+        )
     assert not [entry for entry in run.history.of("gone") if entry.at_us > 40 * SECOND]
     assert checkers.agreed_after_us(run.history, 40 * SECOND, range(12)) < 5 * SECOND
     assert not checkers.resurrected(run.history)
 
 
 def test_slow_links_call_nobody_gone():
-    run = group(12, Rule(delay_ms=300, late_share=0.1, late_ms=2000), steps=(Step(40, Act.KILL, 11),)).run(55)
-    assert not checkers.wrongly_gone(run.history) and detected(run, 11, 40, range(11))[-1] < 8 * SECOND
+    run = group(
+        12, Rule(delay_ms=300, late_share=0.1, late_ms=2000), steps=(Step(40, Act.KILL, 11),)
+    ).run(55)
+    assert (
+        not checkers.wrongly_gone(run.history) and detected(run, 11, 40, range(11))[-1] < 8 * SECOND
+    )
 
 
 def test_a_restart_is_a_new_life_and_a_leave_no_failure():
@@ -123,7 +162,10 @@
     run = group(8, steps=steps).run(45)
     lives = {entry.life for entry in run.history.of("joined") if entry.subject == 5}
     assert len(lives) == 2 and not run.history.of("gone")
-    assert max(detected_left := [entry.at_us - 30 * SECOND for entry in run.history.of("left")]) < SECOND
+    assert (
+        max(detected_left := [entry.at_us - 30 * SECOND for entry in run.history.of("left")])
+        < SECOND
+    )
     assert len(detected_left) == 7
 
 
@@ -135,17 +177,20 @@
 
 def test_two_processes_under_one_name_are_said_openly_and_one_yields():
     """The second one has an address of its own; a claim each, so the name does not go to and fro."""
+
     def make(member, life, seed, seeds):
         core = plankroute_member(member, life, seed, seeds)
         if member == 5:  # under the name of member 4
             core = plankroute_member(4, 99, seed + 7, seeds)
             core.view.put(0, msgspec.structs.replace(core.view.own(), address=address_of(5)))
         return core
+
     run = group(6, make=make, start_s=12).run(40)
     assert {entry.observer for entry in run.history.of("doubled")} == {0, 1, 2, 3, 5}
     assert [entry.observer for entry in run.history.of("displaced")] == [4]
-    assert {run.cores[at].view.at(run.cores[at].view.index[name_of(4)]).life
-            for at in (0, 1, 2, 3, 5)} == {(4 << 16) + 99}
+    assert {
+        run.cores[at].view.at(run.cores[at].view.index[name_of(4)]).life for at in (0, 1, 2, 3, 5)
+    } == {(4 << 16) + 99}
     assert not run.history.of("gone")
 
 
@@ -155,8 +200,10 @@
     own, old = Record("n", "a:1", "z", 7, 1000), Record("n", "a:1", "z", 3, 4600)
     reply, raised = claim.hear(own, old, SECOND)
     assert reply is Reply.CLAIMED and raised.incarnation == 4601 and raised.life == 7
-    assert claim.hear(raised, msgspec.structs.replace(old, life=9, incarnation=9000),
-                      SECOND)[0] is Reply.DISPLACED
+    assert (
+        claim.hear(raised, msgspec.structs.replace(old, life=9, incarnation=9000), SECOND)[0]
+        is Reply.DISPLACED
+    )
     assert claim.hear(raised, old, SECOND)[0] is Reply.OLD_LIFE
 
 
@@ -185,7 +232,8 @@
     assert waits == [0, SECOND, 2 * SECOND, 3 * SECOND]
     assert suspicion.wait_us(4, 4, 12, 3 * SECOND) == 3 * SECOND  # a small part
     assert not suspicion.is_verdict(4, True, True, 4, SECOND, 0) and suspicion.is_verdict(
-        5, True, True, 4, SECOND, 0)
+        5, True, True, 4, SECOND, 0
+    )
 
 
 def test_noise_is_told_apart_and_goes_no_further():
@@ -195,17 +243,19 @@
     assert codec.read(good) == News((Record("n", "a:1", "z", 1, 1),))
     assert codec.read(other.write(News(()))) is Unread.GROUP
     assert codec.read(bytes([2]) + good[1:]) is Unread.VERSION
-    assert codec.read(good[:-1]) is Unread.CHECK and codec.read(good[:HEADER.size]) is Unread.SIZE
+    assert codec.read(good[:-1]) is Unread.CHECK and codec.read(good[: HEADER.size]) is Unread.SIZE
     assert codec.read(b"\0" * 65507) is Unread.SIZE and codec.read(b"") is Unread.SIZE
     assert codec.read(forged) is Unread.FORM
     for at in range(len(good)):
-        assert isinstance(codec.read(good[:at] + bytes([good[at] ^ 1]) + good[at + 1:]), Unread)
+        assert isinstance(codec.read(good[:at] + bytes([good[at] ^ 1]) + good[at + 1 :]), Unread)
 
 
 def test_a_million_members_claimed_fill_no_more_than_the_view():
     core = plankroute_member(0, 1, 1, ())
     for start in range(0, 2 * MOST_MEMBERS, 10):
-        records = tuple(Record(f"x{number}", "127.9.0.1:1", "z", 1, 1) for number in range(start, start + 10))
+        records = tuple(
+            Record(f"x{number}", "127.9.0.1:1", "z", 1, 1) for number in range(start, start + 10)
+        )
         core.deliver(SECOND, [Heard("127.9.0.1:1", News(records))])
     assert len(core.view) == MOST_MEMBERS and len(core.rumours.rode) <= 1024
 
@@ -213,14 +263,30 @@
 def test_every_datagram_fits_and_sends_at_once_are_bounded():
     """Also after an exchange of whole views with an operator's question beside it."""
     core = plankroute_member(0, 1, 1, ())
-    records = tuple(Record(f"member-{n:03d}" + "y" * 50, "127.100.200.100:65535", "z" * 40, 1 << 61, 1 << 61,
-                           Standing.SUSPECTED, (1, 2, 3, 4), 1 << 61) for n in range(60))
+    records = tuple(
+        Record(
+            f"member-{n:03d}" + "y" * 50,
+            "127.100.200.100:65535",
+            "z" * 40,
+            1 << 61,
+            1 << 61,
+            Standing.SUSPECTED,
+            (1, 2, 3, 4),
+            1 << 61,
+        )
+        for n in range(60)
+    )
     out = []
     for at in range(0, 60, 5):
-        out += core.deliver(SECOND + at, [Heard("127.0.0.9:1", News(records[at:at + 5]))])
-    out += core.deliver(2 * SECOND, [Heard("127.0.0.9:1", Ping(7, 1, records[0], records[1:4])),
-                                     Heard("127.0.0.9:1", Piece(records[:1], bytes(range(32)))),
-                                     Heard("127.0.0.9:1", ViewAsked(0))])
+        out += core.deliver(SECOND + at, [Heard("127.0.0.9:1", News(records[at : at + 5]))])
+    out += core.deliver(
+        2 * SECOND,
+        [
+            Heard("127.0.0.9:1", Ping(7, 1, records[0], records[1:4])),
+            Heard("127.0.0.9:1", Piece(records[:1], bytes(range(32)))),
+            Heard("127.0.0.9:1", ViewAsked(0)),
+        ],
+    )
     sent = [action for action in out if isinstance(action, Send)]
     assert sent and all(len(CODEC.write(action.said)) <= MOST_DATAGRAM for action in sent)
     assert len(sent) < 80 and isinstance(out[-1], Rest)
--- a/tests/test_messages.py
+++ b/tests/test_messages.py
@@ -81,7 +81,9 @@
                     self.rows[name][host] = float(weight)
                 if "gate" in said:
                     self.levels[name] = (float(said["gate"]), int(said["again"]))
-            shut, back = ([h for h in said.get(key, "").split(",") if h] for key in ("drop", "undrop"))
+            shut, back = (
+                [h for h in said.get(key, "").split(",") if h] for key in ("drop", "undrop")
+            )
             self.shut = (self.shut | set(shut)) - set(back)
             self.stamps += [int(said["stamp"])] if "stamp" in said else []
             self.messages += "part" not in said
@@ -98,7 +100,11 @@
     """One steward's player and writer, beside the replay of its orders."""
 
     def __init__(self) -> None:
-        self.player, self.replay, self.writer = Player(len(PRODUCTS)), Replay(), Writer(PRODUCTS, uid)
+        self.player, self.replay, self.writer = (
+            Player(len(PRODUCTS)),
+            Replay(),
+            Writer(PRODUCTS, uid),
+        )
 
     def join(self, number: int, proxy: Proxy, fresh: bool) -> None:
         self.player.hear(joined(number, fresh))
@@ -118,9 +124,13 @@
             assert proxies[message.proxy].read(self.writer.write(message)) == message.cost()
         for number, bound in self.replay.bound.items():
             for product in bound:
-                wanted = {uid(host): weight for host, weight in self.replay.picks(number, product).items()}
+                wanted = {
+                    uid(host): weight for host, weight in self.replay.picks(number, product).items()
+                }
                 assert proxies[number].picks(product) == wanted
-                assert proxies[number].levels.get(PRODUCTS[product]) == self.replay.level(number, product)
+                assert proxies[number].levels.get(PRODUCTS[product]) == self.replay.level(
+                    number, product
+                )
         return messages
 
 
@@ -130,15 +140,25 @@
 
     def one() -> orders.Order:
         table, host = chance.randrange(3), chance.randrange(8)
-        return chance.choice([
-            orders.SetLine(table, host, float(chance.randrange(4))),
-            orders.SetLine(table, host, float(chance.randrange(1, 4))),
-            orders.Bind(table, chance.randrange(4), products()),
-            orders.SetLevel(chance.choice([table, None]), products(), chance.choice([0.25, 0.5, 1.0]),
-                            chance.choice([Retry.NEVER, Retry.UNRUN])),
-            orders.Withdraw(chance.choice(drained or [host]), chance.random() < 0.5) if drained else
-            orders.ClearTable(table),
-            orders.ClearTable(table) if chance.random() < 0.2 else orders.SetLine(table, host, 1.0)])
+        return chance.choice(
+            [
+                orders.SetLine(table, host, float(chance.randrange(4))),
+                orders.SetLine(table, host, float(chance.randrange(1, 4))),
+                orders.Bind(table, chance.randrange(4), products()),
+                orders.SetLevel(
+                    chance.choice([table, None]),
+                    products(),
+                    chance.choice([0.25, 0.5, 1.0]),
+                    chance.choice([Retry.NEVER, Retry.UNRUN]),
+                ),
+                orders.Withdraw(chance.choice(drained or [host]), chance.random() < 0.5)
+                if drained
+                else orders.ClearTable(table),
+                orders.ClearTable(table)
+                if chance.random() < 0.2
+                else orders.SetLine(table, host, 1.0),
+            ]
+        )
 
     return [one() for _ in range(chance.randrange(1, 7))]
 
@@ -172,24 +192,37 @@
 
 
 def test_a_bind_is_a_whole_table_with_its_level_hosts_held_back_and_mark():
-    message, = messages_for(orders.SetLevel(0, None, 1.0, Retry.UNRUN), orders.SetLine(0, 7, 3.0),
-                            orders.SetLine(0, 8, 1.5), orders.Bind(0, 1), orders.Mark(905))
+    (message,) = messages_for(
+        orders.SetLevel(0, None, 1.0, Retry.UNRUN),
+        orders.SetLine(0, 7, 3.0),
+        orders.SetLine(0, 8, 1.5),
+        orders.Bind(0, 1),
+        orders.Mark(905),
+    )
     assert Writer(PRODUCTS, uid).write(message) == (
-        b"push replace=1 rows=s-00000007:3,s-00000008:1.5 gate=1 again=1 stamp=905\r\n")
-    assert message.cost() == 5  # the bind's line, two lines, a level and the mark, as the wire counts
+        b"push replace=1 rows=s-00000007:3,s-00000008:1.5 gate=1 again=1 stamp=905\r\n"
+    )
+    assert (
+        message.cost() == 5
+    )  # the bind's line, two lines, a level and the mark, as the wire counts
 
 
 def test_orders_reach_only_proxies_that_use_the_table_and_marks_everyone_if_so_ordered():
     batch = [orders.Bind(0, 1), orders.SetLine(0, 7, 3.0)]
     assert [m.proxy for m in messages_for(*batch, orders.Mark(1))] == [1]
-    assert {m.proxy: m.mark for m in messages_for(*batch, orders.Mark(1, everyone=True))} == {0: 1, 1: 1}
+    assert {m.proxy: m.mark for m in messages_for(*batch, orders.Mark(1, everyone=True))} == {
+        0: 1,
+        1: 1,
+    }
 
 
 def test_a_host_is_held_back_only_where_its_lines_are_or_may_be():
     player = Player(1)
     for proxy in (0, 1, 2):
         player.hear(joined(proxy))
-    player.play([orders.SetLine(0, 7, 1.0), orders.SetLine(1, 8, 1.0), orders.Bind(0, 0), orders.Bind(1, 1)])
+    player.play(
+        [orders.SetLine(0, 7, 1.0), orders.SetLine(1, 8, 1.0), orders.Bind(0, 0), orders.Bind(1, 1)]
+    )
     assert {m.proxy for m in player.play([orders.Withdraw(7, True)])} == {0, 2}
 
 
@@ -200,7 +233,7 @@
     player.play([orders.SetLine(0, 7, 1.0), orders.SetLine(0, 8, 1.0), orders.Bind(0, 0)])
     player.play([orders.Withdraw(7, True), orders.SetLine(0, 7, 0.0)])
     assert player.play([orders.Withdraw(7, False)]) == []
-    message, = player.play([orders.SetLine(0, 7, 2.0)])
+    (message,) = player.play([orders.SetLine(0, 7, 2.0)])
     assert message.held == {7: False} and message.parts[0].lines == {7: 2.0}
 
 
