--- a/plankroute/__main__.py
+++ b/plankroute/__main__.py
@@ -10,10 +10,10 @@
         from plankroute.cli.main import cli
 
         return cli()
-    from plankroute.net import early
+    from plankroute.net.process import startup_signals as early
 
     early.heed()  # before the rest is imported, which takes a tenth of a second
-    from plankroute.net.service import main as serve
+    from plankroute.net.process.service import main as serve
 
     return serve()
 
--- a/plankroute/cli/main.py
+++ b/plankroute/cli/main.py
@@ -7,7 +7,7 @@
 
 import click
 
-from plankroute.ownfile import OwnFileError, read_own_file, schema_text
+from plankroute.config.feature_file import OwnFileError, read_own_file, schema_text
 
 GOOD, FAILED, MISTAKE = 0, 1, 2
 FILE = click.Path(exists=False, dir_okay=False, path_type=Path)
@@ -37,7 +37,7 @@
 )
 def run(path: Path | None) -> None:
     """One real steward, as operators start it; GW_CONFIG names its configuration."""
-    from plankroute.net.service import OWN_FILE, main
+    from plankroute.net.process.service import OWN_FILE, main
 
     if path is not None:
         os.environ[OWN_FILE] = str(path)
@@ -84,7 +84,7 @@
     address: str | None, group: str | None, path: Path | None, as_json: bool, wait: float
 ) -> None:
     """Who is there? Asks the steward at ADDRESS (its membership address, on this machine)."""
-    from plankroute.cli.view import ask, as_table, as_json_text
+    from plankroute.cli.members import as_json_text, as_table, ask
 
     if address is None and path is not None:
         part = checked(path).membership
@@ -121,7 +121,7 @@
 )
 def state_show(where: str, group: str | None, as_json: bool, limit_s: float) -> None:
     """What is kept, how old it is, and what it would count for now."""
-    from plankroute.cli.learned import (
+    from plankroute.cli.state import (
         Unread,
         as_json_text,
         as_table,
@@ -147,7 +147,7 @@
 @click.argument("path", metavar="FILE", type=FILE)
 def state_check(path: Path) -> None:
     """Would a steward of the name that FILE holds start from it?"""
-    from plankroute.cli.learned import Unread, from_file
+    from plankroute.cli.state import Unread, from_file
 
     found = from_file(path)
     if isinstance(found, Unread):
@@ -204,7 +204,7 @@
     out: Path | None,
 ) -> None:
     """The chosen way of membership beside the plain ones: the same seeds, faults and figures."""
-    from plankroute.lab.measure import KINDS, WAYS, measure, table
+    from plankroute.testbed.membership_benchmark import KINDS, WAYS, measure, table
 
     asked, wanted = ways.split(","), parts.split(",")
     if unknown := [name for name in asked if name not in WAYS] + [
@@ -235,7 +235,7 @@
     """Real stewards on loopback with faulty links between them: scenarios, histories, verdicts."""
     import asyncio
 
-    from plankroute.lab.scenarios import SCENARIOS, report, run_all
+    from plankroute.testbed.scenarios import SCENARIOS, report, run_all
 
     if unknown := [name for name in names if name not in SCENARIOS]:
         raise Mistake(f"not known: {', '.join(unknown)}; scenarios: {', '.join(SCENARIOS)}")
@@ -285,8 +285,8 @@
 
     import msgspec
 
-    from plankroute.lab import coldreport
-    from plankroute.lab.cold import Case, down_until, run_case
+    from plankroute.testbed import cold_start_report as coldreport
+    from plankroute.testbed.cold_start import Case, down_until, run_case
 
     rows = []
     for way in ["peers" if peers else "alone"] + ["today"] * today:
@@ -358,8 +358,8 @@
 
     import msgspec
 
-    from plankroute.lab import restart
-    from plankroute.lab.traffic import Mix
+    from plankroute.testbed import warm_restart as restart
+    from plankroute.testbed.traffic import Mix
 
     asked = tuple(ways.split(","))
     if unknown := [way for way in asked if way not in restart.WAYS]:
@@ -397,7 +397,7 @@
     """kill -9 at drawn points while a steward's file is written again and again, each followed by a start."""
     import asyncio
 
-    from plankroute.lab.kills import run_kills
+    from plankroute.testbed.write_kills import run_kills
 
     seen = asyncio.run(run_kills(kills, seed))
     click.echo(seen.said())
--- a/plankroute/cli/view.py
+++ b/plankroute/cli/members.py
@@ -12,7 +12,7 @@
 from plankroute.membership.facts import MOST_DATAGRAM
 from plankroute.membership.messages import Line, ViewAsked, ViewPiece
 from plankroute.membership.records import Standing
-from plankroute.net.address import host_and_port
+from plankroute.net.process.address import host_and_port
 
 TRIES = 3  # for each part: a datagram may be lost, also on one machine
 
--- a/plankroute/cli/learned.py
+++ b/plankroute/cli/state.py
@@ -7,12 +7,12 @@
 
 import msgspec
 
-from plankroute.coldstart.frames import VERSION, Ask, FrameCutter, write_frame
-from plankroute.learned.codec import MOST_BYTES, Unusable, read_file, read_view
-from plankroute.learned.facts import HostFacts, View
-from plankroute.net.address import host_and_port
-from plankroute.net.keep import Disk
-from plankroute.net.links import read_views
+from plankroute.cold_start.link_codec import VERSION, Ask, FrameCutter, write_frame
+from plankroute.net.peers.links import read_views
+from plankroute.net.process.address import host_and_port
+from plankroute.net.process.file_store import Disk
+from plankroute.warm_start.codec import MOST_BYTES, Unusable, read_file, read_view
+from plankroute.warm_start.facts import HostFacts, View
 
 WAIT_S = 2.0
 ASKER = "state-show"  # no steward's name: nothing was left for it
--- a/plankroute/coldstart/calls.py
+++ b/plankroute/cold_start/backoff.py
@@ -6,7 +6,7 @@
 from email.utils import parsedate_to_datetime
 
 from plankroute.seeded_random import SeededRandom
-from plankroute.tokens import Tokens
+from plankroute.token_bucket import Tokens
 
 SECOND_US = 1_000_000
 SLACK = 1.05  # of a round: calls come a little slower than the service can answer
--- a/plankroute/coldstart/early.py
+++ b/plankroute/cold_start/drain_notices.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from plankroute.interface.notes import HostState
+from plankroute.events.events import HostState
 
 SECOND_US = 1_000_000
 MOST_PART = (
--- a/plankroute/coldstart/probers.py
+++ b/plankroute/cold_start/probe_sharing.py
@@ -7,7 +7,7 @@
 
 import xxhash
 
-from plankroute.coldstart.follow import ranked
+from plankroute.cold_start.watcher_election import ranked
 
 SURVEY = 8  # hosts asked about at once, from which on it is a survey; suspects are fewer
 FRESH_US = 2_000_000  # a result that is older tells of another time
--- /dev/null
+++ b/plankroute/config/__init__.py
@@ -0,0 +1,1 @@
+"""Settings: the platform's and our own JSON file."""
--- a/plankroute/ownfile.py
+++ b/plankroute/config/feature_file.py
@@ -9,8 +9,8 @@
 
 import msgspec
 
-from plankroute.net.address import host_and_port
-from plankroute.start import StartError
+from plankroute.events.settings import StartError
+from plankroute.net.process.address import host_and_port
 
 SCHEMA = Path("deploy/plankroute.schema.json")
 LINE_OF_PATH = re.compile(r" - at `\$?([^`]*)`$")
--- a/plankroute/controller/host_statistics.py
+++ b/plankroute/controller/host_statistics.py
@@ -4,7 +4,7 @@
 from itertools import groupby
 from typing import Any
 
-from plankroute.interface.notes import HostEntry, HostState, LoadReport
+from plankroute.events.events import HostEntry, HostState, LoadReport
 
 NO_CAP = float("inf")
 NO_ZONE = -1
--- a/plankroute/controller/messages.py
+++ b/plankroute/controller/messages.py
@@ -7,11 +7,11 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-from plankroute.interface import notes, orders
-from plankroute.interface.notes import HostState
-from plankroute.interface.orders import ALL_TABLES
+from plankroute.events import commands, events
+from plankroute.events.commands import ALL_TABLES
+from plankroute.events.events import HostState
 
-Level = tuple[float, orders.Retry]
+Level = tuple[float, commands.Retry]
 
 
 @dataclass(slots=True)
@@ -121,15 +121,15 @@
         self.held: dict[int, dict[int, bool]] = {}
         self.concerned: dict[int, None] = {}
 
-    def hear(self, note: notes.Note) -> None:
+    def hear(self, note: events.Note) -> None:
         match note:
-            case notes.ProxyJoined():
+            case events.ProxyJoined():
                 self.leave(note.proxy)
                 self.streams[note.proxy] = Stream(note.fresh, (None,) * len(self.products))
                 self.group(note.proxy)
-            case notes.ProxyLeft():
+            case events.ProxyLeft():
                 self.leave(note.proxy)
-            case notes.HostList():
+            case events.HostList():
                 self.once_held.update(
                     entry.host
                     for entry in note.entries
@@ -155,21 +155,21 @@
         for stream in self.streams.values():
             stream.fresh = not stream.told.pop(host, False) and stream.fresh
 
-    def play(self, batch: Iterable[orders.Order]) -> list[Message]:
+    def play(self, batch: Iterable[commands.Order]) -> list[Message]:
         self.shared, self.own, self.held, self.concerned, mark = {}, {}, {}, {}, None
         for order in batch:
             match order:
-                case orders.SetLine():
+                case commands.SetLine():
                     self.set_line(order)
-                case orders.Bind():
+                case commands.Bind():
                     self.bind(order)
-                case orders.Withdraw():
+                case commands.Withdraw():
                     self.withdraw(order)
-                case orders.SetLevel():
+                case commands.SetLevel():
                     self.set_level(order)
-                case orders.ClearTable():
+                case commands.ClearTable():
                     self.clear(order.table)
-                case orders.Mark():
+                case commands.Mark():
                     mark = order
         if mark and mark.everyone:
             self.concerned |= dict.fromkeys(self.streams)
@@ -212,7 +212,7 @@
     def products_on(self, table: int, tables: Tables) -> list[int]:
         return [product for product, number in enumerate(tables) if number == table]
 
-    def set_line(self, order: orders.SetLine) -> None:
+    def set_line(self, order: commands.SetLine) -> None:
         lines = self.tables.setdefault(order.table, {})
         lines[order.host] = order.weight
         if not order.weight:
@@ -225,7 +225,7 @@
                 for proxy in proxies:
                     self.agree(proxy, order.host)
 
-    def bind(self, order: orders.Bind) -> None:
+    def bind(self, order: commands.Bind) -> None:
         """From here on in this batch its message is its own; what its group was ordered before is in it."""
         stream, lines = self.streams.get(order.proxy), self.tables.get(order.table, {})
         if stream is None:
@@ -255,7 +255,7 @@
         self.held.setdefault(proxy, {})[host] = out
         self.concerned[proxy] = None
 
-    def withdraw(self, order: orders.Withdraw) -> None:
+    def withdraw(self, order: commands.Withdraw) -> None:
         self.once_held.add(order.host)
         (self.held_back.add if order.out else self.held_back.discard)(order.host)
         for tables, proxies in self.groups.items():
@@ -265,7 +265,7 @@
                     if self.streams[proxy].told.get(order.host) is not order.out:
                         self.tell(proxy, order.host, order.out)
 
-    def set_level(self, order: orders.SetLevel) -> None:
+    def set_level(self, order: commands.SetLevel) -> None:
         products = self.products if order.products is None else order.products
         for product in products:
             self.levels[order.table, product] = order.level, order.retry
--- a/plankroute/controller/registry.py
+++ b/plankroute/controller/registry.py
@@ -4,10 +4,10 @@
 from dataclasses import dataclass, field
 from typing import Any, NamedTuple
 
-from plankroute.controller.scheduler import Actor, Scheduler
 from plankroute.controller.channel import Channel
 from plankroute.controller.host_statistics import HostStatistics
-from plankroute.interface import notes, orders
+from plankroute.controller.scheduler import Actor, Scheduler
+from plankroute.events import commands, events
 
 
 @dataclass(eq=False, slots=True)
@@ -68,7 +68,7 @@
         ] = {}  # by host that is gone, who was told so on the present stream
         self.broken: dict[int, int] = {}  # by proxy, when its stream ended, of late
 
-    def join(self, note: notes.ProxyJoined) -> None:
+    def join(self, note: events.ProxyJoined) -> None:
         self.zone_of[note.proxy] = note.zone
         self.unbound[note.proxy] = (not note.fresh, -note.usual_rate)
         if not note.fresh:
@@ -102,7 +102,7 @@
         users, is_first = self.users(table), place in once and place not in table.pushed
         return users + [proxy for proxy in users if is_first and proxy in self.olds]
 
-    def order(self, order: orders.Order, proxies: Iterable[int], lines: int = 1) -> None:
+    def order(self, order: commands.Order, proxies: Iterable[int], lines: int = 1) -> None:
         """Gives the order out; each of the proxies is written so many lines for it."""
         self.desk.out.append(order)
         self.channel.charge(proxies, lines)
@@ -110,7 +110,7 @@
     def close(self) -> None:
         """Marks what this batch wrote: the answers tell when it has left the channel."""
         if mark := self.channel.close():
-            self.desk.out.append(orders.Mark(mark))
+            self.desk.out.append(commands.Mark(mark))
 
     def naming(self, host: int) -> list[Any]:
         return [table for table in self.tables if host in table.pushed]
--- a/plankroute/controller/scheduler.py
+++ b/plankroute/controller/scheduler.py
@@ -4,8 +4,8 @@
 from enum import Enum
 from typing import Any
 
+from plankroute.events.commands import Order
 from plankroute.seeded_random import SeededRandom
-from plankroute.interface.orders import Order
 
 
 class Tick(Enum):
--- a/plankroute/start.py
+++ b/plankroute/events/settings.py
@@ -4,7 +4,8 @@
 from collections.abc import Iterable
 from typing import Any
 
-from plankroute.interface.facts import (
+from plankroute.events.events import LoadReport
+from plankroute.events.facts import (
     LevelUnit,
     Prices,
     ProductFacts,
@@ -13,7 +14,6 @@
     Scope,
     StartFacts,
 )
-from plankroute.interface.notes import LoadReport
 
 REPEATS = {"retryable": Repeat.INQUIRY, "dedup": Repeat.REFERENCED, "fragile": Repeat.ONCE_ONLY}
 SCOPES = {"all": Scope.ALL, "zone": Scope.ZONE, "cell": Scope.CELL}
--- a/plankroute/membership/codec.py
+++ b/plankroute/membership/codec.py
@@ -7,7 +7,6 @@
 import msgspec
 
 from plankroute.membership.facts import MOST_DATAGRAM
-from plankroute.membership.records import Record
 from plankroute.membership.messages import (
     Answer,
     Errand,
@@ -19,6 +18,7 @@
     ViewAsked,
     ViewPiece,
 )
+from plankroute.membership.records import Record
 
 VERSION = 1
 HEADER = struct.Struct("!BII")  # version, group, check of what follows
--- a/plankroute/membership/group.py
+++ b/plankroute/membership/core.py
@@ -5,12 +5,12 @@
 
 import msgspec
 
-from plankroute.seeded_random import SeededRandom
-from plankroute.membership import exchange, spreading
-from plankroute.membership.claim import Claim, Reply
+from plankroute.membership import anti_entropy as exchange
+from plankroute.membership import gossip as spreading
 from plankroute.membership.detector import Ask, Detector
 from plankroute.membership.facts import MOST_DATAGRAM, MemberFacts
-from plankroute.membership.health import Awake, OwnDoubt
+from plankroute.membership.local_health import Awake, OwnDoubt
+from plankroute.membership.member_table import NEVER, View
 from plankroute.membership.messages import (
     Action,
     Answer,
@@ -35,10 +35,11 @@
     ViewAsked,
     ViewPiece,
 )
+from plankroute.membership.name_claim import Claim, Reply
 from plankroute.membership.records import Record, Standing
-from plankroute.membership.verdicts import Verdicts
-from plankroute.membership.views import NEVER, View
-from plankroute.tokens import Tokens
+from plankroute.membership.status import Verdicts
+from plankroute.seeded_random import SeededRandom
+from plankroute.token_bucket import Tokens
 
 BEAT_US = (
     100_000  # time-outs are counted in tenths of a second; ten wakes a second cost next to nothing
--- a/plankroute/membership/health.py
+++ b/plankroute/membership/local_health.py
@@ -2,7 +2,7 @@
 
 Decides nothing about others; every time-out in the core derives from here."""
 
-from plankroute.membership.views import NEVER
+from plankroute.membership.member_table import NEVER
 
 LATE_US = 200_000  # a wake later than that was slept through: twice a beat, some times a busy loop's delay
 SETTLE_US = 200_000  # after it: the datagrams that wait are read first, and answers to them come
--- a/plankroute/membership/verdicts.py
+++ b/plankroute/membership/status.py
@@ -5,10 +5,10 @@
 import msgspec
 
 from plankroute.membership import suspicion
-from plankroute.membership.health import OwnDoubt
+from plankroute.membership.local_health import OwnDoubt
+from plankroute.membership.member_table import View, mark_of
 from plankroute.membership.messages import Change, Told
 from plankroute.membership.records import Record, Standing
-from plankroute.membership.views import View, mark_of
 
 
 class Verdicts:
--- a/plankroute/net/careful.py
+++ b/plankroute/net/discovery/backoff_watch.py
@@ -7,18 +7,18 @@
 import time
 from typing import Any
 
-from plankroute.coldstart.calls import (
+from plankroute.cold_start.backoff import (
     Began,
     Broke,
-    CallFacts,
     Caller,
+    CallFacts,
     Event,
     Refused,
     retry_after_us,
 )
-from plankroute.net.clock import steady_us as now_us
-from plankroute.net.discovery import Discovery
-from plankroute.net.http import Call
+from plankroute.net.discovery.http_client import Call
+from plankroute.net.discovery.watch import Discovery
+from plankroute.net.process.clock import steady_us as now_us
 
 LOOK_S = 0.5  # between looks at how old the list is
 
--- a/plankroute/net/catalogue.py
+++ b/plankroute/net/discovery/catalogue.py
@@ -5,9 +5,9 @@
 
 import orjson
 
-from plankroute.interface.notes import HostState
-from plankroute.net.errors import Refused, Stage
-from plankroute.start import finite
+from plankroute.events.events import HostState
+from plankroute.events.settings import finite
+from plankroute.net.process.errors import Refused, Stage
 
 MEMBERS = "/catalog/members"
 STATES = {"SERVING": HostState.READY, "DRAINING": HostState.DRAINING, "DELETED": HostState.GONE}
--- a/plankroute/net/directory.py
+++ b/plankroute/net/discovery/directory.py
@@ -2,10 +2,10 @@
 
 from dataclasses import dataclass
 
-from plankroute.interface import notes
-from plankroute.interface.notes import HostState, ListKind
-from plankroute.net.catalogue import EntrySaid, ListSaid
-from plankroute.net.clock import Clock
+from plankroute.events import events
+from plankroute.events.events import HostState, ListKind
+from plankroute.net.discovery.catalogue import EntrySaid, ListSaid
+from plankroute.net.process.clock import Clock
 
 
 @dataclass(slots=True)
@@ -16,7 +16,7 @@
     address: str
     boot_ms: float = 0.0
     started_us: int = 0
-    entry: notes.HostEntry | None = None  # as last read
+    entry: events.HostEntry | None = None  # as last read
 
 
 MARK_BYTES = 64  # of a name: no fleet's differ later
@@ -51,12 +51,12 @@
     def forget(self, host: int) -> None:
         del self.ids[self.hosts.pop(host).uid]
 
-    def note(self, listed: ListSaid, kind: ListKind | None = None) -> tuple[notes.HostList, int]:
+    def note(self, listed: ListSaid, kind: ListKind | None = None) -> tuple[events.HostList, int]:
         """The list by ids, and how many entries could not be taken.
 
         Such an entry leaves its host as it was: a full list must not drop a host for it.
         """
-        entries: dict[int, notes.HostEntry] = {}
+        entries: dict[int, events.HostEntry] = {}
         refused = 0
         for said in listed.entries:
             if (
@@ -72,9 +72,9 @@
             if entry is not None:
                 entries[entry.host] = entry
         kind = kind or (ListKind.FULL if listed.whole else ListKind.CHANGES)
-        return notes.HostList(kind, tuple(entries.values())), refused
+        return events.HostList(kind, tuple(entries.values())), refused
 
-    def entry(self, said: EntrySaid) -> notes.HostEntry | None:
+    def entry(self, said: EntrySaid) -> events.HostEntry | None:
         if said.zone not in self.zones or said.kind not in self.kinds:
             return None
         if said.uid not in self.ids:
@@ -90,7 +90,7 @@
             known.started_us = (
                 max(1, self.clock.on_scale(round(said.boot_ms * 1000))) if said.boot_ms else 0
             )
-        known.entry = notes.HostEntry(
+        known.entry = events.HostEntry(
             self.ids[said.uid],
             said.state,
             self.zones[said.zone],
--- a/plankroute/net/http.py
+++ b/plankroute/net/discovery/http_client.py
@@ -8,9 +8,9 @@
 
 import h11
 
-from plankroute.net.address import host_and_port
-from plankroute.net.clock import patience
-from plankroute.net.errors import CallFailed, Reached
+from plankroute.net.process.address import host_and_port
+from plankroute.net.process.clock import patience
+from plankroute.net.process.errors import CallFailed, Reached
 
 READ_AT_ONCE = 65536  # bytes
 MOVES_ON = 4096  # bytes of a body within the quiet time: a slow way brings them, a drip does not
--- a/plankroute/net/discovery.py
+++ b/plankroute/net/discovery/watch.py
@@ -5,17 +5,17 @@
 from contextlib import aclosing
 from typing import Any
 
+from plankroute.events import commands, events
+from plankroute.events.events import ListKind
+from plankroute.net.discovery.catalogue import MEMBERS, ListSaid, list_from, read_list, watch_target
+from plankroute.net.discovery.directory import Directory
+from plankroute.net.discovery.http_client import FAILURES, Answer, Call, Limits, fetch
+from plankroute.net.process.clock import steady_us
+from plankroute.net.process.errors import CallFailed, Reached, Refused
+from plankroute.net.process.telemetry import Book
+from plankroute.net.proxies.line_reader import LineCutter
+from plankroute.net.proxies.ring_buffer import Pool
 from plankroute.seeded_random import SeededRandom
-from plankroute.interface import notes, orders
-from plankroute.interface.notes import ListKind
-from plankroute.net.book import Book
-from plankroute.net.catalogue import MEMBERS, ListSaid, list_from, read_list, watch_target
-from plankroute.net.clock import steady_us
-from plankroute.net.directory import Directory
-from plankroute.net.errors import CallFailed, Reached, Refused
-from plankroute.net.http import FAILURES, Answer, Call, Limits, fetch
-from plankroute.net.intake import LineCutter
-from plankroute.net.ring import Pool
 
 DIAL_S, QUIET_S = 1.0, 3.0  # a sign of life comes every 2 s
 AGAIN_S = (
@@ -24,10 +24,10 @@
 MOST_LOGGED = 30  # entries of a list
 MOST_TEXT = 200  # characters of what came instead
 Over = Callable[
-    [int, bool, notes.HostList], notes.HostList
+    [int, bool, events.HostList], events.HostList
 ]  # revision, whole, and what the core is to hear
 NO_WORD_US = 1 << 40  # the age of a word that never came
-LIST_FAILED = notes.HostList(ListKind.FAILED, ())
+LIST_FAILED = events.HostList(ListKind.FAILED, ())
 
 
 class Discovery:
@@ -41,7 +41,7 @@
         book: Book,
         seed: int,
         by_order: bool,
-        put: Callable[[notes.Note], None],
+        put: Callable[[events.Note], None],
     ) -> None:
         self.allow(most_list)
         self.address, self.directory, self.book, self.put = address, directory, book, put
@@ -62,7 +62,7 @@
         said = list_from(known)
         if isinstance(said, Refused):
             self.book.refuse("discovery", f"known: {said.why}")
-            self.put(notes.HostList(ListKind.CACHED, ()))
+            self.put(events.HostList(ListKind.CACHED, ()))
         else:
             self.revision = said.revision
             self.note(said, ListKind.CACHED)
@@ -94,11 +94,11 @@
         self.asking.add(task)
         task.add_done_callback(self.asking.discard)
 
-    def obey(self, order: orders.AskList | orders.Subscribe) -> None:
+    def obey(self, order: commands.AskList | commands.Subscribe) -> None:
         match order:
-            case orders.AskList():
+            case commands.AskList():
                 self.ask_anew()
-            case orders.Subscribe(on) if self.by_order:
+            case commands.Subscribe(on) if self.by_order:
                 if on:
                     self.watch_anew()
                 elif self.watching:
--- /dev/null
+++ b/plankroute/net/peers/__init__.py
@@ -0,0 +1,1 @@
+"""Other controllers: links, membership datagrams, warm start."""
--- a/plankroute/net/ahead.py
+++ b/plankroute/net/peers/drain_notices.py
@@ -5,12 +5,12 @@
 from collections.abc import Callable, Iterable
 from dataclasses import replace
 
-from plankroute.coldstart.early import EarlyDrains
-from plankroute.interface import notes
-from plankroute.interface.notes import HostState, ListKind
-from plankroute.net.book import Book
-from plankroute.net.clock import steady_us as now_us
-from plankroute.net.directory import Directory
+from plankroute.cold_start.drain_notices import EarlyDrains
+from plankroute.events import events
+from plankroute.events.events import HostState, ListKind
+from plankroute.net.discovery.directory import Directory
+from plankroute.net.process.clock import steady_us as now_us
+from plankroute.net.process.telemetry import Book
 
 MOST_LOGGED = 30  # hosts of one line
 
@@ -18,11 +18,13 @@
 class DrainsAhead:
     """`over` stands between every list and the core."""
 
-    def __init__(self, directory: Directory, book: Book, put: Callable[[notes.Note], None]) -> None:
+    def __init__(
+        self, directory: Directory, book: Book, put: Callable[[events.Note], None]
+    ) -> None:
         self.directory, self.book, self.put = directory, book, put
         self.core, self.revision = EarlyDrains(), -1
         self.listed: dict[
-            str, notes.HostEntry
+            str, events.HostEntry
         ] = {}  # as the list has those that were closed ahead of it
         self.after_list: Callable[[], None] | None = None
 
@@ -44,7 +46,7 @@
             ]
             self.tell([self.shut(entry) for entry in known if entry is not None])
 
-    def over(self, revision: int, whole: bool, listed: notes.HostList) -> notes.HostList:
+    def over(self, revision: int, whole: bool, listed: events.HostList) -> events.HostList:
         """A list that is believed settles what was told up to its revision; the rest holds on over it."""
         settled = self.core.settle(None if whole and revision < self.revision else revision)
         self.revision = revision
@@ -53,9 +55,9 @@
             entries.setdefault(entry.host, entry)
         if self.after_list:
             asyncio.get_running_loop().call_soon(self.after_list)
-        return notes.HostList(listed.kind, tuple(entries.values()))
+        return events.HostList(listed.kind, tuple(entries.values()))
 
-    def shut(self, entry: notes.HostEntry) -> notes.HostEntry:
+    def shut(self, entry: events.HostEntry) -> events.HostEntry:
         uid = self.directory.uid(entry.host)
         if (told := self.core.told.get(uid)) is None:
             self.listed.pop(uid, None)
@@ -63,7 +65,7 @@
         self.listed[uid] = entry
         return replace(entry, state=told.state)
 
-    def as_listed(self, uids: list[str]) -> list[notes.HostEntry]:
+    def as_listed(self, uids: list[str]) -> list[events.HostEntry]:
         """What was told of them no longer counts."""
         return [
             entry
@@ -74,6 +76,6 @@
     def reopen(self, uids: list[str]) -> None:
         self.tell(self.as_listed(uids))
 
-    def tell(self, entries: list[notes.HostEntry]) -> None:
+    def tell(self, entries: list[events.HostEntry]) -> None:
         if entries:
-            self.put(notes.HostList(ListKind.CHANGES, tuple(entries)))
+            self.put(events.HostList(ListKind.CHANGES, tuple(entries)))
--- a/plankroute/net/links.py
+++ b/plankroute/net/peers/links.py
@@ -11,7 +11,8 @@
 
 import orjson
 
-from plankroute.coldstart.frames import (
+from plankroute.cold_start.endpoint_list import HeldList, Incoming
+from plankroute.cold_start.link_codec import (
     PART_BYTES,
     VERSION,
     Ask,
@@ -27,9 +28,8 @@
     ViewOf,
     write_frame,
 )
-from plankroute.coldstart.lists import HeldList, Incoming
-from plankroute.net.address import host_and_port
-from plankroute.net.book import Book
+from plankroute.net.process.address import host_and_port
+from plankroute.net.process.telemetry import Book
 
 BEAT_S = 0.5  # between beats: four in the shortest time after which somebody is left
 HELLO_S, DIAL_S = 2.0, 1.0
--- a/plankroute/net/members.py
+++ b/plankroute/net/peers/membership.py
@@ -14,10 +14,12 @@
 
 import msgspec
 
-from plankroute.interface import notes
+from plankroute.config.feature_file import MembershipPart
+from plankroute.events import events
 from plankroute.membership.codec import Codec, Unread
+from plankroute.membership.core import Membership
 from plankroute.membership.facts import MOST_DATAGRAM, MemberFacts
-from plankroute.membership.group import Membership
+from plankroute.membership.member_table import MOST_MEMBERS, mark_of
 from plankroute.membership.messages import (
     Action,
     BeatDue,
@@ -33,12 +35,10 @@
     Told,
     ViewAsked,
 )
-from plankroute.membership.views import MOST_MEMBERS, mark_of
-from plankroute.net.address import host_and_port
-from plankroute.net.book import Book
-from plankroute.net.clock import steady_us
-from plankroute.ownfile import MembershipPart
-from plankroute.tokens import Tokens
+from plankroute.net.process.address import host_and_port
+from plankroute.net.process.clock import steady_us
+from plankroute.net.process.telemetry import Book
+from plankroute.token_bucket import Tokens
 
 TAKEN_BYTES = 262144  # the kernel's buffer: two seconds' datagrams of a large group, for a pause
 UNSENT_BYTES = 65536  # waiting for the kernel: beyond, datagrams are dropped, a loss as any
@@ -53,11 +53,11 @@
     {Change.SUSPECTED, Change.GONE, Change.DOUBLED, Change.CALLED_GONE, Change.ALONE}
 )
 STATES = {
-    Change.JOINED: notes.StewardState.ALIVE,
-    Change.BACK: notes.StewardState.ALIVE,
-    Change.SUSPECTED: notes.StewardState.SUSPECTED,
-    Change.GONE: notes.StewardState.GONE,
-    Change.LEFT: notes.StewardState.LEFT,
+    Change.JOINED: events.StewardState.ALIVE,
+    Change.BACK: events.StewardState.ALIVE,
+    Change.SUSPECTED: events.StewardState.SUSPECTED,
+    Change.GONE: events.StewardState.GONE,
+    Change.LEFT: events.StewardState.LEFT,
 }
 
 
@@ -85,7 +85,7 @@
 
 class Members(asyncio.DatagramProtocol):
     def __init__(
-        self, part: MembershipPart, own: Self, book: Book, put: Callable[[notes.Note], None]
+        self, part: MembershipPart, own: Self, book: Book, put: Callable[[events.Note], None]
     ) -> None:
         self.part, self.book, self.put = part, book, put
         self.codec = Codec(part.group)
@@ -208,7 +208,7 @@
             living=1 + len(view.living_places),
         )
         if (state := STATES.get(change)) is not None:
-            self.put(notes.StewardSeen(mark_of(record.name), state))
+            self.put(events.StewardSeen(mark_of(record.name), state))
 
     def rest(self, until_us: int) -> None:
         if self.wake and self.wake_us == until_us:
--- a/plankroute/net/shared.py
+++ b/plankroute/net/peers/shared_discovery.py
@@ -9,8 +9,19 @@
 import msgspec
 import orjson
 
-from plankroute.coldstart.calls import Began, CallFacts, Caller, Event
-from plankroute.coldstart.follow import (
+from plankroute.cold_start.backoff import Began, Caller, CallFacts, Event
+from plankroute.cold_start.endpoint_list import HeldList, Incoming
+from plankroute.cold_start.link_codec import (
+    VERSION,
+    Begin,
+    Drains,
+    Frame,
+    Heartbeat,
+    Hello,
+    Part,
+    Probed,
+)
+from plankroute.cold_start.watcher_election import (
     BEAT_US,
     NO_WORD_US,
     Action,
@@ -27,26 +38,15 @@
     Said,
     Watch,
 )
-from plankroute.coldstart.follow import Event as FollowEvent
-from plankroute.coldstart.frames import (
-    VERSION,
-    Heartbeat,
-    Begin,
-    Drains,
-    Frame,
-    Hello,
-    Part,
-    Probed,
-)
-from plankroute.coldstart.lists import HeldList, Incoming
-from plankroute.net.address import host_and_port
-from plankroute.net.ahead import DrainsAhead
-from plankroute.net.careful import CarefulDiscovery
-from plankroute.net.catalogue import STATES
-from plankroute.net.clock import steady_us as now_us
-from plankroute.net.discovery import Discovery
-from plankroute.net.links import LinkClient, LinkServer
-from plankroute.net.members import Members
+from plankroute.cold_start.watcher_election import Event as FollowEvent
+from plankroute.net.discovery.backoff_watch import CarefulDiscovery
+from plankroute.net.discovery.catalogue import STATES
+from plankroute.net.discovery.watch import Discovery
+from plankroute.net.peers.drain_notices import DrainsAhead
+from plankroute.net.peers.links import LinkClient, LinkServer
+from plankroute.net.peers.membership import Members
+from plankroute.net.process.address import host_and_port
+from plankroute.net.process.clock import steady_us as now_us
 
 PLACE_US = 200_000  # between first calls of watchers: the second finds the list on its way already
 OPEN_EVERY_S = 1.0  # between tries for an address that is held
--- a/plankroute/net/learned.py
+++ b/plankroute/net/peers/warm_start.py
@@ -11,11 +11,20 @@
 from contextlib import suppress
 from pathlib import Path
 
-from plankroute.coldstart.follow import ranked
-from plankroute.coldstart.frames import VERSION, Ask, FrameCutter, Keep, write_frame
-from plankroute.interface import notes
-from plankroute.interface.notes import HostState
-from plankroute.learned.codec import (
+from plankroute.cold_start.link_codec import VERSION, Ask, FrameCutter, Keep, write_frame
+from plankroute.cold_start.watcher_election import ranked
+from plankroute.config.feature_file import LearnedPart
+from plankroute.controller.controller import Controller
+from plankroute.events import events
+from plankroute.events.events import HostState
+from plankroute.net.discovery.directory import Directory
+from plankroute.net.discovery.watch import Discovery
+from plankroute.net.peers.drain_notices import DrainsAhead
+from plankroute.net.peers.links import frames_of_view, read_views
+from plankroute.net.process.clock import steady_us as now_us
+from plankroute.net.process.file_store import ASIDE, Disk, Saver
+from plankroute.net.process.telemetry import Book
+from plankroute.warm_start.codec import (
     KEPT,
     MOST_BYTES,
     Kept,
@@ -25,7 +34,7 @@
     write_file,
     write_view,
 )
-from plankroute.learned.core import (
+from plankroute.warm_start.core import (
     Action,
     Close,
     Learned,
@@ -35,16 +44,7 @@
     Teach,
     ViewCame,
 )
-from plankroute.learned.facts import HostFacts, View
-from plankroute.net.ahead import DrainsAhead
-from plankroute.net.book import Book
-from plankroute.net.clock import steady_us as now_us
-from plankroute.net.directory import Directory
-from plankroute.net.discovery import Discovery
-from plankroute.net.keep import ASIDE, Disk, Saver
-from plankroute.net.links import frames_of_view, read_views
-from plankroute.ownfile import LearnedPart
-from plankroute.controller.controller import Controller
+from plankroute.warm_start.facts import HostFacts, View
 
 READ_S = 0.15  # at the start, for the file: what comes later is taken when it comes
 LAST_S = 0.3  # at the end, for the file, and as long for a peer: operators leave 0.7 s
@@ -71,7 +71,7 @@
         group: str,
         own_host: str,
         book: Book,
-        put: Callable[[notes.Note], None],
+        put: Callable[[events.Note], None],
         disk: Disk | None = None,
     ) -> None:
         self.part, self.name, self.group, self.own_host, self.book, self.put = (
@@ -203,7 +203,7 @@
                 self.book.count("learned.told")
                 host = self.directory.ids[uid]
                 self.put(
-                    notes.HostLearned(
+                    events.HostLearned(
                         host,
                         powers.weight,
                         powers.tries,
--- /dev/null
+++ b/plankroute/net/probing/__init__.py
@@ -0,0 +1,1 @@
+"""Health checks of hosts over HTTP."""
--- a/plankroute/net/probes.py
+++ b/plankroute/net/probing/prober.py
@@ -3,15 +3,15 @@
 import asyncio
 from collections.abc import Callable
 
-from plankroute.interface import notes
-from plankroute.interface.facts import ReportWay, StartFacts
-from plankroute.interface.notes import LoadReport, Outcome
-from plankroute.net.book import Book
-from plankroute.net.clock import Clock, patience
-from plankroute.net.directory import Directory
-from plankroute.net.errors import CallFailed, Reached
-from plankroute.net.http import Answer, Limits, fetch
-from plankroute.net.wire import read_report
+from plankroute.events import events
+from plankroute.events.events import LoadReport, Outcome
+from plankroute.events.facts import ReportWay, StartFacts
+from plankroute.net.discovery.directory import Directory
+from plankroute.net.discovery.http_client import Answer, Limits, fetch
+from plankroute.net.process.clock import Clock, patience
+from plankroute.net.process.errors import CallFailed, Reached
+from plankroute.net.process.telemetry import Book
+from plankroute.net.proxies.line_codec import read_report
 
 PACE_S = (
     0.002  # between calls: of thirty at once each would be timed by the steward's own work for all
@@ -30,7 +30,7 @@
         book: Book,
         dial_us: int,
         at_once: Callable[[], int],
-        put: Callable[[notes.Note], None],
+        put: Callable[[events.Note], None],
     ) -> None:
         self.directory, self.clock, self.book, self.put = directory, clock, book, put
         self.at_once = at_once  # a descriptor each
@@ -94,7 +94,7 @@
             )
         # Guards against far hosts taken for slow ones.
         took_us = answer.served_us if isinstance(answer, Answer) else self.clock.now() - asked_us
-        self.put(notes.ProbeResult(host, outcome, took_us, report))
+        self.put(events.ProbeResult(host, outcome, took_us, report))
 
 
 def judge_call(answer: Answer | CallFailed) -> tuple[Outcome, LoadReport | None]:
--- a/plankroute/net/sharedprobes.py
+++ b/plankroute/net/probing/shared_prober.py
@@ -7,12 +7,12 @@
 from collections.abc import Callable
 from typing import Any
 
-from plankroute.coldstart.frames import Probed
-from plankroute.coldstart.probers import SURVEY, WAIT_US, Result, Survey
-from plankroute.interface import notes
-from plankroute.interface.notes import Outcome
-from plankroute.net.clock import steady_us as now_us
-from plankroute.net.probes import Prober
+from plankroute.cold_start.link_codec import Probed
+from plankroute.cold_start.probe_sharing import SURVEY, WAIT_US, Result, Survey
+from plankroute.events import events
+from plankroute.events.events import Outcome
+from plankroute.net.probing.prober import Prober
+from plankroute.net.process.clock import steady_us as now_us
 
 GATHER_S = 0.02  # results are told together: a survey's come some milliseconds apart
 MOST_TOLD = 200  # in one frame: 12 KB
@@ -70,13 +70,13 @@
     def note(self, host: int, result: Result) -> None:
         self.book.count("survey.taken")
         age_us = max(0, now_us() - result.at_us)
-        self.to_core(notes.ProbeResult(host, Outcome.ANSWERED, result.took_us, None, age_us))
+        self.to_core(events.ProbeResult(host, Outcome.ANSWERED, result.took_us, None, age_us))
 
     def on_result(self, note: Any) -> None:
         """Of a probe of its own; an answer to a survey is told to the others. What failed is not: each
         steward
         finds that out for itself before it believes it."""
-        if isinstance(note, notes.ProbeResult) and note.host in self.surveyed:
+        if isinstance(note, events.ProbeResult) and note.host in self.surveyed:
             self.surveyed.discard(note.host)
             known = self.directory.hosts.get(note.host)
             if known and note.outcome is Outcome.ANSWERED:
--- a/plankroute/net/boot.py
+++ b/plankroute/net/process/configuration.py
@@ -5,10 +5,10 @@
 
 import orjson
 
-from plankroute.interface.facts import StartFacts
-from plankroute.net.address import host_and_port
-from plankroute.net.room import Room, room_for
-from plankroute.start import StartError, finite, microseconds, start_from
+from plankroute.events.facts import StartFacts
+from plankroute.events.settings import StartError, finite, microseconds, start_from
+from plankroute.net.process.address import host_and_port
+from plankroute.net.process.resource_limits import Room, room_for
 
 USUAL_GATHER_MS = 5.0  # where the settings name no shortest time between batches
 USUAL_MB, USUAL_SOCKETS = 192.0, 1024  # where no limits are stated
--- a/plankroute/net/extras.py
+++ b/plankroute/net/process/optional_features.py
@@ -4,32 +4,32 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING, Any
 
-from plankroute.coldstart.calls import CallFacts
-from plankroute.coldstart.follow import FollowFacts
-from plankroute.coldstart.frames import Probed
-from plankroute.coldstart.probers import Survey
-from plankroute.interface import notes
-from plankroute.net.address import host_and_port
-from plankroute.net.book import Book
-from plankroute.net.boot import Boot
-from plankroute.net.careful import CarefulDiscovery
-from plankroute.net.directory import Directory
-from plankroute.net.discovery import Discovery
-from plankroute.net.members import Members, Self
-from plankroute.net.probes import Prober
-from plankroute.ownfile import ColdStartPart, OwnFile
+from plankroute.cold_start.backoff import CallFacts
+from plankroute.cold_start.link_codec import Probed
+from plankroute.cold_start.probe_sharing import Survey
+from plankroute.cold_start.watcher_election import FollowFacts
+from plankroute.config.feature_file import ColdStartPart, OwnFile
 from plankroute.controller.controller import Controller
+from plankroute.events import events
+from plankroute.net.discovery.backoff_watch import CarefulDiscovery
+from plankroute.net.discovery.directory import Directory
+from plankroute.net.discovery.watch import Discovery
+from plankroute.net.peers.membership import Members, Self
+from plankroute.net.probing.prober import Prober
+from plankroute.net.process.address import host_and_port
+from plankroute.net.process.configuration import Boot
+from plankroute.net.process.telemetry import Book
 
 if TYPE_CHECKING:
-    from plankroute.net.learned import LearnedParts
-    from plankroute.net.shared import SharedDiscovery
+    from plankroute.net.peers.shared_discovery import SharedDiscovery
+    from plankroute.net.peers.warm_start import LearnedParts
 
 
 class Extras:
     """Each part is there, or None where its section is missing."""
 
     def __init__(
-        self, own: OwnFile, boot: Boot, book: Book, put: Callable[[notes.Note], None]
+        self, own: OwnFile, boot: Boot, book: Book, put: Callable[[events.Note], None]
     ) -> None:
         self.own, self.boot, self.book, self.put = own, boot, book, put
         zones, zone = boot.zones, boot.facts.own_zone
@@ -47,7 +47,7 @@
         if part.links is None or self.members is None:
             self.careful = CarefulDiscovery(*words)
         else:
-            from plankroute.net.shared import SharedDiscovery
+            from plankroute.net.peers.shared_discovery import SharedDiscovery
 
             self.careful = self.shared = shared = SharedDiscovery(*words)
             facts = FollowFacts(
@@ -66,7 +66,7 @@
         """Takes what a Prober takes; after `make_discovery`."""
         if (part := self.own.coldstart) is None or part.probers == 0:
             return Prober(*words)
-        from plankroute.net.sharedprobes import SharedProber
+        from plankroute.net.probing.shared_prober import SharedProber
 
         prober, shared = SharedProber(*words), self.shared
         survey = Survey(self.me.name, part.probers, part.stewards or self.boot.facts.stewards)
@@ -88,8 +88,8 @@
         """Before the first list; after `make_discovery`."""
         if (part := self.own.learned) is None:
             return
-        from plankroute.net.ahead import DrainsAhead
-        from plankroute.net.learned import LearnedParts
+        from plankroute.net.peers.drain_notices import DrainsAhead
+        from plankroute.net.peers.warm_start import LearnedParts
 
         shared, book = self.shared, self.book
         ahead = shared.ahead if shared else DrainsAhead(directory, book, self.put)
@@ -102,7 +102,7 @@
 
     def peers(self) -> list[tuple[str, tuple[str, int]]]:
         """Living members with their links' addresses, as this steward asks them."""
-        from plankroute.net.learned import in_order
+        from plankroute.net.peers.warm_start import in_order
 
         assert self.members and self.shared
         view = self.members.core.view
--- a/plankroute/net/route.py
+++ b/plankroute/net/process/router.py
@@ -3,11 +3,11 @@
 import asyncio
 from collections.abc import Callable
 
-from plankroute.interface import notes, orders
-from plankroute.controller.messages import Message, Player
-from plankroute.net.book import Book
-from plankroute.net.clock import Alarms, Clock
 from plankroute.controller.controller import Controller
+from plankroute.controller.messages import Message, Player
+from plankroute.events import commands, events
+from plankroute.net.process.clock import Alarms, Clock
+from plankroute.net.process.telemetry import Book
 
 
 class Router:
@@ -18,15 +18,15 @@
     ) -> None:
         self.steward, self.player, self.clock, self.book = steward, player, clock, book
         self.gather_us, self.last_us = gather_us, 0
-        self.alarms, self.pending = Alarms(), list[notes.Note]()
+        self.alarms, self.pending = Alarms(), list[events.Note]()
         self.handle: asyncio.TimerHandle | None = None
         self.handle_us = 0
         self.send: Callable[[Message], None] = lambda message: None
         self.probe: Callable[[int], None] = lambda host: None
         self.forget: Callable[[int], None] = lambda host: None
-        self.ask: Callable[[orders.AskList | orders.Subscribe], None] = lambda order: None
+        self.ask: Callable[[commands.AskList | commands.Subscribe], None] = lambda order: None
 
-    def put(self, note: notes.Note) -> None:
+    def put(self, note: events.Note) -> None:
         self.pending.append(note)
         self.wake_at(self.last_us + self.gather_us)
 
@@ -44,7 +44,7 @@
         self.handle = None
         now = self.clock.now()
         # Timers first: guards against a note that fails and takes along the timers that the core lives by.
-        batch: list[notes.Note] = [notes.TimerDue(token) for token in self.alarms.due(now)]
+        batch: list[events.Note] = [events.TimerDue(token) for token in self.alarms.due(now)]
         batch += self.pending
         self.pending = []
         if batch:
@@ -53,7 +53,7 @@
         if (next_us := self.alarms.next_us()) is not None:
             self.wake_at(max(next_us, self.last_us))
 
-    def work_on(self, now: int, batch: list[notes.Note]) -> None:
+    def work_on(self, now: int, batch: list[events.Note]) -> None:
         """A failure is logged with its place; the steward goes on with the next batch."""
         self.book.count("core.batches")
         self.book.count("core.notes", len(batch))
@@ -66,26 +66,26 @@
                 self.send(message)
             for order in decided:
                 if isinstance(
-                    order, orders.Forget
+                    order, commands.Forget
                 ):  # last of all: no message can name the host from here
                     self.player.forget(order.host)
                     self.forget(order.host)
         except Exception as error:
             self.book.failed("core", error)
 
-    def carry_out(self, now: int, decided: list[orders.Order]) -> None:
+    def carry_out(self, now: int, decided: list[commands.Order]) -> None:
         """What is no message; timers first of all, since the core lives by them."""
         for order in decided:
             match order:
-                case orders.SetTimer(after_us, token):
+                case commands.SetTimer(after_us, token):
                     self.alarms.set(now + after_us, token)
-                case orders.Probe(host):
+                case commands.Probe(host):
                     self.probe(host)
-                case orders.AskList() | orders.Subscribe():
+                case commands.AskList() | commands.Subscribe():
                     self.ask(order)
-                case orders.Log(text):
+                case commands.Log(text):
                     self.book.log.event("info", "core", text=text)
-                case orders.Tell():
+                case commands.Tell():
                     self.book.say_once(
                         "unsupported_tell"
                     )  # the protocol has no messages between stewards
--- a/plankroute/net/service.py
+++ b/plankroute/net/process/service.py
@@ -10,26 +10,26 @@
 from dataclasses import replace
 from typing import TYPE_CHECKING, Any
 
-from plankroute.controller.messages import Player
-from plankroute.net import early
-from plankroute.net.admit import Admission
-from plankroute.net.book import Book, Log, to_stderr
-from plankroute.net.boot import Boot, read_boot
-from plankroute.net.clock import Clock
-from plankroute.net.directory import Directory
-from plankroute.net.discovery import Discovery
-from plankroute.net.listener import Listener
-from plankroute.net.probes import Prober
-from plankroute.net.route import Router
-from plankroute.net.send import Sender
-from plankroute.net.streams import Streams
-from plankroute.net.wire import Writer
-from plankroute.start import StartError
 from plankroute.controller.controller import Controller
+from plankroute.controller.messages import Player
+from plankroute.events.settings import StartError
+from plankroute.net.discovery.directory import Directory
+from plankroute.net.discovery.watch import Discovery
+from plankroute.net.probing.prober import Prober
+from plankroute.net.process import startup_signals as early
+from plankroute.net.process.clock import Clock
+from plankroute.net.process.configuration import Boot, read_boot
+from plankroute.net.process.router import Router
+from plankroute.net.process.telemetry import Book, Log, to_stderr
+from plankroute.net.proxies.admission import Admission
+from plankroute.net.proxies.line_codec import Writer
+from plankroute.net.proxies.listener import Listener
+from plankroute.net.proxies.sender import Sender
+from plankroute.net.proxies.sessions import Streams
 
 if TYPE_CHECKING:
-    from plankroute.net.extras import Extras
-    from plankroute.ownfile import OwnFile
+    from plankroute.config.feature_file import OwnFile
+    from plankroute.net.process.optional_features import Extras
 
 OWN_FILE = (
     "PLANKROUTE_FILE"  # names our own JSON file; without it all that the file switches on is off
@@ -103,7 +103,7 @@
     def extras_of(self, own: "OwnFile | None") -> "Extras | None":
         if own is None:
             return None
-        from plankroute.net.extras import (
+        from plankroute.net.process.optional_features import (
             Extras,
         )  # off, it costs a bare start neither time nor memory
 
@@ -206,7 +206,7 @@
     """Raises StartError, whose line says what is wrong."""
     if not (path := os.environ.get(OWN_FILE)):
         return None
-    from plankroute.ownfile import read_own_file
+    from plankroute.config.feature_file import read_own_file
 
     return read_own_file(path)
 
--- a/plankroute/net/book.py
+++ b/plankroute/net/process/telemetry.py
@@ -11,7 +11,7 @@
 
 import orjson
 
-from plankroute.interface.notes import LoadReport
+from plankroute.events.events import LoadReport
 
 WAITING_LINES = 1000  # log lines held for a slow reader; more are dropped and counted
 LINES_A_SECOND = 20  # of one event: the rest are counted, so that a storm can't fill the log
--- /dev/null
+++ b/plankroute/net/proxies/__init__.py
@@ -0,0 +1,1 @@
+"""Connections of proxies and collectors: listener, sessions, line codec, buffers."""
--- a/plankroute/net/admit.py
+++ b/plankroute/net/proxies/admission.py
@@ -5,10 +5,10 @@
 from enum import Enum
 from typing import ClassVar
 
-from plankroute.interface import notes
-from plankroute.net import wire
-from plankroute.net.directory import Directory
-from plankroute.net.errors import Refused, Stage
+from plankroute.events import events
+from plankroute.net.discovery.directory import Directory
+from plankroute.net.process.errors import Refused, Stage
+from plankroute.net.proxies import line_codec as wire
 
 
 class Role(Enum):
@@ -49,7 +49,7 @@
         self.longest_us = longest_us  # no try that was answered can have taken longer
         self.joined = set[int]()  # kept by the streams: proxies that are joined
 
-    def admit(self, party: Party, said: wire.Said) -> notes.Note | Refused | None:
+    def admit(self, party: Party, said: wire.Said) -> events.Note | Refused | None:
         """None where nothing is to be noted."""
         match said:
             case wire.Asked():
@@ -75,17 +75,17 @@
         party.role, party.zone = Role.COLLECTOR, self.directory.zones[said.zone]
         return None
 
-    def hello(self, party: Party, said: wire.HelloSaid) -> notes.Note | Refused:
+    def hello(self, party: Party, said: wire.HelloSaid) -> events.Note | Refused:
         if party.role not in (Role.STRANGER, Role.ASKER):
             return refused("hello is not the first word")
         if said.proxy >= self.proxies or said.zone not in self.directory.zones:
             return refused("proxy or zone not known")
         party.role, party.proxy = Role.PROXY, said.proxy
-        return notes.ProxyJoined(
+        return events.ProxyJoined(
             said.proxy, self.directory.zones[said.zone], said.usual_rate, said.fresh
         )
 
-    def applied(self, party: Party, said: wire.AppliedSaid) -> notes.Note | Refused:
+    def applied(self, party: Party, said: wire.AppliedSaid) -> events.Note | Refused:
         """Marks are answered in order: an answer also tells of those before it."""
         if (
             party.role is not Role.PROXY
@@ -95,9 +95,9 @@
             return refused("answer to no mark")
         while party.marks.popleft() != said.serial:
             pass
-        return notes.Applied(said.proxy, said.serial, said.took_us)
+        return events.Applied(said.proxy, said.serial, said.took_us)
 
-    def host(self, party: Party, said: wire.HostSaid) -> notes.Note | Refused:
+    def host(self, party: Party, said: wire.HostSaid) -> events.Note | Refused:
         host, zone = self.directory.ids.get(said.host), self.directory.zones.get(said.zone)
         if party.role is not Role.COLLECTOR:
             return refused("sums from no collector")
@@ -106,15 +106,15 @@
         if said.voided > said.tries or said.mean_us > self.longest_us:
             return refused("sums that can't be")
         party.has_told = True
-        return notes.HostSums(
+        return events.HostSums(
             host, zone, said.tries, said.voided, said.mean_us, said.span_us, said.report
         )
 
-    def traffic(self, party: Party, said: wire.TrafficSaid) -> notes.Note | Refused:
+    def traffic(self, party: Party, said: wire.TrafficSaid) -> events.Note | Refused:
         product = self.directory.products.get(said.product)
         own = party.role is Role.PROXY and party.proxy == said.proxy
         if not own and party.role is not Role.COLLECTOR:
             return refused("traffic of another")
         if product is None or said.proxy not in self.joined:
             return refused("product not known, or proxy not joined")
-        return notes.ProxyTraffic(said.proxy, product, said.arrived, said.voided, said.span_us)
+        return events.ProxyTraffic(said.proxy, product, said.arrived, said.voided, said.span_us)
--- a/plankroute/net/peers.py
+++ b/plankroute/net/proxies/connection.py
@@ -3,11 +3,11 @@
 import asyncio
 import time
 
-from plankroute.net.admit import Party, Role
-from plankroute.net.intake import LineCutter
-from plankroute.net.relay import Outlet
-from plankroute.net.ring import Pool
-from plankroute.net.wire import MOST_JOINING, MOST_LINE
+from plankroute.net.proxies.admission import Party, Role
+from plankroute.net.proxies.line_codec import MOST_JOINING, MOST_LINE
+from plankroute.net.proxies.line_reader import LineCutter
+from plankroute.net.proxies.outbound_buffer import Outlet
+from plankroute.net.proxies.ring_buffer import Pool
 
 
 class Peer:
--- a/plankroute/net/wire.py
+++ b/plankroute/net/proxies/line_codec.py
@@ -4,11 +4,11 @@
 from collections.abc import Callable, Iterable, Iterator
 from dataclasses import dataclass
 
-from plankroute.interface.notes import LoadReport
 from plankroute.controller.messages import Message, Part
-from plankroute.net.errors import Refused, Stage
-from plankroute.start import REPORT_FIELDS as SETTINGS_FIELDS
-from plankroute.start import load_report, microseconds
+from plankroute.events.events import LoadReport
+from plankroute.events.settings import REPORT_FIELDS as SETTINGS_FIELDS
+from plankroute.events.settings import load_report, microseconds
+from plankroute.net.process.errors import Refused, Stage
 
 MOST_LINE = 1 << 20  # bytes, by the protocol
 MOST_JOINING = 1024  # bytes: no first word comes near
--- a/plankroute/net/intake.py
+++ b/plankroute/net/proxies/line_reader.py
@@ -2,8 +2,8 @@
 
 from collections.abc import Iterator
 
-from plankroute.net.errors import Refused, Stage
-from plankroute.net.ring import Pool, Ring
+from plankroute.net.process.errors import Refused, Stage
+from plankroute.net.proxies.ring_buffer import Pool, Ring
 
 LF = 10
 
--- a/plankroute/net/listener.py
+++ b/plankroute/net/proxies/listener.py
@@ -5,16 +5,14 @@
 import time
 from collections.abc import Callable
 
-from plankroute.interface import notes
-from plankroute.net.address import host_and_port
-from plankroute.net.admit import Admission, Role
-from plankroute.net.book import Book
-from plankroute.net.errors import Refused
-from plankroute.net.peers import Peer
-from plankroute.net.ring import Pool
-from plankroute.net.room import Room
-from plankroute.net.streams import Streams
-from plankroute.net.wire import (
+from plankroute.events import events
+from plankroute.net.process.address import host_and_port
+from plankroute.net.process.errors import Refused
+from plankroute.net.process.resource_limits import Room
+from plankroute.net.process.telemetry import Book
+from plankroute.net.proxies.admission import Admission, Role
+from plankroute.net.proxies.connection import Peer
+from plankroute.net.proxies.line_codec import (
     ALIVE,
     ERROR,
     AppliedSaid,
@@ -26,6 +24,8 @@
     TrafficSaid,
     read_line,
 )
+from plankroute.net.proxies.ring_buffer import Pool
+from plankroute.net.proxies.sessions import Streams
 
 READ_AT_ONCE = 16384  # bytes: a collector's second of lines
 TAKEN_BYTES = (
@@ -52,7 +52,7 @@
         streams: Streams,
         book: Book,
         room: Room,
-        put: Callable[[notes.Note], None],
+        put: Callable[[events.Note], None],
     ) -> None:
         self.admission, self.streams, self.book, self.put = admission, streams, book, put
         self.room, self.pool = room, Pool(room.ring_bytes)
@@ -137,7 +137,7 @@
             peer.outlet.reset()
             self.streams.end(peer, what.why)
 
-    def accept(self, peer: Peer, said: Said, note: notes.Note | None) -> None:
+    def accept(self, peer: Peer, said: Said, note: events.Note | None) -> None:
         self.book.count(TAKEN[type(said)])
         if isinstance(said, HostSaid) and said.report:
             self.book.count_report(said.report)
@@ -148,7 +148,7 @@
         if not peer.is_stranger():
             self.take_off(peer)
             peer.join()
-        if isinstance(note, notes.ProxyJoined):
+        if isinstance(note, events.ProxyJoined):
             self.streams.join(peer, note)
         elif note is not None:
             self.put(note)
--- a/plankroute/net/relay.py
+++ b/plankroute/net/proxies/outbound_buffer.py
@@ -2,8 +2,8 @@
 
 import asyncio
 
-from plankroute.net.ring import Pool, Ring
-from plankroute.net.wire import MOST_LINE
+from plankroute.net.proxies.line_codec import MOST_LINE
+from plankroute.net.proxies.ring_buffer import Pool, Ring
 
 MOST_WAITING = (
     2 * MOST_LINE
--- a/plankroute/net/send.py
+++ b/plankroute/net/proxies/sender.py
@@ -1,9 +1,9 @@
 """Send: messages become bytes on their proxy's stream."""
 
 from plankroute.controller.messages import Message
-from plankroute.net.book import Book
-from plankroute.net.streams import Streams
-from plankroute.net.wire import Writer
+from plankroute.net.process.telemetry import Book
+from plankroute.net.proxies.line_codec import Writer
+from plankroute.net.proxies.sessions import Streams
 
 
 class Sender:
--- a/plankroute/net/streams.py
+++ b/plankroute/net/proxies/sessions.py
@@ -4,9 +4,9 @@
 from collections.abc import Callable
 from dataclasses import replace
 
-from plankroute.interface import notes
-from plankroute.net.book import Book
-from plankroute.net.peers import Peer
+from plankroute.events import events
+from plankroute.net.process.telemetry import Book
+from plankroute.net.proxies.connection import Peer
 
 
 class Streams:
@@ -22,14 +22,14 @@
     )
 
     def __init__(
-        self, joined: set[int], book: Book, answer_s: float, put: Callable[[notes.Note], None]
+        self, joined: set[int], book: Book, answer_s: float, put: Callable[[events.Note], None]
     ) -> None:
         self.joined, self.book, self.put = joined, book, put
         self.silent_s = self.PATIENCE * answer_s
         self.by_proxy: dict[int, Peer] = {}
-        self.hellos: dict[Peer, notes.ProxyJoined] = {}
+        self.hellos: dict[Peer, events.ProxyJoined] = {}
 
-    def join(self, peer: Peer, hello: notes.ProxyJoined) -> None:
+    def join(self, peer: Peer, hello: events.ProxyJoined) -> None:
         """A new stream may come before the old one is seen to end: that end is then no leaving."""
         if old := self.by_proxy.get(hello.proxy):
             self.tell_left(hello.proxy)
@@ -51,7 +51,7 @@
         together."""
         if proxy in self.joined:
             self.joined.discard(proxy)
-            self.put(notes.ProxyLeft(proxy))
+            self.put(events.ProxyLeft(proxy))
 
     def look(self) -> None:
         """Finds the silent ones."""
--- /dev/null
+++ b/plankroute/policy/__init__.py
@@ -0,0 +1,1 @@
+"""Every decision of a controller, one module a mechanism."""
--- a/plankroute/decide.py
+++ b/plankroute/policy/decide.py
@@ -19,9 +19,9 @@
 from plankroute.controller.host_statistics import NO_CAP, HostStatistics, grouped
 from plankroute.controller.registry import Change, ProxyRegistry, Pushed, even_cap, in_whole
 from plankroute.controller.scheduler import Actor, Scheduler, Tick
-from plankroute.interface import notes, orders
-from plankroute.interface.facts import LevelUnit, ReportWay, StartFacts
-from plankroute.interface.notes import HostState, Outcome
+from plankroute.events import commands, events
+from plankroute.events.events import HostState, Outcome
+from plankroute.events.facts import LevelUnit, ReportWay, StartFacts
 
 SECOND_US = 1_000_000
 ASK_AGAIN_US = 2 * SECOND_US  # for a list that failed: well before it counts as known
@@ -111,8 +111,8 @@
     def kin_mean(self, place: int) -> float:  # of a kind not known warm the least: it may be small
         return self.kin.get(self.kind[place], min(self.kin.values(), default=1.0))
 
-    def probes(self, places: Iterable[int]) -> list[orders.Order]:
-        return [orders.Probe(self.ids[i]) for i in places if self.may_probe]
+    def probes(self, places: Iterable[int]) -> list[commands.Order]:
+        return [commands.Probe(self.ids[i]) for i in places if self.may_probe]
 
 
 class Host(Actor):
@@ -159,17 +159,17 @@
         self.good_probes, self.bad_probes, self.needed = 0, 0, self.GOOD_PROBES
         self.found_out = False  # by this steward: what it was told of a host it does not tell on
         self.work = {
-            notes.HostEntry: self.on_entry,
-            notes.HostSums: self.on_sums,
-            notes.ProbeResult: self.on_probe,
-            notes.HostLearned: self.on_learned,
+            events.HostEntry: self.on_entry,
+            events.HostSums: self.on_sums,
+            events.ProbeResult: self.on_probe,
+            events.HostLearned: self.on_learned,
             Tick: self.on_turn,
         }
 
     def handle(self, note: Any) -> None:
         self.warm() if note is Tick.CHANGED else self.work[type(note)](note)
 
-    def on_entry(self, entry: notes.HostEntry) -> None:
+    def on_entry(self, entry: events.HostEntry) -> None:
         fleet, i = self.fleet, self.place
         if entry.state is not fleet.state[i]:
             fleet.heard_us[i] = self.desk.now
@@ -206,7 +206,7 @@
         bears = max(0.01, share * (1 - voided) / (1 + self.FLOCK * voided**3))
         fleet.cap[i] = 0.0 if cold and drowning else bears * fleet.kin_mean(i)
 
-    def on_sums(self, sums: notes.HostSums) -> None:
+    def on_sums(self, sums: events.HostSums) -> None:
         """Guards against hosts that void txns fast and so look empty: each counts as late."""
         fleet, i, voided = self.fleet, self.place, min(sums.voided, sums.tries)
         fleet.hear(self.desk.now, SECOND_US // 4)  # which come together set the turns
@@ -220,7 +220,7 @@
             fleet.judge(i, 2 * fleet.voided[i] > fleet.tries[i])
         fleet.add_report(i, sums.report)
 
-    def on_probe(self, probe: notes.ProbeResult) -> None:
+    def on_probe(self, probe: events.ProbeResult) -> None:
         if probe.age_us > MEMORY_US:
             return  # another steward's, from another time
         if probe.outcome is Outcome.ANSWERED:
@@ -253,7 +253,7 @@
         elif not enough and i in fleet.playing() and self.suspect(fleet.best_part):
             self.desk.out += fleet.probes([i])  # no second one that waits for the turn
 
-    def on_learned(self, told: notes.HostLearned) -> None:
+    def on_learned(self, told: events.HostLearned) -> None:
         """Guards against a start that is blind: hosts that void everything would get their full part again.
 
         It moves where the steward starts from, no more: own txns know better. Harm: a host that got well
@@ -593,7 +593,7 @@
     )  # for hosts that are gone: proxies back from the longest cuts may name them yet
     OPEN = {LevelUnit.NONE: 1.0, LevelUnit.SHARE: 1.0, LevelUnit.RATE: 1e6}
     RETRY = (
-        orders.Retry.UNRUN
+        commands.Retry.UNRUN
     )  # on proof that the first never ran: others doubled the load of late hosts
 
     def __init__(self, desk: Scheduler, fleet: Fleet, facts: StartFacts) -> None:
@@ -627,22 +627,22 @@
         )  # slots, their causes
         self.untold_us: int | None = None  # since when proxies wait that were not told who is gone
         self.levels: dict[
-            Any, orders.SetLevel
+            Any, commands.SetLevel
         ] = {}  # not yet written: a newer one replaces an older
         for table in self.tables:
             desk.out.append(
-                orders.SetLevel(table.number, None, self.OPEN[facts.level_unit], self.RETRY)
+                commands.SetLevel(table.number, None, self.OPEN[facts.level_unit], self.RETRY)
             )
 
     def handle(self, note: Any) -> None:
         match note:
-            case notes.HostEntry():
+            case events.HostEntry():
                 i = self.fleet.index[note.host]
                 if self.fleet.state[i] is HostState.READY:
                     self.due.discard(i)
                 elif i not in self.withdrawn and self.gone_lines(i):
                     self.due.add(i)
-            case notes.ProxyJoined():
+            case events.ProxyJoined():
                 self.leave(note.proxy)
                 self.join(note)
                 self.untold_us = self.untold_us or self.desk.now
@@ -653,12 +653,12 @@
                     binds_us = self.bind_us(self.subset_share())
                     self.fleet.learn_most_us = min(self.LEARN_US, self.spare_us - binds_us)
                     self.desk.out += self.fleet.probes(self.fleet.playing() if learns else ())
-            case notes.ProxyLeft():
+            case events.ProxyLeft():
                 self.leave(note.proxy)
                 self.count_broken(note.proxy)
-            case notes.Applied():
+            case events.Applied():
                 self.channel.answered(note.proxy, note.serial)
-            case orders.SetLevel():
+            case commands.SetLevel():
                 self.levels[note.table, note.products] = note
             case Tick():
                 self.channel.pass_time(self.desk.now)
@@ -796,7 +796,8 @@
             return 0
         table.set(change.place, change.count)
         self.order(
-            orders.SetLine(table.number, self.fleet.ids[change.place], float(change.count)), payers
+            commands.SetLine(table.number, self.fleet.ids[change.place], float(change.count)),
+            payers,
         )
         return len(payers)
 
@@ -809,7 +810,7 @@
         if len(tables) == 1:
             self.set_line(Change(0.0, True, tables[0], host, 0), room)
         if told := self.tell(host, self.zone_of if len(tables) > 1 else self.unbound):
-            self.order(orders.Withdraw(self.fleet.ids[host], True), told)
+            self.order(commands.Withdraw(self.fleet.ids[host], True), told)
             self.withdrawn.add(host)
         return lines
 
@@ -842,7 +843,7 @@
             if back and (self.fleet.cap[i] == NO_CAP or not self.unbound):
                 self.withdrawn.discard(i)
                 self.knows.pop(i, None)
-                self.order(orders.Withdraw(self.fleet.ids[i], False), self.unbound)
+                self.order(commands.Withdraw(self.fleet.ids[i], False), self.unbound)
 
     def room(
         self, most_queued: float
@@ -873,7 +874,7 @@
             self.bound.add(proxy)
             for table, lines in zip(tables, costs):
                 products = tuple(table.products) if len(self.tables) > 1 else None
-                self.order(orders.Bind(table.number, proxy, products), [proxy], lines)
+                self.order(commands.Bind(table.number, proxy, products), [proxy], lines)
 
 
 class Levels(Actor):
@@ -908,11 +909,11 @@
 
     def handle(self, note: Any) -> None:
         match note:
-            case notes.ProxyTraffic() if note.span_us > 0 and self.tables:
+            case events.ProxyTraffic() if note.span_us > 0 and self.tables:
                 self.arrived += note.arrived
                 key, rate = (note.proxy, note.product), note.arrived * SECOND_US / note.span_us
                 self.rates[key] = (self.rates.get(key, rate) + rate) / 2
-            case notes.HostSums():
+            case events.HostSums():
                 host, self.settled = (
                     self.fleet.index[note.host],
                     self.settled + note.tries - note.voided,
@@ -958,7 +959,7 @@
         if abs(level - before) > self.STEP * before or level == open_ != before:
             self.sent[table.number, product] = level
             self.desk.put(
-                self.publisher, orders.SetLevel(table.number, (product,), level, Publisher.RETRY)
+                self.publisher, commands.SetLevel(table.number, (product,), level, Publisher.RETRY)
             )
 
     def rate_for(
--- a/plankroute/simhost/__init__.py
+++ /dev/null
@@ -1,1 +0,0 @@
-"""The process that hosts many stewards on the simulator's wire."""
--- a/plankroute/simhost/__main__.py
+++ b/plankroute/simulator/__main__.py
@@ -6,10 +6,11 @@
 from typing import BinaryIO
 
 from plankroute.controller.controller import Controller
-from plankroute.interface.notes import Note
-from plankroute.interface.orders import Forget
-from plankroute.simwire.frames import WireError, read_batch, write_reply
-from plankroute.simwire.records import (
+from plankroute.events.commands import Forget
+from plankroute.events.events import Note
+from plankroute.events.settings import microseconds
+from plankroute.simulator.frames import WireError, read_batch, write_reply
+from plankroute.simulator.records import (
     Decoder,
     Delivered,
     Destroyed,
@@ -17,7 +18,6 @@
     encode_failure,
     encode_order,
 )
-from plankroute.start import microseconds
 
 
 class Host:
@@ -29,7 +29,7 @@
 
     def reply(self, clock_us: int, body: bytes) -> list[bytes]:
         pending: dict[int, list[Note]] = {}
-        for event in self.decoder.events(body):
+        for event in self.decoder.decode(body):
             match event:
                 case Enlisted(instance, seed, facts):
                     self.stewards[instance] = Controller(facts, seed)
--- a/plankroute/simwire/records.py
+++ b/plankroute/simulator/records.py
@@ -5,27 +5,27 @@
 from collections.abc import Iterator
 from dataclasses import dataclass
 
-from plankroute.interface import notes, orders
-from plankroute.interface.facts import StartFacts
-from plankroute.simwire.frames import WireError
-from plankroute.start import StartError, finite, load_report, microseconds, start_from
+from plankroute.events import commands, events
+from plankroute.events.facts import StartFacts
+from plankroute.events.settings import StartError, finite, load_report, microseconds, start_from
+from plankroute.simulator.frames import WireError
 
 ALL_TABLES = 0xFFFF
 ALL_PEERS = 0xFFFF
-STATES = {0: notes.HostState.DRAINING, 1: notes.HostState.READY, 2: notes.HostState.GONE}
+STATES = {0: events.HostState.DRAINING, 1: events.HostState.READY, 2: events.HostState.GONE}
 LIST_KINDS = {
-    0: notes.ListKind.CACHED,
-    1: notes.ListKind.FULL,
-    2: notes.ListKind.CHANGES,
-    3: notes.ListKind.FAILED,
+    0: events.ListKind.CACHED,
+    1: events.ListKind.FULL,
+    2: events.ListKind.CHANGES,
+    3: events.ListKind.FAILED,
 }
 OUTCOMES = {
-    0: notes.Outcome.ANSWERED,
-    5: notes.Outcome.ERROR,
-    11: notes.Outcome.TURNED_AWAY,
-    110: notes.Outcome.SILENT,
-    111: notes.Outcome.UNREACHED,
-    104: notes.Outcome.ERROR,
+    0: events.Outcome.ANSWERED,
+    5: events.Outcome.ERROR,
+    11: events.Outcome.TURNED_AWAY,
+    110: events.Outcome.SILENT,
+    111: events.Outcome.UNREACHED,
+    104: events.Outcome.ERROR,
 }
 ENTRY = struct.Struct("<dfHBHIH")
 EVENTS = {
@@ -88,7 +88,7 @@
     """A note for an instance."""
 
     instance: int
-    note: notes.Note
+    note: events.Note
 
 
 Event = Enlisted | Destroyed | Delivered
@@ -98,10 +98,10 @@
     """Holds what outlives a batch: the numbered lists, and each instance's report fields."""
 
     def __init__(self) -> None:
-        self.lists: dict[int, tuple[notes.HostEntry, ...]] = {}
+        self.lists: dict[int, tuple[events.HostEntry, ...]] = {}
         self.report_fields: dict[int, tuple[str, ...]] = {}
 
-    def events(self, body: bytes) -> Iterator[Event]:
+    def decode(self, body: bytes) -> Iterator[Event]:
         at = 0
         while at < len(body):
             code = body[at]
@@ -125,7 +125,7 @@
 
     def report(
         self, instance: int, count: int, body: bytes, at: int
-    ) -> tuple[notes.LoadReport | None, int]:
+    ) -> tuple[events.LoadReport | None, int]:
         raw = self.tail(body, at, 4 * count)
         if not count:
             return None, at
@@ -147,9 +147,9 @@
         number, count = values
         raw = self.tail(body, at, ENTRY.size * count)
         self.lists[number] = tuple(
-            notes.HostEntry(
+            events.HostEntry(
                 host,
-                STATES.get(mode, notes.HostState.GONE),
+                STATES.get(mode, events.HostState.GONE),
                 zone,
                 kind,
                 cell,
@@ -165,94 +165,96 @@
         kind = LIST_KINDS.get(mode)
         if kind is None:
             raise WireError(f"sync of unknown kind {mode}")
-        if kind is notes.ListKind.FAILED:
-            return Delivered(instance, notes.HostList(kind, ())), at
+        if kind is events.ListKind.FAILED:
+            return Delivered(instance, events.HostList(kind, ())), at
         if number not in self.lists:
             raise WireError(f"sync names list {number}, which was never sent")
-        return Delivered(instance, notes.HostList(kind, self.lists[number])), at
+        return Delivered(instance, events.HostList(kind, self.lists[number])), at
 
     def on_ring(self, values, body, at):
-        return Delivered(values[0], notes.TimerDue(values[1])), at
+        return Delivered(values[0], events.TimerDue(values[1])), at
 
     def on_status_back(self, values, body, at):
         instance, host, ending, took, count = values
         report, at = self.report(instance, count, body, at)
-        outcome = OUTCOMES.get(ending, notes.Outcome.ERROR)
-        return Delivered(instance, notes.ProbeResult(host, outcome, microseconds(took), report)), at
+        outcome = OUTCOMES.get(ending, events.Outcome.ERROR)
+        return Delivered(
+            instance, events.ProbeResult(host, outcome, microseconds(took), report)
+        ), at
 
     def on_mail(self, values, body, at):
         instance, sender, size = values
-        return Delivered(instance, notes.PeerMessage(sender, self.tail(body, at, size))), at + size
+        return Delivered(instance, events.PeerMessage(sender, self.tail(body, at, size))), at + size
 
     def on_attached(self, values, body, at):
         instance, proxy, zone, rate, fresh = values
-        return Delivered(instance, notes.ProxyJoined(proxy, zone, finite(rate), bool(fresh))), at
+        return Delivered(instance, events.ProxyJoined(proxy, zone, finite(rate), bool(fresh))), at
 
     def on_dropped_off(self, values, body, at):
-        return Delivered(values[0], notes.ProxyLeft(values[1])), at
+        return Delivered(values[0], events.ProxyLeft(values[1])), at
 
     def on_installed(self, values, body, at):
         instance, proxy, serial, took = values
-        return Delivered(instance, notes.Applied(proxy, serial, microseconds(took))), at
+        return Delivered(instance, events.Applied(proxy, serial, microseconds(took))), at
 
     def on_stats(self, values, body, at):
         instance, zone, mean, voided, tries, span, host, count = values
         report, at = self.report(instance, count, body, at)
-        note = notes.HostSums(
+        note = events.HostSums(
             host, zone, tries, voided, finite(mean) * 1000, microseconds(span), report
         )
         return Delivered(instance, note), at
 
     def on_traffic(self, values, body, at):
         instance, span, product, voided, proxy, arrived = values
-        note = notes.ProxyTraffic(proxy, product, arrived, voided, microseconds(span))
+        note = events.ProxyTraffic(proxy, product, arrived, voided, microseconds(span))
         return Delivered(instance, note), at
 
     def on_pressure(self, values, body, at):
         instance, slice_, product, arrived, voided, span = values
-        note = notes.SliceTraffic(slice_, product, arrived, voided, microseconds(span))
+        note = events.SliceTraffic(slice_, product, arrived, voided, microseconds(span))
         return Delivered(instance, note), at
 
     def on_mandate(self, values, body, at):
-        return Delivered(values[0], notes.SliceCharge(values[1], bool(values[2]))), at
+        return Delivered(values[0], events.SliceCharge(values[1], bool(values[2]))), at
 
     def on_stored_line(self, values, body, at):
         instance, slice_, host, weight = values
-        return Delivered(instance, notes.SliceLine(slice_, host, finite(weight))), at
+        return Delivered(instance, events.SliceLine(slice_, host, finite(weight))), at
 
 
 def mask(products: tuple[int, ...] | None) -> int:
     return 0 if products is None else sum(1 << place for place in products)
 
 
-def encode_order(instance: int, order: orders.Order) -> bytes:
+def encode_order(instance: int, order: commands.Order) -> bytes:
     """One action record."""
     match order:
-        case orders.SetLine(table, host, weight):
+        case commands.SetLine(table, host, weight):
             return struct.pack("<BHHIf", 75, instance, table, host, weight)
-        case orders.Bind(table, proxy, products):
+        case commands.Bind(table, proxy, products):
             return struct.pack("<BHHHH", 67, instance, table, proxy, mask(products))
-        case orders.Withdraw(host, out):
+        case commands.Withdraw(host, out):
             return struct.pack("<BHIB", 72, instance, host, out)
-        case orders.SetLevel(table, products, level, retry):
-            number = ALL_TABLES if table is orders.ALL_TABLES else table
+        case commands.SetLevel(table, products, level, retry):
+            number = ALL_TABLES if table is commands.ALL_TABLES else table
             return struct.pack("<BHHBHf", 68, instance, number, retry, mask(products), level)
-        case orders.SetTimer(after_us, token):
+        case commands.SetTimer(after_us, token):
             return struct.pack("<BHdI", 65, instance, after_us / 1000, token)
-        case orders.Probe(host):
+        case commands.Probe(host):
             return struct.pack("<BHI", 70, instance, host)
-        case orders.Mark(serial, everyone):
+        case commands.Mark(serial, everyone):
             return struct.pack("<BHQB", 73, instance, serial, everyone)
-        case orders.ClearTable(table):
+        case commands.ClearTable(table):
             return struct.pack("<BHH", 64, instance, table)
-        case orders.Tell(peer, data):
-            number = ALL_PEERS if peer is orders.ALL_PEERS else peer
+        case commands.Tell(peer, data):
+            number = ALL_PEERS if peer is commands.ALL_PEERS else peer
             return struct.pack("<BHHH", 69, instance, number, len(data)) + data
-        case orders.Subscribe(on):
+        case commands.Subscribe(on):
             return struct.pack("<BHB", 74, instance, on)
-        case orders.AskList():
+        case commands.AskList():
             return struct.pack("<BH", 66, instance)
-        case orders.Log(text):
+        case commands.Log(text):
             return encode_text(71, instance, text)
     raise TypeError(f"no record for {order!r}")
 
--- a/plankroute/lab/baselines.py
+++ b/plankroute/testbed/baselines.py
@@ -8,8 +8,8 @@
 
 import msgspec
 
-from plankroute.seeded_random import SeededRandom
-from plankroute.lab.simulated import CODEC, WALL_US, address_of, name_of
+from plankroute.membership.gossip import Rumours
+from plankroute.membership.member_table import View, mark_of
 from plankroute.membership.messages import (
     Action,
     Answer,
@@ -26,8 +26,8 @@
     Told,
 )
 from plankroute.membership.records import Record, Standing
-from plankroute.membership.spreading import Rumours
-from plankroute.membership.views import View, mark_of
+from plankroute.seeded_random import SeededRandom
+from plankroute.testbed.simulated_members import CODEC, WALL_US, address_of, name_of
 
 SECOND = 1_000_000
 BEAT_US = 100_000
--- a/plankroute/lab/checkers.py
+++ b/plankroute/testbed/checkers.py
@@ -4,8 +4,8 @@
 from collections.abc import Iterable
 from typing import NamedTuple
 
-from plankroute.lab.faults import Act
-from plankroute.lab.history import Entry, History
+from plankroute.testbed.faults import Act
+from plankroute.testbed.history import Entry, History
 
 VERDICTS = ("gone", "left", "back", "joined")
 
--- a/plankroute/lab/coldload.py
+++ b/plankroute/testbed/cold_host_load.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from plankroute.lab.hosts import Proxy
+from plankroute.testbed.hosts import Proxy
 
 TICK_S = 0.1
 
--- a/plankroute/lab/cold.py
+++ b/plankroute/testbed/cold_start.py
@@ -1,18 +1,17 @@
 """Cold starts of many real stewards at one moment: what the list service and the hosts see of it, and when
 all serve."""
 
-import asyncio
 import time
 from collections.abc import Callable
 from typing import Any
 
 import msgspec
 
-from plankroute.lab.coldload import ColdFacts, ColdLoad
-from plankroute.lab.faults import SECOND, Script
-from plankroute.lab.listservice import Behaviour, ListService, Mode, Phase, target
-from plankroute.lab.hosts import Hosts, Proxy
-from plankroute.lab.processes import STREAM_PORT, Fleet, Plan
+from plankroute.testbed.cold_host_load import ColdFacts, ColdLoad
+from plankroute.testbed.faults import SECOND, Script
+from plankroute.testbed.hosts import Hosts, Proxy
+from plankroute.testbed.list_service import Behaviour, ListService, Mode, Phase, target
+from plankroute.testbed.processes import STREAM_PORT, Fleet, Plan
 
 CLASSES = [{"name": "lookup", "idempotency": "retryable", "onTimeMs": 1000.0, "deadlineMs": 4000.0}]
 LOOK_ON_S = 5.0  # from the first probe of a host on: so long probes are counted
--- a/plankroute/lab/coldcases.py
+++ b/plankroute/testbed/cold_start_cases.py
@@ -9,13 +9,13 @@
 
 import msgspec
 
-from plankroute.coldstart.follow import ranked
-from plankroute.coldstart.frames import VERSION, Begin, Heartbeat, Hello, Part, write_frame
-from plankroute.lab.cold import Case, ColdStart
-from plankroute.lab.coldload import ColdFacts
-from plankroute.lab.faults import SECOND, Act, Rule, Script, Step, partition, pauses
-from plankroute.lab.listservice import Behaviour
-from plankroute.lab.processes import LINK_PORT
+from plankroute.cold_start.link_codec import VERSION, Begin, Heartbeat, Hello, Part, write_frame
+from plankroute.cold_start.watcher_election import ranked
+from plankroute.testbed.cold_host_load import ColdFacts
+from plankroute.testbed.cold_start import Case, ColdStart
+from plankroute.testbed.faults import SECOND, Act, Rule, Script, Step, partition, pauses
+from plankroute.testbed.list_service import Behaviour
+from plankroute.testbed.processes import LINK_PORT
 
 STEWARDS, WATCHERS = 10, 3
 LARGE = 8000  # hosts: a list of 1 MB
--- a/plankroute/lab/coldreport.py
+++ b/plankroute/testbed/cold_start_report.py
@@ -3,8 +3,8 @@
 
 import jinja2
 
-from plankroute.lab.cold import Seen
-from plankroute.lab.listservice import BIN_S
+from plankroute.testbed.cold_start import Seen
+from plankroute.testbed.list_service import BIN_S
 
 WIDTH, HEIGHT, MARGIN = 760, 180, 34  # of one curve, in pixels
 COLOURS = {"today": "#b3392f", "alone": "#2f6db3", "peers": "#2f8f4e"}
--- a/plankroute/lab/gated.py
+++ b/plankroute/testbed/gated_controller.py
@@ -1,4 +1,4 @@
-"""A steward that waits at a gate: `python -m plankroute.lab.gated FD`. It has imported all, and starts when
+"""A steward that waits at a gate: `python -m plankroute.testbed.gated_controller FD`. It has imported all, and starts when
 the
 other end of that pipe is closed: hundreds start at one moment, as when power comes back to a site."""
 
@@ -7,10 +7,10 @@
 
 
 def main() -> int:
-    from plankroute.net.service import main as serve
+    from plankroute.net.process.service import main as serve
 
     if os.environ.get("PLANKROUTE_FILE"):
-        import plankroute.net.extras  # noqa: F401  what a start would import first of all
+        import plankroute.net.process.optional_features  # noqa: F401  what a start would import first of all
     gate = int(sys.argv[1])
     os.write(2, b'{"event":"waits"}\n')
     os.read(gate, 1)
--- a/plankroute/lab/links.py
+++ b/plankroute/testbed/links.py
@@ -14,8 +14,8 @@
 from functools import partial
 from typing import cast
 
-from plankroute.lab.faults import Script
-from plankroute.net.members import bound
+from plankroute.net.peers.membership import bound
+from plankroute.testbed.faults import Script
 
 Address = tuple[str, int]
 
--- a/plankroute/lab/listservice.py
+++ b/plankroute/testbed/list_service.py
@@ -15,8 +15,8 @@
 import msgspec
 import orjson
 
-from plankroute.net.catalogue import MEMBERS
-from plankroute.tokens import Tokens
+from plankroute.net.discovery.catalogue import MEMBERS
+from plankroute.token_bucket import Tokens
 
 BIN_S = 0.1  # in which calls are counted
 QUIET_S = 2.0  # between signs of life on a watch, as published
--- a/plankroute/lab/measure.py
+++ b/plankroute/testbed/membership_benchmark.py
@@ -12,12 +12,18 @@
 
 import msgspec
 
-from plankroute.lab import checkers
-from plankroute.lab.baselines import Heartbeats, Swim
-from plankroute.lab.faults import SECOND, Act, Rule, Script, Step, partition, pauses
-from plankroute.lab.simulated import WALL_US, Group, address_of, name_of, plankroute_member
 from plankroute.membership.messages import Answer, BeatDue, Heard, Piece, Ping, Send
 from plankroute.membership.records import Record
+from plankroute.testbed import checkers
+from plankroute.testbed.baselines import Heartbeats, Swim
+from plankroute.testbed.faults import SECOND, Act, Rule, Script, Step, partition, pauses
+from plankroute.testbed.simulated_members import (
+    WALL_US,
+    Group,
+    address_of,
+    name_of,
+    plankroute_member,
+)
 
 CALM_S, KILLS, KILL_EVERY_S = 5.0, 3, 10.0
 MB = 1 << 20
--- a/plankroute/lab/processes.py
+++ b/plankroute/testbed/processes.py
@@ -18,10 +18,10 @@
 import msgspec
 import orjson
 
-from plankroute.lab.faults import SECOND, Act, Script, Step
-from plankroute.lab.history import Done, Entry, History
-from plankroute.lab.links import Address, Links, Streams
-from plankroute.net.service import OWN_FILE
+from plankroute.net.process.service import OWN_FILE
+from plankroute.testbed.faults import SECOND, Act, Script, Step
+from plankroute.testbed.history import Done, Entry, History
+from plankroute.testbed.links import Address, Links, Streams
 
 REAL_PORT, KNOWN_PORT, STREAM_PORT = 7946, 7947, 7948
 LINK_PORT, PEER_PORT = (
@@ -177,9 +177,13 @@
             environment[variable] = str(path)
         words = ["-m", "plankroute"]
         if member in self.plan.skewed:
-            words = ["-m", "plankroute.lab.skewed", *map(str, self.plan.skewed[member])]
+            words = [
+                "-m",
+                "plankroute.testbed.skewed_controller",
+                *map(str, self.plan.skewed[member]),
+            ]
         elif self.gate:
-            words = ["-m", "plankroute.lab.gated", str(self.gate[0])]
+            words = ["-m", "plankroute.testbed.gated_controller", str(self.gate[0])]
         process = await asyncio.create_subprocess_exec(
             sys.executable,
             *words,
--- a/plankroute/lab/scenarios.py
+++ b/plankroute/testbed/scenarios.py
@@ -9,13 +9,13 @@
 import msgspec
 import orjson
 
-from plankroute.lab import checkers
-from plankroute.lab.faults import SECOND, Act, Rule, Script, Step, partition, pauses
-from plankroute.lab.links import sender_socket
-from plankroute.lab.processes import Fleet, Plan
 from plankroute.membership.codec import Codec
 from plankroute.membership.messages import News
 from plankroute.membership.records import Record
+from plankroute.testbed import checkers
+from plankroute.testbed.faults import SECOND, Act, Rule, Script, Step, partition, pauses
+from plankroute.testbed.links import sender_socket
+from plankroute.testbed.processes import Fleet, Plan
 
 LIMIT_S = 45.0  # for what has to come: many times what it takes
 QUIET_S = 2.0  # after it: for what must not come
--- a/plankroute/lab/simulated.py
+++ b/plankroute/testbed/simulated_members.py
@@ -8,11 +8,9 @@
 from collections.abc import Callable
 from typing import Any, Protocol
 
-from plankroute.lab.faults import SECOND, Act, Script, Step
-from plankroute.lab.history import Done, Entry, History
 from plankroute.membership.codec import HEADER, Codec
+from plankroute.membership.core import Membership
 from plankroute.membership.facts import MemberFacts
-from plankroute.membership.group import Membership
 from plankroute.membership.messages import (
     BeatDue,
     Counted,
@@ -25,6 +23,8 @@
     Told,
 )
 from plankroute.membership.records import Record
+from plankroute.testbed.faults import SECOND, Act, Script, Step
+from plankroute.testbed.history import Done, Entry, History
 
 WAY_US = 300  # one way between members where no rule says otherwise
 FIRST_US = 100 * SECOND  # the clock at the start
--- a/plankroute/lab/skewed.py
+++ b/plankroute/testbed/skewed_controller.py
@@ -1,4 +1,4 @@
-"""A steward whose clock of the day jumps: `python -m plankroute.lab.skewed SECONDS_AFTER_START
+"""A steward whose clock of the day jumps: `python -m plankroute.testbed.skewed_controller SECONDS_AFTER_START
 JUMP_SECONDS`."""
 
 import sys
--- a/plankroute/lab/traffic.py
+++ b/plankroute/testbed/traffic.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from plankroute.lab.hosts import Proxy
+from plankroute.testbed.hosts import Proxy
 
 TICK_S, PERIOD_S, LATE_S = 0.1, 1.0, 0.7  # sums are told each second, so late
 GOOD_MS, VOID_MS = 20.0, 500.0
--- a/plankroute/lab/restart.py
+++ b/plankroute/testbed/warm_restart.py
@@ -11,14 +11,14 @@
 import jinja2
 import msgspec
 
-from plankroute.lab.faults import Act, Script, Step
-from plankroute.lab.hosts import Hosts
-from plankroute.lab.listservice import Behaviour, ListService, target
-from plankroute.lab.processes import STREAM_PORT, Fleet, Plan
-from plankroute.lab.traffic import TICK_S, Mix, Traffic
-from plankroute.learned.codec import write_file
-from plankroute.learned.facts import HostFacts, View
-from plankroute.net.learned import file_name
+from plankroute.net.peers.warm_start import file_name
+from plankroute.testbed.faults import Act, Script, Step
+from plankroute.testbed.hosts import Hosts
+from plankroute.testbed.list_service import Behaviour, ListService, target
+from plankroute.testbed.processes import STREAM_PORT, Fleet, Plan
+from plankroute.testbed.traffic import TICK_S, Mix, Traffic
+from plankroute.warm_start.codec import write_file
+from plankroute.warm_start.facts import HostFacts, View
 
 WAYS = ("nothing", "snapshot", "peer", "both", "wrong")
 LOOK_S = 10.0  # after the new start: so long the txns voided are counted
--- a/plankroute/lab/kills.py
+++ b/plankroute/testbed/write_kills.py
@@ -1,5 +1,5 @@
 """kill -9 at drawn points while a steward's file is written again and again: the process that writes, the
-points, and the starts that follow. `python -m plankroute.lab.kills FOLDER` is the one that writes."""
+points, and the starts that follow. `python -m plankroute.testbed.write_kills FOLDER` is the one that writes."""
 
 import asyncio
 import os
@@ -13,11 +13,11 @@
 
 import msgspec
 
-from plankroute.lab.processes import die_with_the_lab
-from plankroute.learned.codec import MOST_BYTES, Kept, read_file, write_file
-from plankroute.learned.facts import HostFacts, View
-from plankroute.net.keep import Disk, Saver
-from plankroute.net.learned import file_name
+from plankroute.net.peers.warm_start import file_name
+from plankroute.net.process.file_store import Disk, Saver
+from plankroute.testbed.processes import die_with_the_lab
+from plankroute.warm_start.codec import MOST_BYTES, Kept, read_file, write_file
+from plankroute.warm_start.facts import HostFacts, View
 
 NAME, HOSTS = "n0000", 500
 WRITES_FOR_S = 20.0  # at most: whoever writes ends by itself
@@ -71,7 +71,7 @@
     process = await asyncio.create_subprocess_exec(
         sys.executable,
         "-m",
-        "plankroute.lab.kills",
+        "plankroute.testbed.write_kills",
         str(folder),
         preexec_fn=die_with_the_lab,
         env={**os.environ, "PYTHONPATH": ":".join(sys.path), "PYTHONDONTWRITEBYTECODE": "1"},
--- a/plankroute/learned/codec.py
+++ b/plankroute/warm_start/codec.py
@@ -9,7 +9,7 @@
 import msgspec
 import xxhash
 
-from plankroute.learned.facts import View
+from plankroute.warm_start.facts import View
 
 MAGIC, VERSION = b"PKLR", 1
 HEADER = struct.Struct(
--- a/plankroute/learned/core.py
+++ b/plankroute/warm_start/core.py
@@ -7,9 +7,9 @@
 
 import msgspec
 
-from plankroute.interface.notes import HostState
-from plankroute.learned.facts import MOST_HOSTS, HostFacts, View
-from plankroute.learned.merge import Heard, Merged, first, join
+from plankroute.events.events import HostState
+from plankroute.warm_start.facts import MOST_HOSTS, HostFacts, View
+from plankroute.warm_start.merge import Heard, Merged, first, join
 
 HALF_US = 60_000_000  # by which bad news count as fresher: a probe that brings a host back comes in that time
 STATES = {"DRAINING": HostState.DRAINING, "DELETED": HostState.GONE}
--- a/plankroute/learned/merge.py
+++ b/plankroute/warm_start/merge.py
@@ -4,7 +4,7 @@
 import math
 from dataclasses import dataclass
 
-from plankroute.learned.facts import HostFacts
+from plankroute.warm_start.facts import HostFacts
 
 
 @dataclass(frozen=True, slots=True)
--- a/tests/model.py
+++ b/tests/model.py
@@ -3,8 +3,9 @@
 from dataclasses import replace
 
 from plankroute.controller.controller import Controller
-from plankroute.interface import notes, orders
-from plankroute.interface.facts import (
+from plankroute.events import commands, events
+from plankroute.events.events import HostState, ListKind
+from plankroute.events.facts import (
     LevelUnit,
     Prices,
     ProductFacts,
@@ -13,7 +14,6 @@
     Scope,
     StartFacts,
 )
-from plankroute.interface.notes import HostState, ListKind
 
 SECOND = 1_000_000
 READY, DRAINING, GONE = HostState.READY, HostState.DRAINING, HostState.GONE
@@ -78,16 +78,16 @@
     kind: int = 0,
     weight: float = 1.0,
     started_us: int = 0,
-) -> notes.HostEntry:
-    return notes.HostEntry(host, state, zone, kind, 0, weight, started_us)
+) -> events.HostEntry:
+    return events.HostEntry(host, state, zone, kind, 0, weight, started_us)
 
 
-def full(*entries: notes.HostEntry) -> notes.HostList:
-    return notes.HostList(ListKind.FULL, entries)
+def full(*entries: events.HostEntry) -> events.HostList:
+    return events.HostList(ListKind.FULL, entries)
 
 
-def changes(*entries: notes.HostEntry) -> notes.HostList:
-    return notes.HostList(ListKind.CHANGES, entries)
+def changes(*entries: events.HostEntry) -> events.HostList:
+    return events.HostList(ListKind.CHANGES, entries)
 
 
 class Bench:
@@ -99,10 +99,10 @@
         self.facts, self.rate = facts, facts.lines_per_s * speed
         self.steward = steward or Controller(facts, 7)
         self.now, self.timers = 100 * SECOND, []
-        self.hosts: dict[int, notes.HostEntry] = {}
+        self.hosts: dict[int, events.HostEntry] = {}
         self.told: dict[int, int] = {}  # since when the steward knows that a host is not ready
         self.lines: dict[int, dict[int, float]] = {}
-        self.levels: list[orders.SetLevel] = []
+        self.levels: list[commands.SetLevel] = []
         self.withdrawn: set[int] = set()
         self.joined: dict[int, int] = {}  # proxy: zone
         self.since: dict[int, int] = {}
@@ -110,9 +110,9 @@
         self.queue: list[list] = []  # proxy, lines left, mark
         self.most_waiting, self.sent = 0, []
         self.bare_since: dict[tuple[int, int], int] = {}  # the last time that it was not
-        self.log: list[orders.Order] = []
+        self.log: list[commands.Order] = []
 
-    def give(self, *batch: notes.Note) -> list[orders.Order]:
+    def give(self, *batch: events.Note) -> list[commands.Order]:
         for note in batch:
             self.learn(note)
         out = self.steward.deliver(self.now, list(batch))
@@ -121,9 +121,9 @@
         self.check()
         return out
 
-    def learn(self, note: notes.Note) -> None:
+    def learn(self, note: events.Note) -> None:
         match note:
-            case notes.HostList(kind=kind, entries=entries) if kind is not ListKind.FAILED:
+            case events.HostList(kind=kind, entries=entries) if kind is not ListKind.FAILED:
                 named = {item.host: item for item in entries}
                 if kind is not ListKind.CHANGES:
                     for host, old in self.hosts.items():
@@ -134,10 +134,10 @@
                         self.told.pop(host, None)
                     else:
                         self.told.setdefault(host, self.now)
-            case notes.ProxyJoined(proxy=proxy, zone=zone):
+            case events.ProxyJoined(proxy=proxy, zone=zone):
                 self.forget(proxy)
                 self.joined[proxy], self.since[proxy] = zone, self.now
-            case notes.ProxyLeft(proxy=proxy):
+            case events.ProxyLeft(proxy=proxy):
                 self.forget(proxy)
 
     def forget(self, proxy: int) -> None:
@@ -148,7 +148,7 @@
     def users(self, table: int | None) -> set[int]:
         return {proxy for (proxy, _), number in self.bound.items() if number == table}
 
-    def obey(self, out: list[orders.Order]) -> None:
+    def obey(self, out: list[commands.Order]) -> None:
         """The orders' standing effect at once, their lines through the channel."""
         cost: dict[int, int] = {}
         mark = None
@@ -156,16 +156,16 @@
             users: set[int] = set()
             lines = 1
             match order:
-                case orders.SetTimer(after_us, token):
+                case commands.SetTimer(after_us, token):
                     self.timers.append((self.now + after_us, token))
-                case orders.SetLine(table, host, weight):
+                case commands.SetLine(table, host, weight):
                     assert host in self.hosts and weight >= 0
                     held = self.lines.setdefault(table, {})
                     held[host] = weight
                     if not weight:
                         del held[host]
                     users = self.users(table)
-                case orders.Withdraw(host, out_):
+                case commands.Withdraw(host, out_):
                     assert host in self.hosts
                     products = range(len(self.facts.products))
                     users = {
@@ -175,21 +175,21 @@
                         or host in {h for i in products for h in self.picks(p, i)}
                     }
                     (self.withdrawn.add if out_ else self.withdrawn.discard)(host)
-                case orders.SetLevel(table, _, level, retry):
-                    assert level >= 0 and retry <= orders.Retry.UNRUN
+                case commands.SetLevel(table, _, level, retry):
+                    assert level >= 0 and retry <= commands.Retry.UNRUN
                     self.levels.append(order)
                     users = self.users(table)
-                case orders.Bind(table, proxy, products):
+                case commands.Bind(table, proxy, products):
                     assert proxy in self.since and not self.facts.slices
                     if proxy not in self.joined:
                         continue  # it left meanwhile: nothing happens
                     for place in products or range(len(self.facts.products)):
                         self.bound[proxy, place] = table
                     users, lines = {proxy}, 1 + len(self.lines.get(table, {}))
-                case orders.Mark(serial):
+                case commands.Mark(serial):
                     assert 0 <= serial < 65536
                     mark = serial
-                case orders.Probe(host):
+                case commands.Probe(host):
                     assert host in self.hosts and self.facts.may_probe
             for proxy in users:
                 cost[proxy] = cost.get(proxy, self.facts.head_lines) + lines
@@ -207,10 +207,10 @@
             due = [token for at, token in self.timers if at <= self.now]
             self.timers = [(at, token) for at, token in self.timers if at > self.now]
             answers = self.drain(self.rate * step / SECOND)
-            self.give(*[notes.TimerDue(token) for token in due], *answers)
+            self.give(*[events.TimerDue(token) for token in due], *answers)
 
-    def drain(self, room: float) -> list[notes.Note]:
-        answers: list[notes.Note] = []
+    def drain(self, room: float) -> list[events.Note]:
+        answers: list[events.Note] = []
         while self.queue and room > 0:
             sent = min(room, self.queue[0][1])
             room -= sent
@@ -218,7 +218,7 @@
             if self.queue[0][1] <= 0:
                 proxy, _, mark = self.queue.pop(0)
                 if mark is not None:
-                    answers.append(notes.Applied(proxy, mark, 0))
+                    answers.append(events.Applied(proxy, mark, 0))
         return answers
 
     def open_to(self, place: int, zone: int, host: int) -> bool:
--- a/tests/test_coldstart.py
+++ b/tests/test_coldstart.py
@@ -10,17 +10,29 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from plankroute.coldstart.calls import (
+from plankroute.cold_start.backoff import (
     BURST,
     Began,
     Broke,
-    CallFacts,
     Caller,
+    CallFacts,
     Refused,
     retry_after_us,
 )
-from plankroute.coldstart.early import EarlyDrains
-from plankroute.coldstart.follow import (
+from plankroute.cold_start.drain_notices import EarlyDrains
+from plankroute.cold_start.endpoint_list import HeldList, Incoming
+from plankroute.cold_start.link_codec import (
+    VERSION,
+    Begin,
+    Drains,
+    FrameCutter,
+    Heartbeat,
+    Hello,
+    Part,
+    write_frame,
+)
+from plankroute.cold_start.probe_sharing import Result, Survey, is_drawn, probers_of
+from plankroute.cold_start.watcher_election import (
     Dial,
     Ended,
     Follow,
@@ -33,30 +45,18 @@
     Watch,
     ranked,
 )
-from plankroute.coldstart.frames import (
-    VERSION,
-    Heartbeat,
-    Begin,
-    Drains,
-    FrameCutter,
-    Hello,
-    Part,
-    write_frame,
-)
-from plankroute.coldstart.lists import HeldList, Incoming
-from plankroute.coldstart.probers import Result, Survey, is_drawn, probers_of
-from plankroute.interface import notes
-from plankroute.interface.notes import HostState
-from plankroute.lab.cold import Case, down_until, run_case
-from plankroute.lab.coldcases import CASES, run_cold
-from plankroute.lab.listservice import Behaviour, Mode, Phase, target
-from plankroute.net.ahead import DrainsAhead
-from plankroute.net.book import Book, Log
-from plankroute.net.careful import CarefulDiscovery
-from plankroute.net.catalogue import list_from
-from plankroute.net.clock import Clock
-from plankroute.net.directory import Directory
-from plankroute.net.links import LinkServer, in_pieces
+from plankroute.events import events
+from plankroute.events.events import HostState
+from plankroute.net.discovery.backoff_watch import CarefulDiscovery
+from plankroute.net.discovery.catalogue import list_from
+from plankroute.net.discovery.directory import Directory
+from plankroute.net.peers.drain_notices import DrainsAhead
+from plankroute.net.peers.links import LinkServer, in_pieces
+from plankroute.net.process.clock import Clock
+from plankroute.net.process.telemetry import Book, Log
+from plankroute.testbed.cold_start import Case, down_until, run_case
+from plankroute.testbed.cold_start_cases import CASES, run_cold
+from plankroute.testbed.list_service import Behaviour, Mode, Phase, target
 
 SECOND = 1_000_000
 
@@ -432,7 +432,7 @@
         said = list_from({"rev": revision, "all": whole, "targets": items})
         return states_of(ahead.over(revision, whole, directory.note(said)[0]))
 
-    def states_of(note: notes.HostList) -> dict[str, str]:
+    def states_of(note: events.HostList) -> dict[str, str]:
         return {directory.uid(entry.host): entry.state.value for entry in note.entries}
 
     everybody = dict.fromkeys("abcdef", "SERVING")
--- a/tests/test_decide.py
+++ b/tests/test_decide.py
@@ -5,20 +5,20 @@
 from dataclasses import replace
 
 import pytest
-
 from model import DRAINING, GONE, READY, SECOND, Bench, changes, entry, full, product, start_facts
-from plankroute.decide import Host, Publisher
+
 from plankroute.controller.controller import Controller
-from plankroute.interface import notes, orders
-from plankroute.interface.facts import LevelUnit, Prices, ReportWay
-from plankroute.interface.notes import ListKind, Outcome
+from plankroute.events import commands, events
+from plankroute.events.events import ListKind, Outcome
+from plankroute.events.facts import LevelUnit, Prices, ReportWay
+from plankroute.policy.decide import Host, Publisher
 
 
 def ready_bench(hosts: int = 6, proxies: int = 4, **facts) -> Bench:
     bench = Bench(start_facts(**facts))
     bench.give(full(*[entry(100 + i, zone=i % 3, kind=i % 2) for i in range(hosts)]))
-    asked = probes(bench.give(*[notes.ProxyJoined(p, p % 3, 10.0, True) for p in range(proxies)]))
-    bench.give(*[notes.ProbeResult(host, Outcome.ANSWERED, 10_000, None) for host in asked])
+    asked = probes(bench.give(*[events.ProxyJoined(p, p % 3, 10.0, True) for p in range(proxies)]))
+    bench.give(*[events.ProbeResult(host, Outcome.ANSWERED, 10_000, None) for host in asked])
     bench.pass_time(SECOND // 10)
     return bench
 
@@ -35,14 +35,14 @@
     for _ in range(turns):
         bench.give(
             *[
-                notes.HostSums(
+                events.HostSums(
                     host,
                     0,
                     tries,
                     voided(host),
                     time_ms(host) * 1000,
                     SECOND,
-                    notes.LoadReport(inflight=inflight),
+                    events.LoadReport(inflight=inflight),
                 )
                 for host, item in bench.hosts.items()
                 if item.state is READY and host not in skip
@@ -51,8 +51,8 @@
         bench.pass_time(SECOND)
 
 
-def probes(out: list[orders.Order]) -> set[int]:
-    return {order.host for order in out if isinstance(order, orders.Probe)}
+def probes(out: list[commands.Order]) -> set[int]:
+    return {order.host for order in out if isinstance(order, commands.Probe)}
 
 
 def test_one_shared_table_binds_each_proxy_once_and_sends_only_changes():
@@ -60,7 +60,7 @@
     assert len(bench.lines) == 1 and len({table for table in bench.bound.values()}) == 1
     bench.log.clear()
     bench.pass_time(5 * SECOND)
-    assert not [o for o in bench.log if isinstance(o, (orders.SetLine, orders.Bind))]
+    assert not [o for o in bench.log if isinstance(o, (commands.SetLine, commands.Bind))]
 
 
 def test_the_pid_moves_weight_from_slow_hosts_to_fast_ones():
@@ -116,7 +116,7 @@
     """Guards against news that wait up to a turn."""
     bench = ready_bench()
     feed(bench, 4)
-    bench.give(*[notes.HostSums(host, 0, 8, 0, 200_000.0, SECOND, None) for host in bench.hosts])
+    bench.give(*[events.HostSums(host, 0, 8, 0, 200_000.0, SECOND, None) for host in bench.hosts])
     assert all(bench.steward.fleet.news)
     bench.pass_time(SECOND // 5)
     assert not any(bench.steward.fleet.news)
@@ -125,21 +125,21 @@
 def test_load_that_other_stewards_bring_counts():
     bench = Bench(start_facts(products=(product(), product(own_zone=True))))
     bench.give(
-        full(*[entry(100 + i, zone=i % 3) for i in range(9)]), notes.ProxyJoined(0, 1, 10.0, True)
+        full(*[entry(100 + i, zone=i % 3) for i in range(9)]), events.ProxyJoined(0, 1, 10.0, True)
     )
     for _ in range(
         8
     ):  # this steward's proxy brings zone 0 nothing, the hosts there hold three times as much
         bench.give(
             *[
-                notes.HostSums(
+                events.HostSums(
                     h,
                     0,
                     3 if e.zone == 0 else 9,
                     0,
                     200e3,
                     SECOND,
-                    notes.LoadReport(inflight=2.7 if e.zone == 0 else 0.9),
+                    events.LoadReport(inflight=2.7 if e.zone == 0 else 0.9),
                 )
                 for h, e in bench.hosts.items()
             ]
@@ -163,18 +163,18 @@
 def test_hosts_open_to_fewer_products_are_not_starved():
     bench = Bench(start_facts(products=(product(), product(zones=(0, 1)))))
     bench.give(full(*[entry(100 + i, zone=i % 3) for i in range(6)]))
-    bench.give(notes.ProxyJoined(0, 0, 10.0, True))
+    bench.give(events.ProxyJoined(0, 0, 10.0, True))
     for _ in range(10):  # zone 2 has a third of the tries and longer work, and holds less for it
         bench.give(
             *[
-                notes.HostSums(
+                events.HostSums(
                     h,
                     0,
                     3 if e.zone == 2 else 9,
                     0,
                     300e3 if e.zone == 2 else 150e3,
                     SECOND,
-                    notes.LoadReport(inflight=0.9 if e.zone == 2 else 1.35),
+                    events.LoadReport(inflight=0.9 if e.zone == 2 else 1.35),
                 )
                 for h, e in bench.hosts.items()
             ]
@@ -197,11 +197,11 @@
     bench.log.clear()
     feed(bench, 2, skip=(100,))
     assert probes(bench.log) == {100}
-    bench.give(notes.ProbeResult(100, Outcome.SILENT, 500_000, None))
+    bench.give(events.ProbeResult(100, Outcome.SILENT, 500_000, None))
     bench.pass_time(SECOND // 4)
     assert 100 not in bench.lines[0]
     for _ in range(4):
-        bench.give(notes.ProbeResult(100, Outcome.ANSWERED, 20_000, None))
+        bench.give(events.ProbeResult(100, Outcome.ANSWERED, 20_000, None))
     bench.pass_time(1_100_000)
     assert 0 < bench.lines[0][100] <= bench.lines[0][101] / 2
 
@@ -210,8 +210,8 @@
     bench = ready_bench(hosts=9)
     feed(bench, 6)
     for host in bench.hosts:
-        bench.give(notes.HostSums(host, 0, 9, 9 * (host == 100), 200_000.0, SECOND, None))
-    bad = notes.ProbeResult(100, Outcome.ERROR, 1000, None)
+        bench.give(events.HostSums(host, 0, 9, 9 * (host == 100), 200_000.0, SECOND, None))
+    bad = events.ProbeResult(100, Outcome.ERROR, 1000, None)
     assert probes(bench.give(bad)) == {100} and not bench.steward.fleet.shut[0]
     assert not probes(bench.give(bad)) and bench.steward.fleet.shut[0]
     assert not probes(bench.give(replace(bad, host=101)))  # no suspect
@@ -233,7 +233,7 @@
     feed(bench, 3)
     for _ in range(4):
         bench.give(
-            *[notes.ProbeResult(host, Outcome.SILENT, 500_000, None) for host in range(100, 106)]
+            *[events.ProbeResult(host, Outcome.SILENT, 500_000, None) for host in range(100, 106)]
         )
         feed(bench, 1, skip=tuple(range(100, 106)))
     assert bench.lines[0].keys() == set(range(106, 112))
@@ -241,7 +241,7 @@
     monkeypatch.setattr(Host, "suspect", lambda self, usual: True)
     for others, spared in ((9, False), (8, True)):
         shut[:] = [True] * others + [False] * (12 - others)
-        bench.give(*[notes.ProbeResult(109, Outcome.SILENT, 500_000, None)] * 2)
+        bench.give(*[events.ProbeResult(109, Outcome.SILENT, 500_000, None)] * 2)
         assert shut[9] is spared
 
 
@@ -249,14 +249,14 @@
     """Guards against a cut that only sums tell of, seconds late."""
     bench = ready_bench(hosts=12, proxies=12)
     feed(bench, 3)
-    assert not probes(bench.give(notes.ProxyLeft(0)))  # one alone tells nothing
+    assert not probes(bench.give(events.ProxyLeft(0)))  # one alone tells nothing
     bench.pass_time(2 * SECOND)
-    asked = probes(bench.give(*[notes.ProxyLeft(p) for p in range(1, 8)]))
+    asked = probes(bench.give(*[events.ProxyLeft(p) for p in range(1, 8)]))
     assert asked == set(range(100, 112))
     near = {host for host in asked if bench.hosts[host].zone == 0}
     bench.give(
         *[
-            notes.ProbeResult(
+            events.ProbeResult(
                 host, Outcome.ANSWERED if host in near else Outcome.UNREACHED, 1000, None
             )
             for host in asked
@@ -273,14 +273,14 @@
     for _ in range(3):
         feed(bench, 1, voided=lambda host: 8 * (host in far))
         asked = probes(bench.log[-40:])
-        bench.give(*[notes.ProbeResult(host, Outcome.UNREACHED, 1000, None) for host in asked])
+        bench.give(*[events.ProbeResult(host, Outcome.UNREACHED, 1000, None) for host in asked])
     bench.pass_time(SECOND)
     assert bench.lines[0].keys() == bench.hosts.keys() - far
 
 
 def test_a_zone_left_with_suspects_and_cold_hosts_uses_the_suspects():
     bench = Bench(start_facts(products=(product(own_zone=True),)))
-    bench.give(full(*[entry(100 + i) for i in range(3)]), notes.ProxyJoined(0, 0, 10.0, True))
+    bench.give(full(*[entry(100 + i) for i in range(3)]), events.ProxyJoined(0, 0, 10.0, True))
     bench.pass_time(2 * SECOND)
     bench.steward.fleet.shut[0] = True
     bench.give(changes(entry(101, DRAINING), entry(102, GONE), entry(103, started_us=bench.now)))
@@ -364,7 +364,7 @@
     bench.rate = 0.0
     feed(bench, 20, time_ms=lambda host: random.Random(host + bench.now).uniform(50, 900))
     assert bench.most_waiting <= 400
-    assert orders.SetLine(0, 100, 0.0) in bench.give(changes(entry(100, DRAINING)))
+    assert commands.SetLine(0, 100, 0.0) in bench.give(changes(entry(100, DRAINING)))
 
 
 def test_a_steward_that_starts_anew_takes_over_what_old_tables_have_learnt():
@@ -373,12 +373,12 @@
     bench.give(
         full(*[entry(100 + i, zone=i % 3, kind=i % 2) for i in range(12)], entry(200), entry(201))
     )
-    bench.give(*[notes.ProxyJoined(p, p % 3, 10.0, False) for p in range(30)])
+    bench.give(*[events.ProxyJoined(p, p % 3, 10.0, False) for p in range(30)])
     for host in (200, 201):
         assert not bench.bound
         bench.give(
             *[
-                notes.HostSums(host, 0, 9 if host % 2 else 3, 0, 2e5, SECOND, None)
+                events.HostSums(host, 0, 9 if host % 2 else 3, 0, 2e5, SECOND, None)
                 for host in range(100, 112)
             ]
         )
@@ -400,12 +400,12 @@
     """Guards against even weights until the first sums come, seconds after the first txns."""
     bench = Bench(start_facts(may_probe=may_probe))
     bench.give(full(*[entry(100 + i, kind=i % 2, weight=weight * (1 + i)) for i in range(6)]))
-    asked = probes(bench.give(notes.ProxyJoined(0, 0, 10.0, True)))
+    asked = probes(bench.give(events.ProxyJoined(0, 0, 10.0, True)))
     assert asked == (bench.hosts.keys() if may_probe and not weight else set())
     took = {host: 10_000 + host % 2 * 15_000 for host in asked} | {
         100: 1
     }  # one seems to answer at once
-    bench.give(*[notes.ProbeResult(host, Outcome.ANSWERED, took[host], None) for host in asked])
+    bench.give(*[events.ProbeResult(host, Outcome.ANSWERED, took[host], None) for host in asked])
     bench.pass_time(SECOND // 10)
     lines = bench.lines[0]
     assert (
@@ -418,8 +418,10 @@
 def test_a_first_probe_that_stays_away_does_not_hold_up_binds():
     bench = Bench(start_facts())
     bench.give(full(*[entry(100 + i) for i in range(6)]))
-    asked = probes(bench.give(notes.ProxyJoined(0, 0, 10.0, True)))
-    bench.give(*[notes.ProbeResult(host, Outcome.ANSWERED, 10_000, None) for host in asked - {100}])
+    asked = probes(bench.give(events.ProxyJoined(0, 0, 10.0, True)))
+    bench.give(
+        *[events.ProbeResult(host, Outcome.ANSWERED, 10_000, None) for host in asked - {100}]
+    )
     bench.pass_time(SECOND // 10)
     assert not bench.bound
     bench.pass_time(SECOND // 4)
@@ -430,9 +432,9 @@
     """Guards against even weights after a restart where the grace leaves no time for the first reports."""
     bench = Bench(start_facts(grace_us=2 * SECOND))
     bench.give(full(*[entry(100 + i, kind=i % 2) for i in range(6)]))
-    asked = probes(bench.give(notes.ProxyJoined(0, 0, 10.0, False)))
+    asked = probes(bench.give(events.ProxyJoined(0, 0, 10.0, False)))
     took = {host: 10_000 + host % 2 * 20_000 for host in asked}
-    bench.give(*[notes.ProbeResult(host, Outcome.ANSWERED, took[host], None) for host in asked])
+    bench.give(*[events.ProbeResult(host, Outcome.ANSWERED, took[host], None) for host in asked])
     bench.pass_time(2 * SECOND)
     assert asked == set(range(100, 106)) and bench.lines[0][100] > 2 * bench.lines[0][101]
 
@@ -442,9 +444,9 @@
     kind fewer than half have answered when binds can wait no longer."""
     bench = Bench(start_facts())
     bench.give(full(*[entry(100 + i, kind=i % 2) for i in range(20)]))
-    bench.give(notes.ProxyJoined(0, 0, 10.0, True))
+    bench.give(events.ProxyJoined(0, 0, 10.0, True))
     took = {host: 10_000 for host in range(100, 120) if host % 2 == 0 or host < 108} | {100: 1}
-    bench.give(*[notes.ProbeResult(host, Outcome.ANSWERED, took[host], None) for host in took])
+    bench.give(*[events.ProbeResult(host, Outcome.ANSWERED, took[host], None) for host in took])
     bench.pass_time(SECOND // 2)
     lines = bench.lines[0]
     assert len(lines) == 20 and max(lines.values()) <= 2 * min(lines.values())
@@ -452,9 +454,9 @@
 
 def test_a_steward_that_hears_too_little_to_take_over_does_not_wait_for_good():
     bench = Bench(start_facts())
-    bench.give(full(entry(100), entry(101)), notes.ProxyJoined(0, 0, 1.0, False))
+    bench.give(full(entry(100), entry(101)), events.ProxyJoined(0, 0, 1.0, False))
     bench.give(changes(entry(100, DRAINING)))  # told even while it waits
-    assert orders.Withdraw(100, True) in bench.log
+    assert commands.Withdraw(100, True) in bench.log
     bench.pass_time(7 * SECOND)
     assert bench.bound and bench.lines[0][101] > 0
 
@@ -468,10 +470,10 @@
     bench.pass_time(4 * SECOND)
     for proxy in range(20):
         bench.log.clear()
-        bench.give(notes.ProxyLeft(proxy), notes.ProxyJoined(proxy, proxy % 3, 1.0, False))
+        bench.give(events.ProxyLeft(proxy), events.ProxyJoined(proxy, proxy % 3, 1.0, False))
         bench.pass_time(SECOND // 2)
         assert (proxy, 0) in bench.bound and not [
-            o for o in bench.log if isinstance(o, orders.Withdraw)
+            o for o in bench.log if isinstance(o, commands.Withdraw)
         ]
 
 
@@ -483,11 +485,11 @@
     bench.steward.publisher.spare_us = 2 * SECOND  # binds of all take three
     bench.log.clear()
     bench.give(
-        *[notes.ProxyLeft(p) for p in range(100)],
-        *[notes.ProxyJoined(p, p % 3, 1.0, False) for p in range(100)],
+        *[events.ProxyLeft(p) for p in range(100)],
+        *[events.ProxyJoined(p, p % 3, 1.0, False) for p in range(100)],
     )
     bench.pass_time(SECOND)
-    assert {o.host for o in bench.log if isinstance(o, orders.Withdraw)} == set(range(100, 112))
+    assert {o.host for o in bench.log if isinstance(o, commands.Withdraw)} == set(range(100, 112))
 
 
 def test_a_warm_host_that_returns_keeps_its_line_while_the_fleet_drowns():
@@ -505,7 +507,7 @@
     bench = ready_bench(level_unit=unit)
     bench.levels.clear()
     for _ in range(6):
-        bench.give(*[notes.ProxyTraffic(p, 0, 20, 0, SECOND) for p in range(4)])
+        bench.give(*[events.ProxyTraffic(p, 0, 20, 0, SECOND) for p in range(4)])
         feed(bench, 1, time_ms=lambda host: 900.0)
     if unit is LevelUnit.NONE:
         assert not bench.levels
@@ -522,7 +524,7 @@
     for slow_ms, voided, least in ((200.0, 6, 20.0), (900.0, 2, 12.0)):
         bench = ready_bench(level_unit=LevelUnit.RATE)
         for _ in range(20):
-            bench.give(*[notes.ProxyTraffic(p, 0, 12, 0, SECOND) for p in range(4)])
+            bench.give(*[events.ProxyTraffic(p, 0, 12, 0, SECOND) for p in range(4)])
             feed(bench, 1, time_ms=lambda host: slow_ms, voided=lambda host: voided)
         assert bench.levels[-1].level >= least * 0.6
 
@@ -530,7 +532,7 @@
 def test_slices_stay_as_the_store_has_them_but_drains_are_kept():
     bench = Bench(start_facts(slices=4, exclusive=True))
     bench.give(
-        full(entry(1), entry(2)), notes.ProxyJoined(0, 0, 1.0, True), notes.SliceCharge(0, True)
+        full(entry(1), entry(2)), events.ProxyJoined(0, 0, 1.0, True), events.SliceCharge(0, True)
     )
     bench.give(changes(entry(1, DRAINING)))
     assert not bench.lines and not bench.bound and bench.withdrawn == {1}
@@ -538,10 +540,10 @@
 
 def test_a_failed_list_is_asked_for_again():
     bench = Bench(start_facts(must_subscribe=True))
-    bench.give(notes.HostList(ListKind.FAILED, ()))
+    bench.give(events.HostList(ListKind.FAILED, ()))
     bench.log.clear()
     bench.pass_time(3 * SECOND)
-    assert orders.Subscribe(True) in bench.log
+    assert commands.Subscribe(True) in bench.log
 
 
 def test_the_same_events_give_the_same_orders():
@@ -551,26 +553,26 @@
     assert logs[0].log == logs[1].log
 
 
-def odd_notes(rng: random.Random) -> list[notes.Note]:
+def odd_notes(rng: random.Random) -> list[events.Note]:
     return [
-        notes.HostSums(9999, 0, 3, 1, 1.0, 0, None),
-        notes.HostSums(100, 2, 0, 5, 0.0, 0, None),
-        notes.Applied(77, 3, 0),
-        notes.ProxyLeft(78),
-        notes.TimerDue(rng.randrange(9)),
-        notes.PeerMessage(1, b"?"),
-        notes.ProbeResult(9999, Outcome.SILENT, 1, None),
-        notes.ProxyTraffic(50, 0, 0, 0, 0),
-        notes.HostSums(101, 0, 1, 9, 1e12, 1, notes.LoadReport()),
-        notes.HostSums(100, 0, 4, 0, math.nan, 1, notes.LoadReport(inflight=math.nan)),
-        notes.HostSums(100, 1, 4, 0, math.inf, 1, notes.LoadReport(inflight=math.inf)),
+        events.HostSums(9999, 0, 3, 1, 1.0, 0, None),
+        events.HostSums(100, 2, 0, 5, 0.0, 0, None),
+        events.Applied(77, 3, 0),
+        events.ProxyLeft(78),
+        events.TimerDue(rng.randrange(9)),
+        events.PeerMessage(1, b"?"),
+        events.ProbeResult(9999, Outcome.SILENT, 1, None),
+        events.ProxyTraffic(50, 0, 0, 0, 0),
+        events.HostSums(101, 0, 1, 9, 1e12, 1, events.LoadReport()),
+        events.HostSums(100, 0, 4, 0, math.nan, 1, events.LoadReport(inflight=math.nan)),
+        events.HostSums(100, 1, 4, 0, math.inf, 1, events.LoadReport(inflight=math.inf)),
     ]
 
 
 def generated_day(bench: Bench, rng: random.Random, steps: int) -> None:
     """Hosts come, drain, go and restart; proxies join and leave; reports get lost."""
     zones = {100 + i: rng.randrange(3) for i in range(rng.randint(1, 9))}
-    bench.give(notes.HostList(ListKind.CACHED, tuple(entry(h, zone=z) for h, z in zones.items())))
+    bench.give(events.HostList(ListKind.CACHED, tuple(entry(h, zone=z) for h, z in zones.items())))
     for _ in range(steps):
         host, proxy = rng.choice(list(zones)), rng.randrange(bench.facts.proxies)
         match rng.randrange(9):
@@ -583,10 +585,10 @@
                 bench.give(changes(entry(host + 10, READY, zones[host + 10], started_us=bench.now)))
             case 3:
                 bench.give(
-                    *[notes.ProxyJoined(p, p % 3, 1.0, False) for p in range(bench.facts.proxies)]
+                    *[events.ProxyJoined(p, p % 3, 1.0, False) for p in range(bench.facts.proxies)]
                 )
             case 4:
-                bench.give(notes.ProxyJoined(proxy, proxy % 3, 1.0, True), notes.ProxyLeft(proxy))
+                bench.give(events.ProxyJoined(proxy, proxy % 3, 1.0, True), events.ProxyLeft(proxy))
             case 5:
                 kept = rng.sample(list(zones), rng.randrange(len(zones) + 1))
                 bench.give(full(*[entry(h, READY, zones[h]) for h in kept]))
@@ -601,7 +603,7 @@
                     inflight=rng.uniform(0, 20),
                 )
                 bench.give(
-                    *[notes.ProbeResult(h, rng.choice(list(Outcome)), 1000, None) for h in zones]
+                    *[events.ProbeResult(h, rng.choice(list(Outcome)), 1000, None) for h in zones]
                 )
 
 
@@ -632,10 +634,10 @@
     for seed in range(20):
         bench = Bench(start_facts(stewards=20), steward=Controller(start_facts(stewards=20), seed))
         bench.give(full(*[entry(host, zone=host % 3, started_us=bench.now) for host in total]))
-        bench.give(*[notes.ProxyJoined(p, p % 3, 10.0, True) for p in range(4)])
+        bench.give(*[events.ProxyJoined(p, p % 3, 10.0, True) for p in range(4)])
         bench.give(
             *[
-                notes.ProbeResult(host, Outcome.ANSWERED, took[host], None, age_us=SECOND)
+                events.ProbeResult(host, Outcome.ANSWERED, took[host], None, age_us=SECOND)
                 for host in total
                 if rng.random() < 0.9
             ]
@@ -664,7 +666,7 @@
         )
         bench = Bench(told, steward=Controller(told, rank))
         bench.give(full(*[entry(100 + i, zone=i % 3, kind=i % 2) for i in range(hosts)]))
-        bench.give(*[notes.ProxyJoined(p, p % 3, 10.0, True) for p in range(joined)])
+        bench.give(*[events.ProxyJoined(p, p % 3, 10.0, True) for p in range(joined)])
         bench.pass_time(SECOND)
         benches.append(bench)
     return benches
@@ -692,7 +694,7 @@
     alone = parts_of(4, 200, 60)[0]
     before = set(alone.lines[0])
     assert len(before) == 50
-    alone.give(*[notes.ProxyJoined(p, p % 3, 10.0, False) for p in range(60, 240)])
+    alone.give(*[events.ProxyJoined(p, p % 3, 10.0, False) for p in range(60, 240)])
     alone.pass_time(2 * SECOND)
     assert set(alone.lines[0]) == before
     small = parts_of(4, 20, 60)
@@ -716,7 +718,7 @@
         facts = replace(told, grace_us=grace_s * SECOND)
         bench = Bench(facts, steward=Controller(facts, 1))
         bench.give(full(*[entry(100 + n, zone=n % 3) for n in range(200)]))
-        bench.give(*[notes.ProxyJoined(p, p % 3, 10.0, True) for p in range(60)])
+        bench.give(*[events.ProxyJoined(p, p % 3, 10.0, True) for p in range(60)])
         bench.pass_time(4 * SECOND)
         sizes[grace_s] = len(bench.lines[0])
         assert len(bench.bound) == 60
@@ -741,7 +743,7 @@
             )
             bench = Bench(told, steward=Controller(told, rank))
             bench.give(full(*[entry(100 + n, zone=n % 3) for n in range(200)]))
-            bench.give(*[notes.ProxyJoined(p, p % 3, 10.0, True) for p in range(4)])
+            bench.give(*[events.ProxyJoined(p, p % 3, 10.0, True) for p in range(4)])
             bench.pass_time(SECOND)
             held += bench.lines[0]
         sizes[stewards] = {held.count(host) for host in range(100, 300)}
@@ -755,7 +757,7 @@
     facts = start_facts(proxies=30, grace_us=grace_s * SECOND)
     bench = Bench(facts)
     bench.give(full(*[entry(100 + i, zone=i % 3) for i in range(12)]))
-    bench.give(*[notes.ProxyJoined(p, p % 3, 10.0, False) for p in range(30)])
+    bench.give(*[events.ProxyJoined(p, p % 3, 10.0, False) for p in range(30)])
     bench.pass_time(SECOND // 2)
     assert not bench.bound  # first weights are still to be learnt
     bench.pass_time(min(grace_s, 7) * SECOND - SECOND // 2)
@@ -779,7 +781,7 @@
     """Guards against proxies that are never bound: 500 hosts, 2,000 lines a second on a short way."""
     bench = Bench(start_facts(way_us=0, way_most_us=0, grace_us=3 * SECOND, proxies=9))
     bench.give(full(*[entry(100 + i, zone=i % 3) for i in range(500)]))
-    bench.give(*[notes.ProxyJoined(p, p % 3, 10.0, True) for p in range(9)])
+    bench.give(*[events.ProxyJoined(p, p % 3, 10.0, True) for p in range(9)])
     bench.pass_time(8 * SECOND)
     assert len(bench.bound) == 9 and bench.most_waiting <= 2 * 520
 
@@ -787,27 +789,27 @@
 def test_an_answer_of_another_steward_from_another_time_counts_for_nothing():
     bench = ready_bench()
     speed = list(bench.steward.fleet.speed)
-    bench.give(notes.ProbeResult(100, Outcome.ANSWERED, 1000, None, age_us=60 * SECOND))
+    bench.give(events.ProbeResult(100, Outcome.ANSWERED, 1000, None, age_us=60 * SECOND))
     assert bench.steward.fleet.speed == speed
-    bench.give(notes.ProbeResult(100, Outcome.ANSWERED, 1000, None, age_us=SECOND))
+    bench.give(events.ProbeResult(100, Outcome.ANSWERED, 1000, None, age_us=SECOND))
     assert bench.steward.fleet.speed != speed
 
 
-def views_of_stewards(kind: str, rng: random.Random) -> list[notes.Note]:
+def views_of_stewards(kind: str, rng: random.Random) -> list[events.Note]:
     """What membership might say in one batch, right or not."""
-    alive, gone = notes.StewardState.ALIVE, notes.StewardState.GONE
+    alive, gone = events.StewardState.ALIVE, events.StewardState.GONE
     match kind:
         case "empty":
-            return [notes.StewardSeen(1, gone)]
+            return [events.StewardSeen(1, gone)]
         case "flapping":
-            return [notes.StewardSeen(rng.randrange(3), state) for state in (gone, alive) * 3]
+            return [events.StewardSeen(rng.randrange(3), state) for state in (gone, alive) * 3]
         case "lying":
             return [
-                notes.StewardSeen(rng.randrange(-9, 2**40), rng.choice(list(notes.StewardState)))
+                events.StewardSeen(rng.randrange(-9, 2**40), rng.choice(list(events.StewardState)))
                 for _ in range(50)
             ]
         case _:
-            return [notes.StewardSeen(1, alive)]  # of one that is gone
+            return [events.StewardSeen(1, alive)]  # of one that is gone
 
 
 @pytest.mark.parametrize("kind", ["empty", "wrong", "flapping", "lying"])
@@ -817,7 +819,7 @@
     besides."""
 
     class Told(Bench):
-        def give(self, *batch: notes.Note) -> list[orders.Order]:
+        def give(self, *batch: events.Note) -> list[commands.Order]:
             return super().give(*views_of_stewards(kind, random.Random(self.now)), *batch)
 
     logs = []
@@ -839,7 +841,7 @@
     )
     bench = Bench(facts, speed=rng.choice([1.0, 0.7]))
     bench.give(full(*[entry(100 + i, zone=i % 3) for i in range(60)]))
-    bench.give(*[notes.ProxyJoined(p, p % 3, rng.uniform(1, 9), True) for p in range(100)])
+    bench.give(*[events.ProxyJoined(p, p % 3, rng.uniform(1, 9), True) for p in range(100)])
     return bench, rng
 
 
@@ -864,8 +866,8 @@
                 )
             case _:
                 again = rng.sample(range(100), 50)
-                bench.give(*[notes.ProxyLeft(p) for p in again])
-                bench.give(*[notes.ProxyJoined(p, p % 3, 1.0, False) for p in again])
+                bench.give(*[events.ProxyLeft(p) for p in again])
+                bench.give(*[events.ProxyJoined(p, p % 3, 1.0, False) for p in again])
         feed(bench, 2, time_ms=lambda _: math.exp(rng.gauss(5.5, 1.0)))
     bench.pass_time(10 * SECOND)
     assert len(bench.bound) == 100
@@ -876,7 +878,7 @@
     bench.pass_time(8 * SECOND)
     bench.log.clear()
     feed(bench, 1, time_ms=lambda host: 2000.0 if host == 100 else 200.0 + host)
-    lines = [order.host for order in bench.log if isinstance(order, orders.SetLine)]
+    lines = [order.host for order in bench.log if isinstance(order, commands.SetLine)]
     assert lines[0] == 100 and len(lines) < 30
     bench.rate, fleet = 0.0, bench.steward.fleet
     feed(bench, 12, time_ms=lambda host: 2000.0 if host == 101 else 200.0)
@@ -901,7 +903,7 @@
         weights = bench.steward.fleet.weight
         weights[:] = [weight * (1.1 if i % 2 else 0.9) for i, weight in enumerate(weights)]
         bench.pass_time(SECOND)
-        assert any(isinstance(o, orders.SetLine) for o in bench.log) is written
+        assert any(isinstance(o, commands.SetLine) for o in bench.log) is written
 
 
 def test_the_model_objects_to_a_steward_that_forgets_drains(monkeypatch):
@@ -924,7 +926,7 @@
     )
     bench = Bench(facts, steward=Controller(facts, 3))
     bench.give(full(*[entry(100 + n, zone=n % 3) for n in range(60)]))
-    bench.give(*[notes.ProxyJoined(p, p % 3, 10.0 / (1 + p), True) for p in range(40)])
+    bench.give(*[events.ProxyJoined(p, p % 3, 10.0 / (1 + p), True) for p in range(40)])
     gone = []
     for turn in range(14):
         if turn in (2, 4):
@@ -932,7 +934,7 @@
             bench.give(changes(*[entry(host, DRAINING, zone=(host - 100) % 3) for host in gone]))
         bench.give(
             *[
-                notes.HostSums(host, 0, 40, 0, 200_000 * (1 + (host + turn) % 7), SECOND, None)
+                events.HostSums(host, 0, 40, 0, 200_000 * (1 + (host + turn) % 7), SECOND, None)
                 for host in range(100, 160)
                 if host not in gone
             ]
@@ -956,7 +958,7 @@
     bench = Bench(told, steward=Controller(told, 1))
     new = bench.now - SECOND
     bench.give(full(*[entry(100 + n, zone=n % 3, started_us=new * (n % 2)) for n in range(200)]))
-    bench.give(*[notes.ProxyJoined(p, p % 3, 10.0, True) for p in range(60)])
+    bench.give(*[events.ProxyJoined(p, p % 3, 10.0, True) for p in range(60)])
     bench.pass_time(SECOND)
     assert 40 <= len(bench.lines[0]) <= 60
 
@@ -973,7 +975,7 @@
     )
     bench = Bench(facts, steward=Controller(facts, 3))
     bench.give(full(*[entry(100 + n, zone=n % 3) for n in range(120)]))
-    bench.give(*[notes.ProxyJoined(p, p % 3, 10.0, True) for p in range(4)])
+    bench.give(*[events.ProxyJoined(p, p % 3, 10.0, True) for p in range(4)])
     bench.pass_time(5 * SECOND)
     bench.give(changes(*[entry(host, DRAINING, zone=(host - 100) % 3) for host in range(150, 180)]))
     bench.pass_time(2 * SECOND)
@@ -983,12 +985,12 @@
     for first in (10, 30):  # they come within a second, as another steward ends
         bench.give(
             *[
-                notes.ProxyJoined(proxy, proxy % 3, 10.0, False)
+                events.ProxyJoined(proxy, proxy % 3, 10.0, False)
                 for proxy in range(first, first + 20)
             ]
         )
         bench.pass_time(SECOND // 2)
-    told = [order.host for order in bench.log if isinstance(order, orders.Withdraw) and order.out]
+    told = [order.host for order in bench.log if isinstance(order, commands.Withdraw) and order.out]
     assert set(told[:20]) == set(range(100, 120))
     publisher = bench.steward.publisher
     assert publisher.unbound and all(
@@ -1008,13 +1010,13 @@
     )
     bench = Bench(facts, steward=Controller(facts, 3))
     bench.give(full(*[entry(100 + n, zone=n % 3) for n in range(60)]))
-    bench.give(*[notes.ProxyJoined(0, 0, 10.0, True)])
+    bench.give(*[events.ProxyJoined(0, 0, 10.0, True)])
     bench.pass_time(SECOND)
     zone = range(100, 160, 3)
     bench.give(changes(*[entry(host, GONE) for host in zone]))
     publisher = bench.steward.publisher
     publisher.IN_TIME = 0.0  # as if binds took too long: who joins is told of drains
-    bench.give(*[notes.ProxyJoined(p, p % 3, 10.0, False) for p in range(1, 100)])
+    bench.give(*[events.ProxyJoined(p, p % 3, 10.0, False) for p in range(1, 100)])
     bench.pass_time(3 * SECOND)
     assert publisher.unbound and publisher.withdrawn
     bench.give(changes(*[entry(host) for host in zone]))
@@ -1026,7 +1028,7 @@
     facts = start_facts(proxies=100, queue_cap=40_000, grace_us=30 * SECOND, bare_us=60 * SECOND)
     bench = Bench(facts)
     bench.give(full(*[entry(100 + i, zone=i % 3) for i in range(60)]))
-    bench.give(*[notes.ProxyJoined(p, p % 3, 5.0, True) for p in range(100)])
+    bench.give(*[events.ProxyJoined(p, p % 3, 5.0, True) for p in range(100)])
     bench.pass_time(8 * SECOND)
     publisher = bench.steward.publisher
     publisher.round, publisher.written_us = (
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -18,14 +18,14 @@
 
 import orjson
 import pytest
-
-from plankroute.interface import notes
-from plankroute.interface.notes import Outcome
-from plankroute.net import discovery as discovery_module
-from plankroute.net import listener, probes
-from plankroute.net.clock import patience
 from test_service import HELLO, Agent, Caller, Stage, ask, config, free_port, listing, play, process
 
+from plankroute.events import events
+from plankroute.events.events import Outcome
+from plankroute.net.discovery import watch as discovery_module
+from plankroute.net.process.clock import patience
+from plankroute.net.proxies import listener
+
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 DRAINED = orjson.dumps(listing(43, "s-1", whole=False, state="DRAINING")) + b"\n"
 RETURNED = HELLO.replace("cold=1", "cold=0")
@@ -35,12 +35,12 @@
     return b"%x\r\n%s\r\n" % (len(text), text)
 
 
-def told(stage: Stage) -> list[notes.Note]:
+def told(stage: Stage) -> list[events.Note]:
     """Every note that streams put from here on."""
-    streams, out = stage.service.listener.streams, list[notes.Note]()
+    streams, out = stage.service.listener.streams, list[events.Note]()
     put = streams.put
 
-    def keep(note: notes.Note) -> None:
+    def keep(note: events.Note) -> None:
         out.append(note)
         put(note)
 
@@ -381,9 +381,9 @@
 
 def play_probe(
     act: Callable[[Stage, asyncio.StreamWriter], Awaitable[None]],
-) -> list[notes.ProbeResult]:
+) -> list[events.ProbeResult]:
     """One probe of host 0, whose stand-in holds its answer until `act` has been called."""
-    results = list[notes.ProbeResult]()
+    results = list[events.ProbeResult]()
 
     async def scene(stage: Stage) -> None:
         asked = asyncio.Queue[asyncio.StreamWriter]()
@@ -397,7 +397,7 @@
         async with await asyncio.start_server(serve, "127.0.0.1", 0) as server:
             prober = stage.service.prober
             prober.put = lambda note: (
-                results.append(note) if isinstance(note, notes.ProbeResult) else None
+                results.append(note) if isinstance(note, events.ProbeResult) else None
             )
             stage.service.directory.hosts[0].address = (
                 "127.0.0.1:%d" % server.sockets[0].getsockname()[1]
--- a/tests/test_learned.py
+++ b/tests/test_learned.py
@@ -12,16 +12,22 @@
 import pytest
 from hypothesis import given, settings
 from hypothesis import strategies as st
-
 from model import GONE, READY, SECOND, Bench, changes, entry, full, start_facts
-from plankroute.coldstart.frames import Begin, Part, ViewOf, write_frame
-from plankroute.interface import notes
-from plankroute.interface.notes import HostState, Outcome
-from plankroute.lab.faults import Act, Script, Step
-from plankroute.lab.kills import run_kills
-from plankroute.lab.processes import Fleet, Plan
-from plankroute.lab.restart import run_ways
-from plankroute.learned.codec import (
+from test_decide import feed, generated_day, probes, ready_bench
+
+from plankroute.cold_start.link_codec import Begin, Part, ViewOf, write_frame
+from plankroute.config.feature_file import LearnedPart
+from plankroute.events import events
+from plankroute.events.events import HostState, Outcome
+from plankroute.net.peers.links import frames_of_view
+from plankroute.net.peers.warm_start import LAST_S, READ_S, LearnedParts, file_name
+from plankroute.net.process.file_store import Disk, Saver, replace
+from plankroute.net.process.telemetry import Book, Log
+from plankroute.testbed.faults import Act, Script, Step
+from plankroute.testbed.processes import Fleet, Plan
+from plankroute.testbed.warm_restart import run_ways
+from plankroute.testbed.write_kills import run_kills
+from plankroute.warm_start.codec import (
     HEADER,
     MOST_BYTES,
     Kept,
@@ -32,7 +38,7 @@
     write_file,
     write_view,
 )
-from plankroute.learned.core import (
+from plankroute.warm_start.core import (
     HALF_US,
     Close,
     Learned,
@@ -42,14 +48,8 @@
     Teach,
     ViewCame,
 )
-from plankroute.learned.facts import HostFacts, View
-from plankroute.learned.merge import Heard, first, join
-from plankroute.net.book import Book, Log
-from plankroute.net.keep import Disk, Saver, replace
-from plankroute.net.learned import LAST_S, READ_S, LearnedParts, file_name
-from plankroute.net.links import frames_of_view
-from plankroute.ownfile import LearnedPart
-from test_decide import feed, generated_day, probes, ready_bench
+from plankroute.warm_start.facts import HostFacts, View
+from plankroute.warm_start.merge import Heard, first, join
 
 FACTS = HostFacts("h", 5.0, 1.0, 40.0, 0.0, 20_000.0, False, 2, 0)
 BAD = msgspec.structs.replace(FACTS, voided=40.0, is_shut=True, weight=0.1, needed=8)
@@ -334,21 +334,21 @@
 
 def learned(
     host: int, bad: bool = False, weight: float = 1.0, age_us: int = SECOND
-) -> notes.HostLearned:
-    return notes.HostLearned(
+) -> events.HostLearned:
+    return events.HostLearned(
         host, weight, 40.0, 40.0 * bad, 20_000.0, bad, 8 if bad else 2, age_us, age_us
     )
 
 
-def started(*told: notes.HostLearned, hosts: int = 10, fresh: bool = True) -> Bench:
+def started(*told: events.HostLearned, hosts: int = 10, fresh: bool = True) -> Bench:
     """The list and the news come first, as at a start; then proxies, and good answers to probes."""
     bench = Bench(start_facts())
     bench.give(full(*[entry(100 + i, zone=i % 3) for i in range(hosts)]), *told)
-    asked = probes(bench.give(*[notes.ProxyJoined(p, p % 3, 10.0, fresh) for p in range(4)]))
+    asked = probes(bench.give(*[events.ProxyJoined(p, p % 3, 10.0, fresh) for p in range(4)]))
     bad = {note.host for note in told if note.shut}
     bench.give(
         *[
-            notes.ProbeResult(
+            events.ProbeResult(
                 host, Outcome.ERROR if host in bad else Outcome.ANSWERED, 10_000, None
             )
             for host in sorted(asked | bad)
@@ -365,7 +365,7 @@
     assert 103 in probes(bench.log)
     for _ in range(12):  # it got well: good probes in a row bring it back, by degrees
         bench.pass_time(SECOND)
-        bench.give(notes.ProbeResult(103, Outcome.ANSWERED, 10_000, None))
+        bench.give(events.ProbeResult(103, Outcome.ANSWERED, 10_000, None))
     assert 0 < bench.lines[0][103]
 
 
@@ -386,10 +386,10 @@
         *[learned(100 + i, i < 2, 1.4 if i > 7 else 1.0) for i in range(10)],
     )
     for bench in (plain, wrong):
-        bench.give(*[notes.ProxyJoined(p, p % 3, 10.0, True) for p in range(4)])
+        bench.give(*[events.ProxyJoined(p, p % 3, 10.0, True) for p in range(4)])
         bench.give(
             *[
-                notes.ProbeResult(
+                events.ProbeResult(
                     100 + i, Outcome.ERROR if i > 7 else Outcome.ANSWERED, 10_000, None
                 )
                 for i in range(10)
@@ -414,9 +414,9 @@
         learned(109, False, 1.4),
         learned(101, False, 0.3),
     )
-    bench.give(*[notes.ProxyJoined(p, p % 3, 10.0, False) for p in range(4)])
+    bench.give(*[events.ProxyJoined(p, p % 3, 10.0, False) for p in range(4)])
     bench.give(
-        *[notes.HostSums(100 + i, 0, 30 * (i != 9), 0, 20_000.0, SECOND, None) for i in range(10)]
+        *[events.HostSums(100 + i, 0, 30 * (i != 9), 0, 20_000.0, SECOND, None) for i in range(10)]
     )
     bench.pass_time(SECOND)
     lines = bench.lines[0]
@@ -445,7 +445,7 @@
         def give(self, *batch):
             rng = random.Random(self.now + seed)
             told = [
-                notes.HostLearned(
+                events.HostLearned(
                     rng.randrange(95, 125),
                     rng.choice([0.0, 1e9, rng.random()]),
                     rng.choice([0.0, 40.0]),
@@ -474,8 +474,8 @@
 # Peers, scripted
 
 
-def parts(part: LearnedPart, disk: Disk | None = None) -> tuple[LearnedParts, list[notes.Note]]:
-    out, book = list[notes.Note](), Book(Log("n0", lambda line: None))
+def parts(part: LearnedPart, disk: Disk | None = None) -> tuple[LearnedParts, list[events.Note]]:
+    out, book = list[events.Note](), Book(Log("n0", lambda line: None))
     return LearnedParts(part, "n0", "g", "127.0.0.1", book, out.append, disk), out
 
 
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -6,14 +6,11 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from plankroute.lab import checkers
-from plankroute.lab.faults import SECOND, Act, Rule, Script, Step, partition, pauses
-from plankroute.lab.simulated import CODEC, Group, address_of, name_of, plankroute_member
 from plankroute.membership import suspicion
-from plankroute.membership.claim import Claim, Reply
 from plankroute.membership.codec import HEADER, Codec, Unread
 from plankroute.membership.facts import MOST_DATAGRAM
-from plankroute.membership.health import LATE_US, SETTLE_US, Awake, OwnDoubt
+from plankroute.membership.local_health import LATE_US, SETTLE_US, Awake, OwnDoubt
+from plankroute.membership.member_table import MOST_MEMBERS, View
 from plankroute.membership.messages import (
     Change,
     Heard,
@@ -25,8 +22,17 @@
     Told,
     ViewAsked,
 )
+from plankroute.membership.name_claim import Claim, Reply
 from plankroute.membership.records import Record, Standing, canonical, join
-from plankroute.membership.views import MOST_MEMBERS, View
+from plankroute.testbed import checkers
+from plankroute.testbed.faults import SECOND, Act, Rule, Script, Step, partition, pauses
+from plankroute.testbed.simulated_members import (
+    CODEC,
+    Group,
+    address_of,
+    name_of,
+    plankroute_member,
+)
 
 RECORDS = st.builds(
     Record,
--- a/tests/test_messages.py
+++ b/tests/test_messages.py
@@ -3,12 +3,12 @@
 import random
 
 import pytest
-
 from model import DRAINING, entry, full
-from plankroute.interface import notes, orders
-from plankroute.interface.orders import Retry
+
 from plankroute.controller.messages import Message, Part, Player
-from plankroute.net.wire import MOST_PARTS, ROWS_A_PART, Writer
+from plankroute.events import commands, events
+from plankroute.events.commands import Retry
+from plankroute.net.proxies.line_codec import MOST_PARTS, ROWS_A_PART, Writer
 
 PRODUCTS = ("view", "edit", "pay")
 
@@ -17,8 +17,8 @@
     return f"s-{host:08x}"
 
 
-def joined(proxy: int, fresh: bool = True) -> notes.ProxyJoined:
-    return notes.ProxyJoined(proxy, 0, 10.0, fresh)
+def joined(proxy: int, fresh: bool = True) -> events.ProxyJoined:
+    return events.ProxyJoined(proxy, 0, 10.0, fresh)
 
 
 class Replay:
@@ -30,19 +30,19 @@
         self.bound: dict[int, dict[int, int]] = {}
         self.held = set[int]()
 
-    def obey(self, order: orders.Order) -> None:
+    def obey(self, order: commands.Order) -> None:
         match order:
-            case orders.SetLine(table, host, weight):
+            case commands.SetLine(table, host, weight):
                 self.tables.setdefault(table, {})[host] = weight
-            case orders.ClearTable(table):
+            case commands.ClearTable(table):
                 self.tables.pop(table, None)
                 self.levels = {key: level for key, level in self.levels.items() if key[0] != table}
-            case orders.Withdraw(host, out):
+            case commands.Withdraw(host, out):
                 (self.held.add if out else self.held.discard)(host)
-            case orders.Bind(table, proxy, products) if proxy in self.bound:
+            case commands.Bind(table, proxy, products) if proxy in self.bound:
                 for product in range(len(PRODUCTS)) if products is None else products:
                     self.bound[proxy][product] = table
-            case orders.SetLevel(table, products, level, retry):
+            case commands.SetLevel(table, products, level, retry):
                 for product in range(len(PRODUCTS)) if products is None else products:
                     self.levels[table, product] = (level, int(retry))
 
@@ -113,10 +113,10 @@
             proxy.shut.clear()
 
     def leave(self, number: int) -> None:
-        self.player.hear(notes.ProxyLeft(number))
+        self.player.hear(events.ProxyLeft(number))
         del self.replay.bound[number]
 
-    def order(self, batch: list[orders.Order], proxies: dict[int, Proxy]) -> list[Message]:
+    def order(self, batch: list[commands.Order], proxies: dict[int, Proxy]) -> list[Message]:
         for order in batch:
             self.replay.obey(order)
         messages = self.player.play(batch)
@@ -134,29 +134,29 @@
         return messages
 
 
-def some_orders(chance: random.Random, drained: list[int]) -> list[orders.Order]:
+def some_orders(chance: random.Random, drained: list[int]) -> list[commands.Order]:
     def products() -> tuple[int, ...] | None:
         return chance.choice([None, (0,), (1, 2), (0, 1, 2)])
 
-    def one() -> orders.Order:
+    def one() -> commands.Order:
         table, host = chance.randrange(3), chance.randrange(8)
         return chance.choice(
             [
-                orders.SetLine(table, host, float(chance.randrange(4))),
-                orders.SetLine(table, host, float(chance.randrange(1, 4))),
-                orders.Bind(table, chance.randrange(4), products()),
-                orders.SetLevel(
+                commands.SetLine(table, host, float(chance.randrange(4))),
+                commands.SetLine(table, host, float(chance.randrange(1, 4))),
+                commands.Bind(table, chance.randrange(4), products()),
+                commands.SetLevel(
                     chance.choice([table, None]),
                     products(),
                     chance.choice([0.25, 0.5, 1.0]),
                     chance.choice([Retry.NEVER, Retry.UNRUN]),
                 ),
-                orders.Withdraw(chance.choice(drained or [host]), chance.random() < 0.5)
+                commands.Withdraw(chance.choice(drained or [host]), chance.random() < 0.5)
                 if drained
-                else orders.ClearTable(table),
-                orders.ClearTable(table)
+                else commands.ClearTable(table),
+                commands.ClearTable(table)
                 if chance.random() < 0.2
-                else orders.SetLine(table, host, 1.0),
+                else commands.SetLine(table, host, 1.0),
             ]
         )
 
@@ -184,7 +184,7 @@
             chance.choice(sides).order(some_orders(chance, drained), proxies)
 
 
-def messages_for(*batch: orders.Order, fresh: bool = True) -> list[Message]:
+def messages_for(*batch: commands.Order, fresh: bool = True) -> list[Message]:
     player = Player(len(PRODUCTS))
     player.hear(joined(0, fresh))
     player.hear(joined(1, fresh))
@@ -193,11 +193,11 @@
 
 def test_a_bind_is_a_whole_table_with_its_level_hosts_held_back_and_mark():
     (message,) = messages_for(
-        orders.SetLevel(0, None, 1.0, Retry.UNRUN),
-        orders.SetLine(0, 7, 3.0),
-        orders.SetLine(0, 8, 1.5),
-        orders.Bind(0, 1),
-        orders.Mark(905),
+        commands.SetLevel(0, None, 1.0, Retry.UNRUN),
+        commands.SetLine(0, 7, 3.0),
+        commands.SetLine(0, 8, 1.5),
+        commands.Bind(0, 1),
+        commands.Mark(905),
     )
     assert Writer(PRODUCTS, uid).write(message) == (
         b"push replace=1 rows=s-00000007:3,s-00000008:1.5 gate=1 again=1 stamp=905\r\n"
@@ -208,9 +208,9 @@
 
 
 def test_orders_reach_only_proxies_that_use_the_table_and_marks_everyone_if_so_ordered():
-    batch = [orders.Bind(0, 1), orders.SetLine(0, 7, 3.0)]
-    assert [m.proxy for m in messages_for(*batch, orders.Mark(1))] == [1]
-    assert {m.proxy: m.mark for m in messages_for(*batch, orders.Mark(1, everyone=True))} == {
+    batch = [commands.Bind(0, 1), commands.SetLine(0, 7, 3.0)]
+    assert [m.proxy for m in messages_for(*batch, commands.Mark(1))] == [1]
+    assert {m.proxy: m.mark for m in messages_for(*batch, commands.Mark(1, everyone=True))} == {
         0: 1,
         1: 1,
     }
@@ -221,19 +221,24 @@
     for proxy in (0, 1, 2):
         player.hear(joined(proxy))
     player.play(
-        [orders.SetLine(0, 7, 1.0), orders.SetLine(1, 8, 1.0), orders.Bind(0, 0), orders.Bind(1, 1)]
+        [
+            commands.SetLine(0, 7, 1.0),
+            commands.SetLine(1, 8, 1.0),
+            commands.Bind(0, 0),
+            commands.Bind(1, 1),
+        ]
     )
-    assert {m.proxy for m in player.play([orders.Withdraw(7, True)])} == {0, 2}
+    assert {m.proxy for m in player.play([commands.Withdraw(7, True)])} == {0, 2}
 
 
 def test_a_host_let_back_while_out_of_the_table_is_let_back_with_its_next_line():
     """Guards against a host that stays shut out for good: the proxy keeps what it was told."""
     player = Player(1)
     player.hear(joined(0))
-    player.play([orders.SetLine(0, 7, 1.0), orders.SetLine(0, 8, 1.0), orders.Bind(0, 0)])
-    player.play([orders.Withdraw(7, True), orders.SetLine(0, 7, 0.0)])
-    assert player.play([orders.Withdraw(7, False)]) == []
-    (message,) = player.play([orders.SetLine(0, 7, 2.0)])
+    player.play([commands.SetLine(0, 7, 1.0), commands.SetLine(0, 8, 1.0), commands.Bind(0, 0)])
+    player.play([commands.Withdraw(7, True), commands.SetLine(0, 7, 0.0)])
+    assert player.play([commands.Withdraw(7, False)]) == []
+    (message,) = player.play([commands.SetLine(0, 7, 2.0)])
     assert message.held == {7: False} and message.parts[0].lines == {7: 2.0}
 
 
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -9,27 +9,28 @@
 
 import orjson
 import pytest
-
 from model import DRAINING, GONE, READY, SECOND, entry, full, start_facts
-from plankroute.interface import notes, orders
-from plankroute.interface.notes import ListKind, LoadReport, Outcome
-from plankroute.controller.messages import Player
-from plankroute.net import http, wire
-from plankroute.net.admit import Admission, Party, Role
-from plankroute.net.book import Book, Log
-from plankroute.net.boot import read_boot
-from plankroute.net.catalogue import EntrySaid, ListSaid, Unread, list_from, read_list
-from plankroute.net.clock import Alarms, Clock
-from plankroute.net.directory import Directory
-from plankroute.net.errors import CallFailed, Reached, Refused
-from plankroute.net.http import Answer, Limits, fetch
-from plankroute.net.intake import LineCutter
-from plankroute.net.probes import Prober, judge_call
-from plankroute.net.ring import Pool, Ring
-from plankroute.net.room import FILES, room_for
-from plankroute.net.route import Router
-from plankroute.start import StartError
+
 from plankroute.controller.controller import Controller
+from plankroute.controller.messages import Player
+from plankroute.events import commands, events
+from plankroute.events.events import ListKind, LoadReport, Outcome
+from plankroute.events.settings import StartError
+from plankroute.net.discovery import http_client as http
+from plankroute.net.discovery.catalogue import EntrySaid, ListSaid, Unread, list_from, read_list
+from plankroute.net.discovery.directory import Directory
+from plankroute.net.discovery.http_client import Answer, Limits, fetch
+from plankroute.net.probing.prober import Prober, judge_call
+from plankroute.net.process.clock import Alarms, Clock
+from plankroute.net.process.configuration import read_boot
+from plankroute.net.process.errors import CallFailed, Reached, Refused
+from plankroute.net.process.resource_limits import FILES, room_for
+from plankroute.net.process.router import Router
+from plankroute.net.process.telemetry import Book, Log
+from plankroute.net.proxies import line_codec as wire
+from plankroute.net.proxies.admission import Admission, Party, Role
+from plankroute.net.proxies.line_reader import LineCutter
+from plankroute.net.proxies.ring_buffer import Pool, Ring
 
 LINES = [
     b"agent locality=a",
@@ -229,18 +230,18 @@
 
 def test_a_proxy_and_a_collector_may_each_say_what_is_theirs():
     admission, proxy, collector = Admission(named("s-5be2a07c"), 9, 8 * SECOND), Party(), Party()
-    assert admitted(admission, proxy, LINES[2]) == [notes.ProxyJoined(3, 0, 21.5, True)]
+    assert admitted(admission, proxy, LINES[2]) == [events.ProxyJoined(3, 0, 21.5, True)]
     admission.joined.add(3)
     proxy.marks.extend((904, 905, 906))
     assert admitted(admission, proxy, LINES[4], LINES[5]) == [
-        notes.Applied(3, 905, 310400),
-        notes.ProxyTraffic(3, 0, 19, 0, SECOND),
+        events.Applied(3, 905, 310400),
+        events.ProxyTraffic(3, 0, 19, 0, SECOND),
     ]
     assert list(proxy.marks) == [906]
     assert admitted(admission, collector, LINES[0]) == [None] and collector.role is Role.COLLECTOR
     assert admitted(admission, collector, LINES[3], LINES[5]) == [
-        notes.HostSums(0, 0, 212, 3, 41700, SECOND, LoadReport(inflight=7.0, util=0.61)),
-        notes.ProxyTraffic(3, 0, 19, 0, SECOND),
+        events.HostSums(0, 0, 212, 3, 41700, SECOND, LoadReport(inflight=7.0, util=0.61)),
+        events.ProxyTraffic(3, 0, 19, 0, SECOND),
     ]
 
 
@@ -503,11 +504,11 @@
         tokens = sorted(token for _, _, token in router.alarms.heap)
         assert tokens == [Controller.TURN, Controller.PULSE]
         router.alarms.heap = [(0, *rest) for _, *rest in router.alarms.heap]
-        router.put(notes.HostSums(100, 0, None, 0, 1.0, SECOND, None))  # type: ignore[arg-type]
+        router.put(events.HostSums(100, 0, None, 0, 1.0, SECOND, None))  # type: ignore[arg-type]
         router.flush()
         assert book.counts["core.failed"] == 1 and not router.alarms.heap
         for _ in range(2):  # the note was for two parts
-            router.put(notes.ProxyLeft(1))
+            router.put(events.ProxyLeft(1))
             router.flush()
         assert sorted(token for _, _, token in router.alarms.heap) == tokens
 
@@ -539,11 +540,11 @@
     router.send, router.forget = sent.append, known.forget
     core, sizes, now = router.steward, [], 10**15
 
-    def work(*batch: notes.Note) -> None:
-        router.work_on(now, [*batch, *map(notes.TimerDue, (Controller.PULSE, Controller.TURN))])
+    def work(*batch: events.Note) -> None:
+        router.work_on(now, [*batch, *map(events.TimerDue, (Controller.PULSE, Controller.TURN))])
 
     first = listing(*[member(f"s-{n}") for n in range(12)])
-    joined = [notes.ProxyJoined(proxy, 0, 9.0, True) for proxy in range(4)]
+    joined = [events.ProxyJoined(proxy, 0, 9.0, True) for proxy in range(4)]
     work(known.note(list_from(first), ListKind.CACHED)[0], *joined)
     for n in range(400):
         now += SECOND
@@ -553,10 +554,10 @@
         sent.clear()
         work(
             known.note(list_from(listing(*changed, rev=42 + n, whole=False)))[0],
-            *[notes.Applied(p, last, 1) for p in range(4) if last],
-            notes.ProxyLeft(gone),
-            notes.ProxyJoined(gone, 0, 9.0, False),
-            notes.HostSums(known.ids[f"s-{n + 5}"], 0, 9, 0, 2e5, SECOND, None),
+            *[events.Applied(p, last, 1) for p in range(4) if last],
+            events.ProxyLeft(gone),
+            events.ProxyJoined(gone, 0, 9.0, False),
+            events.HostSums(known.ids[f"s-{n + 5}"], 0, 9, 0, 2e5, SECOND, None),
         )
         publisher, player = core.publisher, router.player
         sizes.append(
@@ -586,14 +587,16 @@
 def test_a_host_of_an_old_name_is_a_new_one():
     known, player = named("s-1", "s-2"), Player(1)
     for proxy in (0, 1):
-        player.hear(notes.ProxyJoined(proxy, 0, 9.0, True))
-    player.play([orders.SetLine(0, 1, 1.0), orders.Bind(0, 0), orders.Withdraw(0, True)])
+        player.hear(events.ProxyJoined(proxy, 0, 9.0, True))
+    player.play([commands.SetLine(0, 1, 1.0), commands.Bind(0, 0), commands.Withdraw(0, True)])
     known.forget(0)
     player.forget(0)
     listed, refused = known.note(list_from(listing(member("s-1", boot_ms=5), rev=42, whole=False)))
     player.hear(listed)
     assert [each.host for each in listed.entries] == [2] and not refused and known.uid(2) == "s-1"
-    told = {m.proxy: m.held for m in player.play([orders.SetLine(0, 2, 1.0), orders.Bind(0, 1)])}
+    told = {
+        m.proxy: m.held for m in player.play([commands.SetLine(0, 2, 1.0), commands.Bind(0, 1)])
+    }
     assert told == {0: {}, 1: {2: False}}  # proxy 1 may hold it back yet
     listed, refused = known.note(list_from(listing(member("s-9", "DELETED"), rev=43, whole=False)))
     assert not listed.entries and not refused and "s-9" not in known.ids
@@ -612,13 +615,13 @@
     def send(message) -> None:
         over.append(channel.sent[message.mark][message.proxy] - message.cost() - facts.head_lines)
 
-    def work(*batch: notes.Note) -> None:
-        router.work_on(now, [*batch, *map(notes.TimerDue, (Controller.PULSE, Controller.TURN))])
+    def work(*batch: events.Note) -> None:
+        router.work_on(now, [*batch, *map(events.TimerDue, (Controller.PULSE, Controller.TURN))])
 
     router.send = send
     first = [member(f"s-{n}", boot_ms=5.0 * (n % 3)) for n in range(40)]
     work(known.note(list_from(listing(*first)), ListKind.CACHED)[0])
-    work(*[notes.ProxyJoined(proxy, 0, 9.0, proxy % 2 == 0) for proxy in range(6)])
+    work(*[events.ProxyJoined(proxy, 0, 9.0, proxy % 2 == 0) for proxy in range(6)])
     for n in range(30):
         now += 7 * SECOND  # longer than it learns from what old tables bring
         changed = [member(f"s-{n}", "DRAINING"), member(f"s-{n + 40}", boot_ms=now / 1000)]
@@ -626,9 +629,9 @@
         gone = n % 6
         work(
             known.note(list_from(listing(*changed, rev=42 + n, whole=False)))[0],
-            *[notes.Applied(p, channel.serial, 1) for p in range(6)],
-            notes.ProxyLeft(gone),
-            notes.ProxyJoined(gone, 0, 9.0, n % 4 == 0),
+            *[events.Applied(p, channel.serial, 1) for p in range(6)],
+            events.ProxyLeft(gone),
+            events.ProxyJoined(gone, 0, 9.0, n % 4 == 0),
         )
     assert len(over) > 100 and min(over) >= 0 and router.book.counts["core.failed"] == 0
     assert sum(over) < 5 * len(over)  # they hold little more than that
@@ -684,10 +687,10 @@
     def host(n: int, state: str = "SERVING", boot_ms: float = 0) -> dict:
         return member(name(f"h{n:03}"), state, zones[n * 7 % 3], boot_ms, model=kinds[n * 5 % 2])
 
-    def work(*batch: notes.Note) -> None:
-        router.work_on(now, [*batch, *map(notes.TimerDue, (Controller.PULSE, Controller.TURN))])
+    def work(*batch: events.Note) -> None:
+        router.work_on(now, [*batch, *map(events.TimerDue, (Controller.PULSE, Controller.TURN))])
 
-    def say(*lines: str) -> list[notes.Note]:
+    def say(*lines: str) -> list[events.Note]:
         party, said = Party(), [wire.read_line(f"{line}\r".encode()) for line in lines]
         return [note for line in said if (note := admission.admit(party, line)) is not None]
 
@@ -704,7 +707,7 @@
             for n in range(turn, 200, 3)
         ]
         work(told, *say(f"agent locality={zones[0]}", *sums))
-        work(*(notes.Applied(p, router.steward.publisher.channel.serial, 1) for p in range(60)))
+        work(*(events.Applied(p, router.steward.publisher.channel.serial, 1) for p in range(60)))
     assert router.book.counts["core.failed"] == 0
     held = {host for table in router.steward.publisher.tables for host in table.pushed}
     assert 24 <= len(held) < 150 if stewards > 1 else len(held) == 200  # else a part of the hosts
--- a/tests/test_ownfile.py
+++ b/tests/test_ownfile.py
@@ -7,7 +7,7 @@
 import orjson
 import pytest
 
-from plankroute.ownfile import SCHEMA, OwnFileError, read_own_file, schema_text
+from plankroute.config.feature_file import SCHEMA, OwnFileError, read_own_file, schema_text
 
 PART = {"group": "g", "listen": "10.0.0.4:3001"}
 EXAMPLE = Path("deploy/plankroute.example.json")
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -16,12 +16,12 @@
 import orjson
 import pytest
 
-from plankroute.net import listener
-from plankroute.net.book import Book, Log
-from plankroute.net.boot import read_boot
-from plankroute.net.peers import Peer
-from plankroute.net.room import room_for
-from plankroute.net.service import Service
+from plankroute.net.process.configuration import read_boot
+from plankroute.net.process.resource_limits import room_for
+from plankroute.net.process.service import Service
+from plankroute.net.process.telemetry import Book, Log
+from plankroute.net.proxies import listener
+from plankroute.net.proxies.connection import Peer
 
 SETTINGS = {
     "classes": [
--- a/tests/test_trials.py
+++ b/tests/test_trials.py
@@ -11,9 +11,9 @@
 import orjson
 import pytest
 
-from plankroute.lab.faults import Rule, Script
-from plankroute.lab.processes import REAL_PORT, Fleet, Plan
-from plankroute.lab.scenarios import SCENARIOS, Result, Scenario, paused, run_all, run_one
+from plankroute.testbed.faults import Rule, Script
+from plankroute.testbed.processes import REAL_PORT, Fleet, Plan
+from plankroute.testbed.scenarios import SCENARIOS, Result, Scenario, paused, run_all, run_one
 
 PROCESSES, SEED = 8, 1
 OWN_NET = 40  # loopback addresses of the tests that stage a group by themselves
@@ -131,7 +131,7 @@
 def test_a_bare_start_imports_nothing_of_what_is_switched_off():
     """Guards against a listener, a library or memory that `run` did not have before."""
     code = (
-        "import sys, plankroute.__main__, plankroute.net.service as s; s.own_file();"
+        "import sys, plankroute.__main__, plankroute.net.process.service as s; s.own_file();"
         "print([m for m in sys.modules if m.split('.')[0] in ('click', 'msgspec', 'xxhash') or any("
         "f'plankroute.{p}' in m for p in ('cli', 'lab', 'membership', 'ownfile', 'net.members'))])"
     )
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -5,10 +5,10 @@
 
 import pytest
 
-from plankroute.interface import notes, orders
-from plankroute.simhost.__main__ import serve
-from plankroute.simwire.frames import WireError, read_batch
-from plankroute.simwire.records import Decoder, Delivered, encode_failure, encode_order
+from plankroute.events import commands, events
+from plankroute.simulator.__main__ import serve
+from plankroute.simulator.frames import WireError, read_batch
+from plankroute.simulator.records import Decoder, Delivered, encode_failure, encode_order
 
 
 def row(text: str) -> bytes:
@@ -26,19 +26,19 @@
 def decode(data: bytes) -> list:
     decoder = Decoder()
     decoder.report_fields[3] = ("inflight",)
-    return list(decoder.events(data))
+    return list(decoder.decode(data))
 
 
 def test_events():
-    ready = notes.HostState.READY
+    ready = events.HostState.READY
     assert decode(LIST + SYNC) == [
         Delivered(
             3,
-            notes.HostList(
-                notes.ListKind.CACHED,
+            events.HostList(
+                events.ListKind.CACHED,
                 (
-                    notes.HostEntry(HOST_A, ready, 0, 0, 0, 1.0, 0),
-                    notes.HostEntry(HOST_B, ready, 1, 0, 0, 1.5, 6_100_000),
+                    events.HostEntry(HOST_A, ready, 0, 0, 0, 1.0, 0),
+                    events.HostEntry(HOST_B, ready, 1, 0, 0, 1.5, 6_100_000),
                 ),
             ),
         )
@@ -48,17 +48,18 @@
     )
     assert decode(stats) == [
         Delivered(
-            3, notes.HostSums(HOST_A, 0, 14, 1, 48250.0, 1_000_000, notes.LoadReport(inflight=7.0))
+            3,
+            events.HostSums(HOST_A, 0, 14, 1, 48250.0, 1_000_000, events.LoadReport(inflight=7.0)),
         )
     ]
     traffic = row("0a 0300 0000000000409f40 00 00000000 2900 09000000")
-    assert decode(traffic) == [Delivered(3, notes.ProxyTraffic(41, 0, 9, 0, 2_000_000))]
+    assert decode(traffic) == [Delivered(3, events.ProxyTraffic(41, 0, 9, 0, 2_000_000))]
     assert decode(row("06 0300 2900 0000 0000d040 01")) == [
-        Delivered(3, notes.ProxyJoined(41, 0, 6.5, True))
+        Delivered(3, events.ProxyJoined(41, 0, 6.5, True))
     ]
     assert decode(row("02 0300 4d000000 07 0500 2900")) == [
-        Delivered(3, notes.TimerDue(77)),
-        Delivered(5, notes.ProxyLeft(41)),
+        Delivered(3, events.TimerDue(77)),
+        Delivered(5, events.ProxyLeft(41)),
     ]
 
 
@@ -70,11 +71,11 @@
 
 def test_orders():
     expected = {
-        "4b 0300 7500 f211902c 0000403f": orders.SetLine(117, HOST_B, 0.75),
-        "41 0300 0000000000407f40 4d000000": orders.SetTimer(500_000, 77),
-        "43 0300 7500 2900 0000": orders.Bind(117, 41),
-        "44 0300 7500 01 0200 0000403f": orders.SetLevel(117, (1,), 0.75, orders.Retry.UNRUN),
-        "45 0300 ffff 0400 68692037": orders.Tell(orders.ALL_PEERS, b"hi 7"),
+        "4b 0300 7500 f211902c 0000403f": commands.SetLine(117, HOST_B, 0.75),
+        "41 0300 0000000000407f40 4d000000": commands.SetTimer(500_000, 77),
+        "43 0300 7500 2900 0000": commands.Bind(117, 41),
+        "44 0300 7500 01 0200 0000403f": commands.SetLevel(117, (1,), 0.75, commands.Retry.UNRUN),
+        "45 0300 ffff 0400 68692037": commands.Tell(commands.ALL_PEERS, b"hi 7"),
     }
     for text, order in expected.items():
         assert encode_order(3, order) == row(text)
