--- a/plankroute/cli/main.py
+++ b/plankroute/cli/main.py
@@ -7,7 +7,7 @@
 
 import click
 
-from plankroute.config.feature_file import OwnFileError, read_own_file, schema_text
+from plankroute.config.feature_file import FeatureFileError, read_feature_file, schema_text
 
 GOOD, FAILED, MISTAKE = 0, 1, 2
 FILE = click.Path(exists=False, dir_okay=False, path_type=Path)
@@ -61,8 +61,8 @@
 
 def checked(path: Path):
     try:
-        return read_own_file(path)
-    except OwnFileError as error:
+        return read_feature_file(path)
+    except FeatureFileError as error:
         raise Mistake(str(error)) from error
 
 
--- a/plankroute/cli/state.py
+++ b/plankroute/cli/state.py
@@ -94,7 +94,7 @@
     head = f"{view.name}: written down {written}; list of revision {view.revision}, {len(view.hosts)} hosts"
     rows = [("host", "age", "weight", "voided", "shut", "counts for")]
     for facts in sorted(view.hosts, key=lambda facts: (not facts.is_bad(), facts.uid)):
-        age_s, part = age_of(facts, found), facts.voided / facts.tries if facts.tries else 0.0
+        age_s, part = age_of(facts, found), facts.failed / facts.attempts if facts.attempts else 0.0
         rows.append(
             (
                 facts.uid,
@@ -122,10 +122,10 @@
             "boot_ms": facts.boot_ms,
             "age_s": age_of(facts, found),
             "weight": facts.weight,
-            "tries": facts.tries,
-            "voided": facts.voided,
+            "tries": facts.attempts,
+            "voided": facts.failed,
             "shut": facts.is_shut,
-            "needed": facts.needed,
+            "needed": facts.required_checks,
             "counts_for": counts_for(facts, found, limit_s),
         }
         for facts in view.hosts
--- a/plankroute/cold_start/backoff.py
+++ b/plankroute/cold_start/backoff.py
@@ -6,7 +6,7 @@
 from email.utils import parsedate_to_datetime
 
 from plankroute.seeded_random import SeededRandom
-from plankroute.token_bucket import Tokens
+from plankroute.token_bucket import TokenBucket
 
 SECOND_US = 1_000_000
 SLACK = 1.05  # of a round: calls come a little slower than the service can answer
@@ -23,14 +23,16 @@
     """What is stated: times are microseconds."""
 
     rank: int
-    stewards: int
+    controller_count: int
     calls_a_second: float
     pause_most_us: int
     retry_after_most_us: int
 
     def window_us(self) -> int:
         """In which the service answers one call of each steward."""
-        return max(LEAST_ROUND_US, int(self.stewards / self.calls_a_second * SLACK * SECOND_US))
+        return max(
+            LEAST_ROUND_US, int(self.controller_count / self.calls_a_second * SLACK * SECOND_US)
+        )
 
 
 @dataclass(frozen=True, slots=True)
@@ -73,7 +75,7 @@
         self.facts, self.chance = facts, SeededRandom(seed)
         self.window_us = facts.window_us()
         self.round_us, self.length_us, self.rounds = 0, self.window_us, 0
-        self.repeats = Tokens(SECOND_US / self.window_us, BURST)
+        self.repeats = TokenBucket(SECOND_US / self.window_us, BURST)
 
     def deliver(self, now_us: int, event: Event) -> CallAt:
         match event:
@@ -100,7 +102,7 @@
     def moment(self) -> int:
         """Within the present round, by rank: the others' are beside it, not on it."""
         facts = self.facts
-        place = (facts.rank % facts.stewards + self.chance.draw()) / facts.stewards
+        place = (facts.rank % facts.controller_count + self.chance.draw()) / facts.controller_count
         return self.round_us + int(place * self.length_us)
 
     def repeat(self, now_us: int, not_before_us: int, due_us: int = 0) -> CallAt:
--- a/plankroute/cold_start/drain_notices.py
+++ b/plankroute/cold_start/drain_notices.py
@@ -26,7 +26,7 @@
     at_us: int
 
 
-class EarlyDrains:
+class DrainNotices:
     """By host's name, what was told of it ahead of the list.
 
     Guards against a drain that waits behind a large list on a slow link. Harm: a peer that lies can close
--- a/plankroute/cold_start/probe_sharing.py
+++ b/plankroute/cold_start/probe_sharing.py
@@ -21,7 +21,7 @@
     """An answered probe. `boot_ms`: the start of the host that answered; `at_us`: steady time of this
     steward."""
 
-    took_us: int
+    elapsed_us: int
     at_us: int
     boot_ms: float
 
--- a/plankroute/cold_start/watcher_election.py
+++ b/plankroute/cold_start/watcher_election.py
@@ -58,7 +58,7 @@
 class FollowFacts:
     name: str
     group: str
-    stewards: int  # as stated
+    controller_count: int  # as stated
     watchers: int
     stall_us: int  # without a frame: left for the next
 
@@ -235,7 +235,7 @@
         """Guards against calls of all while nobody knows anybody yet."""
         assert self.began_us is not None
         return (
-            1 + len(self.names) >= READY_PART * self.facts.stewards
+            1 + len(self.names) >= READY_PART * self.facts.controller_count
             or now_us - self.began_us >= SETTLE_US
             or (len(self.names) > 0 and now_us - self.changed_us >= QUIET_US)
         )
--- a/plankroute/config/feature_file.py
+++ b/plankroute/config/feature_file.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from plankroute.events.settings import StartError
+from plankroute.events.settings import SettingsError
 from plankroute.net.process.address import host_and_port
 
 SCHEMA = Path("deploy/plankroute.schema.json")
@@ -30,7 +30,7 @@
 ]
 
 
-class MembershipPart(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
+class MembershipSection(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
     """Who of the stewards is alive (docs/membership.md)."""
 
     group: Annotated[
@@ -99,7 +99,7 @@
     ] = 2000
 
 
-class ColdStartPart(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
+class ColdStartSection(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
     """A start of many stewards at once that spares the list service and the hosts (docs/coldstart.md)."""
 
     calls_a_second: Annotated[
@@ -148,7 +148,7 @@
     links: LinksPart | None = None
 
 
-class LearnedPart(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
+class WarmStartSection(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
     """What is learned of hosts outlives a steward (docs/learned.md)."""
 
     folder: (
@@ -185,38 +185,38 @@
     ask_ms: Annotated[int, msgspec.Meta(ge=50, le=10_000, description="for a whole answer")] = 1000
 
 
-class OwnFile(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
+class FeatureFile(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
     """deploy/plankroute.json: each section switches one part on."""
 
-    membership: MembershipPart | None = None
-    coldstart: ColdStartPart | None = None
-    learned: LearnedPart | None = None
+    membership: MembershipSection | None = None
+    coldstart: ColdStartSection | None = None
+    learned: WarmStartSection | None = None
 
 
-class OwnFileError(StartError):
+class FeatureFileError(SettingsError):
     """What the file says can't be used: one line, with the path of the key."""
 
 
-def read_own_file(path: str | Path) -> OwnFile:
+def read_feature_file(path: str | Path) -> FeatureFile:
     """Raises OwnFileError."""
     try:
         with open(path, "rb") as file:
             text = file.read(MOST_BYTES + 1)
     except OSError as error:
-        raise OwnFileError(f"{path}: {error.strerror or error}") from error
+        raise FeatureFileError(f"{path}: {error.strerror or error}") from error
     if len(text) > MOST_BYTES:
-        raise OwnFileError(f"{path}: over {MOST_BYTES} bytes")
+        raise FeatureFileError(f"{path}: over {MOST_BYTES} bytes")
     try:
-        own = msgspec.json.decode(text, type=OwnFile)
+        own = msgspec.json.decode(text, type=FeatureFile)
         check_addresses(own)
     except msgspec.ValidationError as error:
-        raise OwnFileError(f"{path}: {plain(str(error))}") from error
+        raise FeatureFileError(f"{path}: {plain(str(error))}") from error
     except msgspec.DecodeError as error:
-        raise OwnFileError(f"{path}: no JSON: {error}") from error
+        raise FeatureFileError(f"{path}: no JSON: {error}") from error
     return own
 
 
-def check_addresses(own: OwnFile) -> None:
+def check_addresses(own: FeatureFile) -> None:
     """A port out of its range passes the pattern; and links go to those that membership knows."""
     named: dict[str, str | None] = {}
     if part := own.membership:
@@ -247,7 +247,7 @@
 
 def schema() -> dict[str, Any]:
     """JSON Schema of the file, from the types above."""
-    return msgspec.json.schema(OwnFile)
+    return msgspec.json.schema(FeatureFile)
 
 
 def schema_text() -> bytes:
--- a/plankroute/controller/controller.py
+++ b/plankroute/controller/controller.py
@@ -4,7 +4,7 @@
 from plankroute.events import commands, events
 from plankroute.events.events import HostState, ListKind
 from plankroute.events.facts import StartFacts
-from plankroute.policy.decide import ASK_AGAIN_US, Balancer, Fleet, Host, Levels, Publisher
+from plankroute.policy.decide import ASK_AGAIN_US, Balancer, Host, HostTable, Levels, Publisher
 
 
 class Controller:
@@ -13,93 +13,106 @@
     TURN, ASK, PULSE = 1, 2, 3
 
     def __init__(self, facts: StartFacts, seed: int) -> None:
-        self.desk, self.fleet, self.hosts = Scheduler(seed), Fleet(facts), list[Host]()
-        self.publisher = Publisher(self.desk, self.fleet, facts)
-        self.balancer = Balancer(self.desk, self.fleet, self.publisher.tables)
-        self.levels = Levels(self.desk, self.fleet, facts, self.publisher)
-        self.lets_back = facts.lets_back
-        self.ask = commands.Subscribe(True) if facts.must_subscribe else commands.AskList()
-        self.desk.out.append(commands.SetTimer(self.balancer.first_us, self.TURN))
-        self.desk.out.append(commands.SetTimer(Publisher.PULSE_US, self.PULSE))
-        self.desk.out += [self.ask] * facts.must_subscribe
+        self.scheduler, self.host_table, self.hosts = (
+            Scheduler(seed),
+            HostTable(facts),
+            list[Host](),
+        )
+        self.publisher = Publisher(self.scheduler, self.host_table, facts)
+        self.balancer = Balancer(self.scheduler, self.host_table, self.publisher.tables)
+        self.levels = Levels(self.scheduler, self.host_table, facts, self.publisher)
+        self.bind_reinstates_hosts = facts.bind_reinstates_hosts
+        self.ask = (
+            commands.SubscribeHostList(True) if facts.must_subscribe else commands.PollHostList()
+        )
+        self.scheduler.out.append(commands.SetTimer(self.balancer.first_us, self.TURN))
+        self.scheduler.out.append(commands.SetTimer(Publisher.PULSE_US, self.PULSE))
+        self.scheduler.out += [self.ask] * facts.must_subscribe
 
-    def deliver(self, clock_us: int, batch: list[events.Note]) -> list[commands.Order]:
-        desk, ticks = self.desk, set[Tick | None]()
-        desk.now = clock_us
-        for note in batch:
-            ticks.add(self.route(note))
-            desk.run()
+    def deliver(self, clock_us: int, batch: list[events.Event]) -> list[commands.Command]:
+        scheduler, ticks = self.scheduler, set[Tick | None]()
+        scheduler.now = clock_us
+        for event in batch:
+            ticks.add(self.route(event))
+            scheduler.run()
         if ticks - {None}:
             if Tick.TURN not in ticks:
-                desk.put(self.balancer, Tick.CHANGED)
-            desk.put(self.publisher, Tick.TURN if Tick.TURN in ticks else Tick.CHANGED)
-            desk.run()
+                scheduler.put(self.balancer, Tick.CHANGED)
+            scheduler.put(self.publisher, Tick.TURN if Tick.TURN in ticks else Tick.CHANGED)
+            scheduler.run()
         self.publisher.close()
-        out, desk.out = desk.out, []
+        out, scheduler.out = scheduler.out, []
         return out
 
-    def route(self, note: events.Note) -> Tick | None:
+    def route(self, event: events.Event) -> Tick | None:
         """Hands a note to the parts concerned; tells whether tables may have to follow."""
-        match note:
+        match event:
             case events.HostList():
-                return self.on_list(note)
-            case events.TimerDue():
-                return self.on_timer(note.token)
-            case events.HostLearned() if note.host in self.fleet.index:
-                self.desk.put(self.hosts[self.fleet.index[note.host]], note)
+                return self.on_list(event)
+            case events.TimerExpired():
+                return self.on_timer(event.token)
+            case events.HostPriorKnowledge() if event.host in self.host_table.index_of:
+                self.scheduler.put(self.hosts[self.host_table.index_of[event.host]], event)
                 return Tick.CHANGED
-            case events.HostSums() | events.ProbeResult() if note.host in self.fleet.index:
-                self.desk.put(self.hosts[self.fleet.index[note.host]], note)
-                if isinstance(note, events.HostSums):
-                    self.desk.put(self.levels, note)
-            case events.ProxyTraffic():
-                self.desk.put(self.levels, note)
-            case events.ProxyJoined() | events.ProxyLeft() | events.Applied():
-                self.desk.put(self.publisher, note)
-        return Tick.CHANGED if isinstance(note, events.ProxyJoined) else None
+            case events.HostRequestStats() | events.HealthCheckResult() if (
+                event.host in self.host_table.index_of
+            ):
+                self.scheduler.put(self.hosts[self.host_table.index_of[event.host]], event)
+                if isinstance(event, events.HostRequestStats):
+                    self.scheduler.put(self.levels, event)
+            case events.ProxyRequestStats():
+                self.scheduler.put(self.levels, event)
+            case events.ProxyJoined() | events.ProxyLeft() | events.Acknowledged():
+                self.scheduler.put(self.publisher, event)
+        return Tick.CHANGED if isinstance(event, events.ProxyJoined) else None
 
     def on_list(self, listed: events.HostList) -> Tick | None:
         if listed.kind is ListKind.FAILED:
-            self.desk.out.append(commands.SetTimer(ASK_AGAIN_US, self.ASK))
+            self.scheduler.out.append(commands.SetTimer(ASK_AGAIN_US, self.ASK))
             return None
-        fleet = self.fleet
+        host_table = self.host_table
         entries = {entry.host: entry for entry in listed.entries}
         if listed.kind is not ListKind.CHANGES:
-            for host, i in fleet.index.items():
+            for host, i in host_table.index_of.items():
                 gone = events.HostEntry(
-                    host, HostState.GONE, fleet.zone[i], fleet.kind[i], 0, 0.0, 0
+                    host, HostState.GONE, host_table.zone[i], host_table.machine_type[i], 0, 0.0, 0
                 )
                 entries.setdefault(host, gone)
         for host, entry in entries.items():
-            if host not in fleet.index:
-                place = fleet.add(entry)
-                self.hosts[place : place + 1] = [Host(self.desk, fleet, place)]
-            if self.lets_back and (entry.state is not HostState.READY or entry.started_us):
-                fleet.once.add(fleet.index[host])
-            for part in (self.hosts[fleet.index[host]], self.publisher):
-                self.desk.put(part, entry)
-        self.desk.run()
-        fleet.look()
+            if host not in host_table.index_of:
+                index = host_table.add(entry)
+                self.hosts[index : index + 1] = [Host(self.scheduler, host_table, index)]
+            if self.bind_reinstates_hosts and (
+                entry.state is not HostState.READY or entry.started_us
+            ):
+                host_table.possibly_withdrawn.add(host_table.index_of[host])
+            for part in (self.hosts[host_table.index_of[host]], self.publisher):
+                self.scheduler.put(part, entry)
+        self.scheduler.run()
+        host_table.refresh()
         for part in self.hosts:
-            self.desk.put(part, Tick.CHANGED)
+            self.scheduler.put(part, Tick.CHANGED)
         return Tick.CHANGED
 
-    def learned(self) -> list[events.HostLearned]:
+    def learned(self) -> list[events.HostPriorKnowledge]:
         """What this steward has found out by itself of the hosts listed ready; not what it was told."""
-        fleet, out = self.fleet, list[events.HostLearned]()
-        for host, i in fleet.index.items():
-            if fleet.state[i] is HostState.READY and self.hosts[i].found_out:
-                tries, age_us = fleet.tries[i], self.desk.now - fleet.heard_us[i]
-                mean_us = fleet.time_us[i] / tries if tries else 0.0
+        host_table, out = self.host_table, list[events.HostPriorKnowledge]()
+        for host, i in host_table.index_of.items():
+            if host_table.state[i] is HostState.READY and self.hosts[i].found_out:
+                attempts, age_us = (
+                    host_table.attempts[i],
+                    self.scheduler.now - host_table.heard_at_us[i],
+                )
+                mean_latency_us = host_table.latency_sum_us[i] / attempts if attempts else 0.0
                 out.append(
-                    events.HostLearned(
+                    events.HostPriorKnowledge(
                         host,
-                        fleet.weight[i],
-                        tries,
-                        fleet.voided[i],
-                        mean_us,
-                        fleet.shut[i],
-                        self.hosts[i].needed,
+                        host_table.weight[i],
+                        attempts,
+                        host_table.failed[i],
+                        mean_latency_us,
+                        host_table.ejected[i],
+                        self.hosts[i].required_checks,
                         age_us,
                         age_us,
                     )
@@ -108,23 +121,27 @@
 
     def forget(self, hosts: list[int]) -> None:
         for host in hosts:
-            place = self.fleet.remove(host)
-            for places in (self.publisher.withdrawn, self.publisher.due, self.fleet.once):
-                places.discard(place)
-            self.publisher.knows.pop(place, None)
-            self.desk.out.append(commands.Forget(host))
+            index = self.host_table.remove(host)
+            for places in (
+                self.publisher.withdrawn,
+                self.publisher.due,
+                self.host_table.possibly_withdrawn,
+            ):
+                places.discard(index)
+            self.publisher.notified.pop(index, None)
+            self.scheduler.out.append(commands.ForgetHost(host))
 
     def on_timer(self, token: int) -> Tick | None:
         if token == self.ASK:
-            self.desk.out.append(self.ask)
+            self.scheduler.out.append(self.ask)
         elif token == self.PULSE:
-            self.desk.out.append(commands.SetTimer(Publisher.PULSE_US, self.PULSE))
+            self.scheduler.out.append(commands.SetTimer(Publisher.PULSE_US, self.PULSE))
             return Tick.CHANGED
         elif token == self.TURN:
-            self.desk.out.append(commands.SetTimer(self.balancer.pause_us(), self.TURN))
-            self.fleet.look()
+            self.scheduler.out.append(commands.SetTimer(self.balancer.pause_us(), self.TURN))
+            self.host_table.refresh()
             for part in (*self.hosts, self.balancer, self.levels):
-                self.desk.put(part, Tick.TURN)
+                self.scheduler.put(part, Tick.TURN)
             self.forget(self.publisher.long_gone())
             return Tick.TURN
         return None
--- a/plankroute/controller/messages.py
+++ b/plankroute/controller/messages.py
@@ -11,11 +11,11 @@
 from plankroute.events.commands import ALL_TABLES
 from plankroute.events.events import HostState
 
-Level = tuple[float, commands.Retry]
+Level = tuple[float, commands.RetryPolicy]
 
 
 @dataclass(slots=True)
-class Part:
+class TableUpdate:
     """Lines and a level for some products; `whole`: the lines replace the table and its levels."""
 
     products: tuple[int, ...]
@@ -29,14 +29,14 @@
     """What one proxy is sent in one batch; `held`: by host, whether it is held back from now on."""
 
     proxy: int
-    parts: list[Part]
-    held: dict[int, bool]
+    parts: list[TableUpdate]
+    withdrawn: dict[int, bool]
     mark: int | None
 
     def cost(self) -> int:
         """Lines that the channel counts for it, its head left out."""
         parts = sum(part.whole + len(part.lines) + (part.level is not None) for part in self.parts)
-        return parts + len(self.held) + (self.mark is not None)
+        return parts + len(self.withdrawn) + (self.mark is not None)
 
 
 @dataclass(slots=True)
@@ -67,7 +67,7 @@
         if not weight and product in self.whole:
             del lines[host]
 
-    def parts(self) -> list[Part]:
+    def parts(self) -> list[TableUpdate]:
         """Products with the same lines share a part; levels that differ within it have parts of their own."""
         shared: dict[tuple, list[int]] = {}
         for product in sorted(self.whole | self.lines.keys()):
@@ -78,11 +78,13 @@
             levels = {self.levels.get(product) for product in products}
             level = levels.pop() if len(levels) == 1 else None
             said.update(products if level else ())
-            parts.append(Part(tuple(products), whole, dict(lines), level))
+            parts.append(TableUpdate(tuple(products), whole, dict(lines), level))
         alone: dict[Level, list[int]] = {}
         for product in sorted(self.levels.keys() - said):
             alone.setdefault(self.levels[product], []).append(product)
-        return parts + [Part(tuple(products), level=level) for level, products in alone.items()]
+        return parts + [
+            TableUpdate(tuple(products), level=level) for level, products in alone.items()
+        ]
 
 
 Tables = tuple[int | None, ...]  # by product; None: on a table that is not known
@@ -101,7 +103,7 @@
     told: dict[int, bool] = field(default_factory=dict)
 
 
-class Player:
+class MessageBuilder:
     """Tables, levels and hosts held back as ordered, and what each joined proxy has of them.
 
     Proxies on the same tables share one draft, so that a line ordered for hundreds is played, and written,
@@ -118,21 +120,21 @@
         # Of the batch: drafts by tables and by proxy, hosts held back by proxy, who is written to, in order
         self.shared: dict[Tables, Draft] = {}
         self.own: dict[int, Draft] = {}
-        self.held: dict[int, dict[int, bool]] = {}
+        self.withdrawn: dict[int, dict[int, bool]] = {}
         self.concerned: dict[int, None] = {}
 
-    def hear(self, note: events.Note) -> None:
-        match note:
+    def hear(self, event: events.Event) -> None:
+        match event:
             case events.ProxyJoined():
-                self.leave(note.proxy)
-                self.streams[note.proxy] = Stream(note.fresh, (None,) * len(self.products))
-                self.group(note.proxy)
+                self.leave(event.proxy)
+                self.streams[event.proxy] = Stream(event.fresh, (None,) * len(self.products))
+                self.group(event.proxy)
             case events.ProxyLeft():
-                self.leave(note.proxy)
+                self.leave(event.proxy)
             case events.HostList():
                 self.once_held.update(
                     entry.host
-                    for entry in note.entries
+                    for entry in event.entries
                     if entry.state is not HostState.READY or entry.started_us
                 )
 
@@ -155,29 +157,29 @@
         for stream in self.streams.values():
             stream.fresh = not stream.told.pop(host, False) and stream.fresh
 
-    def play(self, batch: Iterable[commands.Order]) -> list[Message]:
-        self.shared, self.own, self.held, self.concerned, mark = {}, {}, {}, {}, None
-        for order in batch:
-            match order:
-                case commands.SetLine():
-                    self.set_line(order)
-                case commands.Bind():
-                    self.bind(order)
-                case commands.Withdraw():
-                    self.withdraw(order)
-                case commands.SetLevel():
-                    self.set_level(order)
+    def play(self, batch: Iterable[commands.Command]) -> list[Message]:
+        self.shared, self.own, self.withdrawn, self.concerned, mark = {}, {}, {}, {}, None
+        for command in batch:
+            match command:
+                case commands.SetRoute():
+                    self.set_line(command)
+                case commands.BindProxy():
+                    self.bind(command)
+                case commands.WithdrawHost():
+                    self.withdraw(command)
+                case commands.SetAdmissionLimit():
+                    self.set_level(command)
                 case commands.ClearTable():
-                    self.clear(order.table)
-                case commands.Mark():
-                    mark = order
-        if mark and mark.everyone:
+                    self.clear(command.table)
+                case commands.RequestAcknowledgement():
+                    mark = command
+        if mark and mark.all_proxies:
             self.concerned |= dict.fromkeys(self.streams)
-        return self.messages(mark.serial if mark else None)
+        return self.messages(mark.sequence_number if mark else None)
 
     def messages(self, mark: int | None) -> list[Message]:
         """Proxies with the same parts hold the very same list of them: it is written once."""
-        parts: dict[Tables, list[Part]] = {}
+        parts: dict[Tables, list[TableUpdate]] = {}
         out = []
         for proxy in self.concerned:
             tables = self.streams[proxy].tables
@@ -187,7 +189,7 @@
                 said = parts[tables] = self.with_common(
                     tables, self.shared.get(tables, Draft())
                 ).parts()
-            out.append(Message(proxy, said, self.held.get(proxy, {}), mark))
+            out.append(Message(proxy, said, self.withdrawn.get(proxy, {}), mark))
         return out
 
     def with_common(self, tables: Tables, draft: Draft) -> Draft:
@@ -212,36 +214,36 @@
     def products_on(self, table: int, tables: Tables) -> list[int]:
         return [product for product, number in enumerate(tables) if number == table]
 
-    def set_line(self, order: commands.SetLine) -> None:
-        lines = self.tables.setdefault(order.table, {})
-        lines[order.host] = order.weight
-        if not order.weight:
-            del lines[order.host]
-        for draft, products in self.drafts(order.table):
+    def set_line(self, command: commands.SetRoute) -> None:
+        lines = self.tables.setdefault(command.table, {})
+        lines[command.host] = command.weight
+        if not command.weight:
+            del lines[command.host]
+        for draft, products in self.drafts(command.table):
             for product in products:
-                draft.set_line(product, order.host, order.weight)
-        for tables, proxies in self.groups.items() if order.weight else ():
-            if order.table in tables:
+                draft.set_line(product, command.host, command.weight)
+        for tables, proxies in self.groups.items() if command.weight else ():
+            if command.table in tables:
                 for proxy in proxies:
-                    self.agree(proxy, order.host)
+                    self.agree(proxy, command.host)
 
-    def bind(self, order: commands.Bind) -> None:
+    def bind(self, command: commands.BindProxy) -> None:
         """From here on in this batch its message is its own; what its group was ordered before is in it."""
-        stream, lines = self.streams.get(order.proxy), self.tables.get(order.table, {})
+        stream, lines = self.streams.get(command.proxy), self.tables.get(command.table, {})
         if stream is None:
             return
         before, tables = stream.tables, list(stream.tables)
-        if (draft := self.own.get(order.proxy)) is None:
-            draft = self.own[order.proxy] = self.shared.get(before, Draft()).copy()
-        self.concerned[order.proxy] = None
-        for product in self.products if order.products is None else order.products:
-            tables[product] = order.table
-            draft.replace(product, lines, self.level(order.table, product))
-        self.ungroup(order.proxy, before)
+        if (draft := self.own.get(command.proxy)) is None:
+            draft = self.own[command.proxy] = self.shared.get(before, Draft()).copy()
+        self.concerned[command.proxy] = None
+        for product in self.products if command.products is None else command.products:
+            tables[product] = command.table
+            draft.replace(product, lines, self.level(command.table, product))
+        self.ungroup(command.proxy, before)
         stream.tables = tuple(tables)
-        self.group(order.proxy)
+        self.group(command.proxy)
         for host in lines:
-            self.agree(order.proxy, host)
+            self.agree(command.proxy, host)
 
     def agree(self, proxy: int, host: int) -> None:
         """A bound proxy follows this steward's word alone on the hosts of its tables."""
@@ -252,29 +254,31 @@
 
     def tell(self, proxy: int, host: int, out: bool) -> None:
         self.streams[proxy].told[host] = out
-        self.held.setdefault(proxy, {})[host] = out
+        self.withdrawn.setdefault(proxy, {})[host] = out
         self.concerned[proxy] = None
 
-    def withdraw(self, order: commands.Withdraw) -> None:
-        self.once_held.add(order.host)
-        (self.held_back.add if order.out else self.held_back.discard)(order.host)
+    def withdraw(self, command: commands.WithdrawHost) -> None:
+        self.once_held.add(command.host)
+        (self.held_back.add if command.withdrawn else self.held_back.discard)(command.host)
         for tables, proxies in self.groups.items():
             # Those on tables not known may send there too.
-            if None in tables or any(order.host in self.tables.get(table, {}) for table in tables):
+            if None in tables or any(
+                command.host in self.tables.get(table, {}) for table in tables
+            ):
                 for proxy in proxies:
-                    if self.streams[proxy].told.get(order.host) is not order.out:
-                        self.tell(proxy, order.host, order.out)
+                    if self.streams[proxy].told.get(command.host) is not command.withdrawn:
+                        self.tell(proxy, command.host, command.withdrawn)
 
-    def set_level(self, order: commands.SetLevel) -> None:
-        products = self.products if order.products is None else order.products
+    def set_level(self, command: commands.SetAdmissionLimit) -> None:
+        products = self.products if command.products is None else command.products
         for product in products:
-            self.levels[order.table, product] = order.level, order.retry
-        if order.table is ALL_TABLES:
+            self.levels[command.table, product] = command.limit, command.retry
+        if command.table is ALL_TABLES:
             self.concerned |= dict.fromkeys(self.streams)
             return
-        for draft, held in self.drafts(order.table):
-            for product in set(held).intersection(products):
-                if level := self.level(order.table, product):
+        for draft, withdrawn in self.drafts(command.table):
+            for product in set(withdrawn).intersection(products):
+                if level := self.level(command.table, product):
                     draft.levels[product] = level
 
     def level(self, table: int | None, product: int) -> Level | None:
--- a/plankroute/controller/registry.py
+++ b/plankroute/controller/registry.py
@@ -11,135 +11,142 @@
 
 
 @dataclass(eq=False, slots=True)
-class Pushed:
+class PublishedTable:
     """Slots of the hosts that some products may use; None: no limit, or for every proxy."""
 
     number: int
     zones: tuple[int, ...] | None
-    kinds: tuple[int, ...] | None
+    machine_types: tuple[int, ...] | None
     proxy_zone: int | None
     products: list[int] = field(default_factory=list)
-    pushed: dict[int, int] = field(default_factory=dict)
+    published: dict[int, int] = field(default_factory=dict)
 
-    def admits(self, figures: HostStatistics, place: int) -> bool:
-        return (self.zones is None or figures.zone[place] in self.zones) and (
-            self.kinds is None or figures.kind[place] in self.kinds
+    def admits(self, figures: HostStatistics, index: int) -> bool:
+        return (self.zones is None or figures.zone[index] in self.zones) and (
+            self.machine_types is None or figures.machine_type[index] in self.machine_types
         )
 
-    def held_in(self, proxy_zone: int) -> bool:
+    def serves_zone(self, proxy_zone: int) -> bool:
         return self.proxy_zone in (None, proxy_zone)
 
     def lines(self, held: set[int]) -> int:
         """Of a bind to it: the hosts held back, or let back, are lines of their own."""
-        return 1 + len(self.pushed) + 2 * len(self.products) + len(self.pushed.keys() & held)
+        return 1 + len(self.published) + 2 * len(self.products) + len(self.published.keys() & held)
 
-    def set(self, place: int, count: int) -> None:
-        self.pushed[place] = count
+    def set(self, index: int, count: int) -> None:
+        self.published[index] = count
         if not count:
-            del self.pushed[place]
+            del self.published[index]
 
 
 class Change(NamedTuple):
     """A slot that differs from the one pushed."""
 
-    worth: float  # the part of a proxy's txns that it moves
+    gain: float  # the part of a proxy's txns that it moves
     urgent: bool
-    table: Pushed
-    place: int
+    table: PublishedTable
+    index: int
     count: int
 
 
 class ProxyRegistry(Actor):
     """Joined proxies, those on the tables and those that wait to be bound, the tables, and the channel."""
 
-    def __init__(self, desk: Scheduler, tables: list[Any], channel: Channel) -> None:
-        super().__init__(desk)
+    def __init__(self, scheduler: Scheduler, tables: list[Any], channel: Channel) -> None:
+        super().__init__(scheduler)
         self.tables, self.channel = tables, channel
-        self.zone_of, self.bound = (
+        self.zone_of_proxy, self.bound = (
             dict[int, int](),
             set[int](),
         )  # joined proxies; those on the tables
         self.unbound: dict[int, tuple[bool, float]] = {}  # the others: on old tables? rate
-        self.olds = set[
+        self.returning = set[
             int
         ]()  # those that came on old tables, and may hold back what others held against it
-        self.knows: dict[
+        self.notified: dict[
             int, set[int]
         ] = {}  # by host that is gone, who was told so on the present stream
-        self.broken: dict[int, int] = {}  # by proxy, when its stream ended, of late
+        self.disconnected_at: dict[int, int] = {}  # by proxy, when its stream ended, of late
 
-    def join(self, note: events.ProxyJoined) -> None:
-        self.zone_of[note.proxy] = note.zone
-        self.unbound[note.proxy] = (not note.fresh, -note.usual_rate)
-        if not note.fresh:
-            self.olds.add(note.proxy)
+    def join(self, event: events.ProxyJoined) -> None:
+        self.zone_of_proxy[event.proxy] = event.zone
+        self.unbound[event.proxy] = (not event.fresh, -event.usual_rate)
+        if not event.fresh:
+            self.returning.add(event.proxy)
 
     def leave(self, proxy: int) -> None:
         self.bound.discard(proxy)
-        self.olds.discard(proxy)
-        for told in self.knows.values():
+        self.returning.discard(proxy)
+        for told in self.notified.values():
             told.discard(proxy)
-        self.zone_of.pop(proxy, None)
+        self.zone_of_proxy.pop(proxy, None)
         self.unbound.pop(proxy, None)
         self.channel.left(proxy)
 
-    def fresh_zones(self) -> set[int]:
+    def unbound_zones(self) -> set[int]:
         """Of those who wait on the tables that they began with."""
-        return {self.zone_of[proxy] for proxy, (is_old, _) in self.unbound.items() if not is_old}
+        return {
+            self.zone_of_proxy[proxy] for proxy, (is_old, _) in self.unbound.items() if not is_old
+        }
 
-    def broken_since(self, proxy: int, now: int, span_us: int) -> int:
+    def count_disconnects(self, proxy: int, now: int, span_us: int) -> int:
         """One more ended: of how many proxies within the span. One that joins without end counts once."""
-        self.broken = {other: at for other, at in self.broken.items() if at > now - span_us} | {
-            proxy: now
-        }
-        return len(self.broken)
+        self.disconnected_at = {
+            other: at for other, at in self.disconnected_at.items() if at > now - span_us
+        } | {proxy: now}
+        return len(self.disconnected_at)
 
-    def users(self, table: Pushed) -> list[int]:
-        return [proxy for proxy in self.bound if table.held_in(self.zone_of[proxy])]
+    def users(self, table: PublishedTable) -> list[int]:
+        return [proxy for proxy in self.bound if table.serves_zone(self.zone_of_proxy[proxy])]
 
-    def payers(self, table: Pushed, place: int, once: set[int]) -> list[int]:
+    def recipients(
+        self, table: PublishedTable, index: int, possibly_withdrawn: set[int]
+    ) -> list[int]:
         """The table's users, a line each for the host's next; twice to whom it is let back with its first."""
-        users, is_first = self.users(table), place in once and place not in table.pushed
-        return users + [proxy for proxy in users if is_first and proxy in self.olds]
+        users, is_first = (
+            self.users(table),
+            index in possibly_withdrawn and index not in table.published,
+        )
+        return users + [proxy for proxy in users if is_first and proxy in self.returning]
 
-    def order(self, order: commands.Order, proxies: Iterable[int], lines: int = 1) -> None:
+    def command(self, command: commands.Command, proxies: Iterable[int], lines: int = 1) -> None:
         """Gives the order out; each of the proxies is written so many lines for it."""
-        self.desk.out.append(order)
+        self.scheduler.out.append(command)
         self.channel.charge(proxies, lines)
 
     def close(self) -> None:
         """Marks what this batch wrote: the answers tell when it has left the channel."""
         if mark := self.channel.close():
-            self.desk.out.append(commands.Mark(mark))
+            self.scheduler.out.append(commands.RequestAcknowledgement(mark))
 
-    def naming(self, host: int) -> list[Any]:
-        return [table for table in self.tables if host in table.pushed]
+    def tables_with(self, host: int) -> list[Any]:
+        return [table for table in self.tables if host in table.published]
 
-    def gone_lines(self, host: int) -> int:
+    def withdrawal_lines(self, host: int) -> int:
         """Lines that tell who is on a table that names the host, or may be on one."""
-        if len(tables := self.naming(host)) > 1:
-            return len(self.zone_of)
-        untold = self.unbound.keys() - self.knows.get(host, set())
+        if len(tables := self.tables_with(host)) > 1:
+            return len(self.zone_of_proxy)
+        untold = self.unbound.keys() - self.notified.get(host, set())
         return len(untold) + sum(len(self.users(table)) for table in tables)
 
     def tell(self, host: int, proxies: Iterable[int]) -> list[int]:
         """Of the proxies, those that were not told on their present streams; they are from here on."""
-        knows = self.knows.setdefault(host, set())
-        new = [proxy for proxy in proxies if proxy not in knows]
-        knows.update(new)
+        notified = self.notified.setdefault(host, set())
+        new = [proxy for proxy in proxies if proxy not in notified]
+        notified.update(new)
         return new
 
 
-def even_cap(rates: list[float], total: float) -> float | None:
+def even_rate_cap(rates: list[float], total: float) -> float | None:
     """The cap at which rates, each cut down to it, add up to the total; None where they do without."""
-    for place, rate in enumerate(sorted(rates)):
-        if (even := total / (len(rates) - place)) <= rate:
+    for index, rate in enumerate(sorted(rates)):
+        if (even := total / (len(rates) - index)) <= rate:
             return even
         total -= rate
     return None
 
 
-def in_whole(exact: dict[int, float]) -> dict[int, int]:
+def round_preserving_sum(exact: dict[int, float]) -> dict[int, int]:
     """Floors, and the ones that are then missing to the largest remainders."""
     counts = {i: int(value) for i, value in exact.items()}
     missing = round(sum(exact.values())) - sum(counts.values())
--- a/plankroute/controller/scheduler.py
+++ b/plankroute/controller/scheduler.py
@@ -4,7 +4,7 @@
 from enum import Enum
 from typing import Any
 
-from plankroute.events.commands import Order
+from plankroute.events.commands import Command
 from plankroute.seeded_random import SeededRandom
 
 
@@ -17,11 +17,11 @@
 class Actor:
     """A part of the controller with an inbox; the scheduler hands it one event at a time."""
 
-    def __init__(self, desk: "Scheduler") -> None:
-        self.desk = desk
+    def __init__(self, scheduler: "Scheduler") -> None:
+        self.scheduler = scheduler
         self.inbox: deque[Any] = deque()
 
-    def handle(self, note: Any) -> None:
+    def handle(self, event: Any) -> None:
         raise NotImplementedError
 
 
@@ -29,12 +29,12 @@
     """What the actors of one controller share: clock, loop, random numbers, and the orders that go out."""
 
     def __init__(self, seed: int) -> None:
-        self.now, self.chance = 0, SeededRandom(seed).draw
+        self.now, self.random = 0, SeededRandom(seed).draw
         self.ready: deque[Actor] = deque()
-        self.out: list[Order] = []
+        self.out: list[Command] = []
 
-    def put(self, actor: Actor, note: Any) -> None:
-        actor.inbox.append(note)
+    def put(self, actor: Actor, event: Any) -> None:
+        actor.inbox.append(event)
         self.ready.append(actor)
 
     def run(self) -> None:
--- a/plankroute/events/commands.py
+++ b/plankroute/events/commands.py
@@ -7,17 +7,17 @@
 ALL_PEERS = None
 
 
-class Retry(IntEnum):
+class RetryPolicy(IntEnum):
     """When a proxy tries another host."""
 
     NEVER = 0
-    UNRUN = 1  # once, after proof that the first try never ran
+    IF_NOT_EXECUTED = 1  # once, after proof that the first try never ran
     ONCE = 2  # once after any failure
     TWICE = 3  # twice after any failure
 
 
 @dataclass(frozen=True, slots=True)
-class SetLine:
+class SetRoute:
     """weight 0 removes the line."""
 
     table: int
@@ -31,15 +31,15 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Withdraw:
+class WithdrawHost:
     """out: joined proxies do not send to the host; otherwise they may again."""
 
     host: int
-    out: bool
+    withdrawn: bool
 
 
 @dataclass(frozen=True, slots=True)
-class Bind:
+class BindProxy:
     """products None: all of them."""
 
     table: int
@@ -48,30 +48,30 @@
 
 
 @dataclass(frozen=True, slots=True)
-class SetLevel:
+class SetAdmissionLimit:
     """table None: all tables; products None: all of them."""
 
     table: int | None
     products: tuple[int, ...] | None
-    level: float
-    retry: Retry
+    limit: float
+    retry: RetryPolicy
 
 
 @dataclass(frozen=True, slots=True)
-class Mark:
+class RequestAcknowledgement:
     """everyone: proxies that these orders would not reach get it too."""
 
-    serial: int
-    everyone: bool = False
+    sequence_number: int
+    all_proxies: bool = False
 
 
 @dataclass(frozen=True, slots=True)
-class Probe:
+class CheckHealth:
     host: int
 
 
 @dataclass(frozen=True, slots=True)
-class Tell:
+class SendToPeer:
     """peer None: every peer."""
 
     peer: int | None
@@ -85,39 +85,39 @@
 
 
 @dataclass(frozen=True, slots=True)
-class AskList:
+class PollHostList:
     pass
 
 
 @dataclass(frozen=True, slots=True)
-class Subscribe:
-    on: bool
+class SubscribeHostList:
+    enabled: bool
 
 
 @dataclass(frozen=True, slots=True)
-class Forget:
+class ForgetHost:
     """The core keeps nothing of this host any more; if it is listed again, it is a new one."""
 
     host: int
 
 
 @dataclass(frozen=True, slots=True)
-class Log:
+class LogMessage:
     text: str
 
 
-Order = (
-    SetLine
+Command = (
+    SetRoute
     | ClearTable
-    | Withdraw
-    | Bind
-    | SetLevel
-    | Mark
-    | Probe
-    | Tell
+    | WithdrawHost
+    | BindProxy
+    | SetAdmissionLimit
+    | RequestAcknowledgement
+    | CheckHealth
+    | SendToPeer
     | SetTimer
-    | AskList
-    | Subscribe
-    | Forget
-    | Log
+    | PollHostList
+    | SubscribeHostList
+    | ForgetHost
+    | LogMessage
 )
--- a/plankroute/events/events.py
+++ b/plankroute/events/events.py
@@ -17,25 +17,25 @@
     FAILED = "failed"
 
 
-class Outcome(Enum):
+class HealthCheckOutcome(Enum):
     """How a probe ended."""
 
     ANSWERED = "answered"
     ERROR = "error"
-    TURNED_AWAY = "turned away"
-    SILENT = "silent"
-    UNREACHED = "unreached"
+    REJECTED = "turned away"
+    TIMED_OUT = "silent"
+    UNREACHABLE = "unreached"
 
 
 @dataclass(frozen=True, slots=True)
 class LoadReport:
     """A host's own figures; None where the report does not hold one."""
 
-    inflight: float | None = None
-    queue: float | None = None
-    util: float | None = None
-    service_us: float | None = None
-    rate: float | None = None
+    in_flight: float | None = None
+    queue_length: float | None = None
+    utilization: float | None = None
+    service_time_us: float | None = None
+    request_rate: float | None = None
     error_rate: float | None = None
 
 
@@ -47,11 +47,11 @@
     host: int
     state: HostState
     zone: int
-    kind: int
+    machine_type: int
     cell: int
-    weight: float
+    listed_weight: float
     started_us: int
-    mark: int = 0
+    name_order: int = 0
 
 
 @dataclass(frozen=True, slots=True)
@@ -76,40 +76,40 @@
 
 
 @dataclass(frozen=True, slots=True)
-class HostSums:
+class HostRequestStats:
     """What the joined proxies of a zone met at a host over span_us."""
 
     host: int
     zone: int
-    tries: int
-    voided: int
-    mean_us: float
+    attempts: int
+    failed: int
+    mean_latency_us: float
     span_us: int
     report: LoadReport | None
 
 
 @dataclass(frozen=True, slots=True)
-class ProxyTraffic:
+class ProxyRequestStats:
     """Txns of a product that came to a proxy; voided: let in and not answered."""
 
     proxy: int
     product: int
     arrived: int
-    voided: int
+    failed: int
     span_us: int
 
 
 @dataclass(frozen=True, slots=True)
-class SliceTraffic:
+class SliceRequestStats:
     slice: int
     product: int
     arrived: int
-    voided: int
+    failed: int
     span_us: int
 
 
 @dataclass(frozen=True, slots=True)
-class SliceCharge:
+class SliceAssignment:
     """A slice comes into this steward's charge, or leaves it."""
 
     slice: int
@@ -117,7 +117,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class SliceLine:
+class SliceRoute:
     """A line that a slice just given already has in the store."""
 
     slice: int
@@ -126,19 +126,19 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Applied:
+class Acknowledged:
     proxy: int
-    serial: int
-    took_us: int
+    sequence_number: int
+    elapsed_us: int
 
 
 @dataclass(frozen=True, slots=True)
-class ProbeResult:
+class HealthCheckResult:
     """`age_us`: how long ago it was, where another steward's probe told it."""
 
     host: int
-    outcome: Outcome
-    took_us: int
+    outcome: HealthCheckOutcome
+    elapsed_us: int
     report: LoadReport | None
     age_us: int = 0
 
@@ -149,7 +149,7 @@
     data: bytes
 
 
-class StewardState(Enum):
+class ControllerState(Enum):
     ALIVE = "alive"
     SUSPECTED = "suspected"
     GONE = "gone"
@@ -157,15 +157,15 @@
 
 
 @dataclass(frozen=True, slots=True)
-class StewardSeen:
+class ControllerStatus:
     """What membership makes of another steward. It may be wrong: no rule may come to rest on it."""
 
     steward: int
-    state: StewardState
+    state: ControllerState
 
 
 @dataclass(frozen=True, slots=True)
-class HostLearned:
+class HostPriorKnowledge:
     """What an earlier life of this steward, or another one, knew of a host's present start. It may be wrong.
 
     `weight`: 1 is the mean of its fleet; `tries`, `voided`: fading sums as they stood then; `needed`: good
@@ -173,33 +173,33 @@
 
     host: int
     weight: float
-    tries: float
-    voided: float
-    mean_us: float
-    shut: bool
-    needed: int
+    attempts: float
+    failed: float
+    mean_latency_us: float
+    ejected: bool
+    required_checks: int
     health_age_us: int
-    powers_age_us: int
+    capacity_age_us: int
 
 
 @dataclass(frozen=True, slots=True)
-class TimerDue:
+class TimerExpired:
     token: int
 
 
-Note = (
+Event = (
     HostList
     | ProxyJoined
     | ProxyLeft
-    | HostSums
-    | ProxyTraffic
-    | SliceTraffic
-    | SliceCharge
-    | SliceLine
-    | Applied
-    | ProbeResult
+    | HostRequestStats
+    | ProxyRequestStats
+    | SliceRequestStats
+    | SliceAssignment
+    | SliceRoute
+    | Acknowledged
+    | HealthCheckResult
     | PeerMessage
-    | StewardSeen
-    | HostLearned
-    | TimerDue
+    | ControllerStatus
+    | HostPriorKnowledge
+    | TimerExpired
 )
--- a/plankroute/events/facts.py
+++ b/plankroute/events/facts.py
@@ -4,15 +4,15 @@
 from enum import Enum
 
 
-class Repeat(Enum):
+class Idempotency(Enum):
     """What happens when a txn of a product runs twice."""
 
-    INQUIRY = "inquiry-like"
-    REFERENCED = "referenced"
-    ONCE_ONLY = "once-only"
+    IDEMPOTENT = "inquiry-like"
+    DEDUPLICATED = "referenced"
+    NON_IDEMPOTENT = "once-only"
 
 
-class Scope(Enum):
+class DeduplicationScope(Enum):
     """The hosts that drop a repeat of a referenced txn."""
 
     ALL = "all"
@@ -20,7 +20,7 @@
     CELL = "cell"
 
 
-class LevelUnit(Enum):
+class AdmissionUnit(Enum):
     """How proxies read a level: not at all, as a share, or as a rate at each proxy."""
 
     NONE = "none"
@@ -28,83 +28,83 @@
     RATE = "rate"
 
 
-class ReportWay(Enum):
+class ReportSource(Enum):
     """Where load reports come from."""
 
     NONE = "none"
-    ANSWERS = "answers"
-    PROBES = "probes"
+    RESPONSES = "answers"
+    HEALTH_CHECKS = "probes"
 
 
 @dataclass(frozen=True, slots=True)
-class ProductFacts:
+class RequestClassFacts:
     """One product; `zones` and `kinds` are None where every host may serve it."""
 
-    sla_us: int
-    expiry_us: int
-    revenue: float
-    late_share: float
-    repeat: Repeat
-    scope: Scope
-    repeat_window_us: int
-    own_zone: bool = False
-    writes: bool = False
+    latency_objective_us: int
+    deadline_us: int
+    value: float
+    late_value_share: float
+    idempotency: Idempotency
+    deduplication_scope: DeduplicationScope
+    deduplication_window_us: int
+    stays_in_zone: bool = False
+    is_write: bool = False
     zones: tuple[int, ...] | None = None
-    kinds: tuple[int, ...] | None = None
+    machine_types: tuple[int, ...] | None = None
 
 
 @dataclass(frozen=True, slots=True)
-class Prices:
+class PenaltyRates:
     """Points taken off the service, each times its share or rate."""
 
-    crossing: float = 0.0
-    waste: float = 0.0
+    zone_crossing: float = 0.0
+    wasted_attempt: float = 0.0
     connection: float = 0.0
     handshake: float = 0.0
-    probe: float = 0.0
-    peer: float = 0.0
-    late: float = 0.0
-    order: float = 0.0
+    health_check: float = 0.0
+    peer_message: float = 0.0
+    late_failure: float = 0.0
+    command_line: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
 class StartFacts:
     """All that a steward knows before its first note."""
 
-    products: tuple[ProductFacts, ...]
+    request_classes: tuple[RequestClassFacts, ...]
     zones: int
     own_zone: int
-    steward: int
-    stewards: int
-    proxies: int
-    prices: Prices
+    controller_rank: int
+    controller_count: int
+    proxy_count: int
+    penalty_rates: PenaltyRates
     # the channel
-    lines_per_s: float
-    head_lines: int
-    queue_cap: int
-    messages_most: int
-    messages_window_us: int
-    lets_back: bool  # who binds a proxy back from elsewhere lets back, a line each, what it may yet hold back
-    way_us: int
-    way_most_us: int
+    channel_lines_per_s: float
+    message_overhead_lines: int
+    backlog_cap_lines: int
+    max_messages_per_window: int
+    message_window_us: int
+    bind_reinstates_hosts: bool  # who binds a proxy back from elsewhere lets back, a line each, what it may yet hold back
+    one_way_delay_us: int
+    max_one_way_delay_us: int
     # the rules' figures
-    bare_us: int
-    grace_us: int
-    cold_us: int
-    cold_share: float
-    fall_multiple: float
-    fall_window_us: int
-    only_draining_binds: bool
-    must_ask_us: int
+    max_unbound_us: int
+    drain_grace_us: int
+    warmup_us: int
+    initial_capacity_share: float
+    overload_multiple: float
+    overload_window_us: int
+    only_draining_is_binding: bool
+    list_poll_deadline_us: int
     # what may be done and what is told
-    level_unit: LevelUnit
-    usual_retry: int
-    retry_wait_share: float
-    may_probe: bool
-    may_tell: bool
-    reports: ReportWay
-    period_us: int
+    admission_unit: AdmissionUnit
+    default_retry: int
+    retry_wait_factor: float
+    health_checks_allowed: bool
+    peer_messages_allowed: bool
+    report_source: ReportSource
+    report_period_us: int
     must_subscribe: bool
     # sites whose keys fall into slices
     slices: int
-    exclusive: bool
+    slices_exclusive: bool
--- a/plankroute/membership/core.py
+++ b/plankroute/membership/core.py
@@ -39,7 +39,7 @@
 from plankroute.membership.records import Record, Standing
 from plankroute.membership.status import Verdicts
 from plankroute.seeded_random import SeededRandom
-from plankroute.token_bucket import Tokens
+from plankroute.token_bucket import TokenBucket
 
 BEAT_US = (
     100_000  # time-outs are counted in tenths of a second; ten wakes a second cost next to nothing
@@ -72,9 +72,9 @@
         self.verdicts = Verdicts(self.view, self.doubt, facts.patience_us)
         self.detector = Detector(facts.probe_us, facts.patience_us, self.chance)
         self.rumours = spreading.Rumours()
-        self.at_once = Tokens(spreading.RATE, spreading.BURST)
-        self.compared = Tokens(exchange.RATE, exchange.BURST)
-        self.served = Tokens(exchange.RATE, exchange.BURST)
+        self.at_once = TokenBucket(spreading.RATE, spreading.BURST)
+        self.compared = TokenBucket(exchange.RATE, exchange.BURST)
+        self.served = TokenBucket(exchange.RATE, exchange.BURST)
         self.errands: dict[
             int, tuple[str, int]
         ] = {}  # by own number: for whom, under which of theirs
--- a/plankroute/net/discovery/backoff_watch.py
+++ b/plankroute/net/discovery/backoff_watch.py
@@ -18,7 +18,7 @@
 )
 from plankroute.net.discovery.http_client import Call
 from plankroute.net.discovery.watch import Discovery
-from plankroute.net.process.clock import steady_us as now_us
+from plankroute.net.process.clock import monotonic_us as now_us
 
 LOOK_S = 0.5  # between looks at how old the list is
 
@@ -53,22 +53,24 @@
     async def call_once(self) -> Event:
         """One watch from the revision that is held, to its end. A list held is never asked for whole
         again."""
-        self.book.count("sent.calls")
+        self.telemetry.count("sent.calls")
         before, began_us, call = self.times_heard, now_us(), None
         try:
             call = await self.watch_from(self.revision or 0)
         except Exception as error:  # an error of ours must not leave the steward without a list
-            self.book.log.event("error", "discovery_failed", why=f"{type(error).__name__}: {error}")
+            self.telemetry.log.event(
+                "error", "discovery_failed", why=f"{type(error).__name__}: {error}"
+            )
         if self.times_heard > before:
             return Broke(now_us() - began_us)
-        self.book.count("refused.calls")
+        self.telemetry.count("refused.calls")
         return Refused(self.asked_to_wait(call))
 
     def asked_to_wait(self, call: Call | None) -> int | None:
         text = call.retry_after if call else None
         asked = retry_after_us(text, time.time())
         if text is not None:
-            self.book.count("dropped.retry_after" if asked is None else "taken.retry_after")
+            self.telemetry.count("dropped.retry_after" if asked is None else "taken.retry_after")
         return asked
 
     def hear(self) -> None:
@@ -80,7 +82,7 @@
         """Said to be old, and no longer so."""
         if self.is_old and now_us() - self.heard_us < self.list_old_us:
             self.is_old = False
-            self.book.log.event("info", "list_fresh", revision=self.revision)
+            self.telemetry.log.event("info", "list_fresh", revision=self.revision)
 
     async def look(self) -> None:
         """What came late may mean drains that were missed: said openly, and nothing more can be done."""
@@ -88,8 +90,8 @@
             await asyncio.sleep(LOOK_S)
             if not self.is_old and now_us() - self.heard_us > self.list_old_us:
                 self.is_old = True
-                self.book.count("list_old")
-                self.book.log.event(
+                self.telemetry.count("list_old")
+                self.telemetry.log.event(
                     "warning",
                     "list_old",
                     revision=self.revision,
--- a/plankroute/net/discovery/watch.py
+++ b/plankroute/net/discovery/watch.py
@@ -10,9 +10,9 @@
 from plankroute.net.discovery.catalogue import MEMBERS, ListSaid, list_from, read_list, watch_target
 from plankroute.net.discovery.directory import Directory
 from plankroute.net.discovery.http_client import FAILURES, Answer, Call, Limits, fetch
-from plankroute.net.process.clock import steady_us
+from plankroute.net.process.clock import monotonic_us
 from plankroute.net.process.errors import CallFailed, Reached, Refused
-from plankroute.net.process.telemetry import Book
+from plankroute.net.process.telemetry import Telemetry
 from plankroute.net.proxies.line_reader import LineCutter
 from plankroute.net.proxies.ring_buffer import Pool
 from plankroute.seeded_random import SeededRandom
@@ -38,13 +38,13 @@
         address: str,
         most_list: int,
         directory: Directory,
-        book: Book,
+        telemetry: Telemetry,
         seed: int,
         by_order: bool,
-        put: Callable[[events.Note], None],
+        put: Callable[[events.Event], None],
     ) -> None:
         self.allow(most_list)
-        self.address, self.directory, self.book, self.put = address, directory, book, put
+        self.address, self.directory, self.telemetry, self.put = address, directory, telemetry, put
         self.by_order, self.chance = by_order, SeededRandom(seed)
         self.revision: int | None = None  # None: the next call is to bring the whole list
         self.asking = set[asyncio.Task[None]]()
@@ -61,7 +61,7 @@
         """The list handed over at the start goes to the core first."""
         said = list_from(known)
         if isinstance(said, Refused):
-            self.book.refuse("discovery", f"known: {said.why}")
+            self.telemetry.refuse("discovery", f"known: {said.why}")
             self.put(events.HostList(ListKind.CACHED, ()))
         else:
             self.revision = said.revision
@@ -94,11 +94,11 @@
         self.asking.add(task)
         task.add_done_callback(self.asking.discard)
 
-    def obey(self, order: commands.AskList | commands.Subscribe) -> None:
+    def obey(self, order: commands.PollHostList | commands.SubscribeHostList) -> None:
         match order:
-            case commands.AskList():
+            case commands.PollHostList():
                 self.ask_anew()
-            case commands.Subscribe(on) if self.by_order:
+            case commands.SubscribeHostList(on) if self.by_order:
                 if on:
                     self.watch_anew()
                 elif self.watching:
@@ -109,8 +109,8 @@
             try:
                 await self.watch()
             except Exception as error:  # an error of ours must not leave the steward without a list
-                self.book.count("dropped.watches")
-                self.book.log.event(
+                self.telemetry.count("dropped.watches")
+                self.telemetry.log.event(
                     "error", "discovery_failed", why=f"{type(error).__name__}: {error}"
                 )
             await asyncio.sleep(AGAIN_S * (0.5 + self.chance.draw()))
@@ -128,8 +128,8 @@
         answer = await fetch(self.address, MEMBERS, self.limits)
         if isinstance(answer, Answer) and answer.status == 200 and self.take(answer.body):
             return True
-        self.book.count("dropped.lists")
-        self.book.log.event("warning", "list_failed", why=str(answer)[:MOST_TEXT])
+        self.telemetry.count("dropped.lists")
+        self.telemetry.log.event("warning", "list_failed", why=str(answer)[:MOST_TEXT])
         return False
 
     async def watch(self) -> None:
@@ -149,8 +149,8 @@
             why = call.failed(error)
         finally:
             call.close()
-        self.book.count("dropped.watches")
-        self.book.log.event("warning", "watch_ended", reached=why.reached.value, why=why.why)
+        self.telemetry.count("dropped.watches")
+        self.telemetry.log.event("warning", "watch_ended", reached=why.reached.value, why=why.why)
         return call
 
     async def follow(self, call: Call, pieces: AsyncIterator[bytes]) -> CallFailed | None:
@@ -168,17 +168,17 @@
 
     def hear(self) -> None:
         """A whole line came, an empty one too: nothing may have changed for hours."""
-        self.has_word, self.heard_us = True, steady_us()
+        self.has_word, self.heard_us = True, monotonic_us()
 
     def age_us(self) -> int:
         """How old discovery's word is here."""
-        return steady_us() - self.heard_us if self.has_word else NO_WORD_US
+        return monotonic_us() - self.heard_us if self.has_word else NO_WORD_US
 
     def take(self, text: bytes) -> bool:
         """A list goes to the core; False where it can't be used, and the old one stays."""
         said = read_list(text)
         if isinstance(said, Refused):
-            self.book.refuse("discovery", said.why)
+            self.telemetry.refuse("discovery", said.why)
             return False
         if not said.whole and said.revision < (self.revision or 0):
             self.revision = None  # the list began anew: changes alone would not tell what is gone
@@ -192,9 +192,9 @@
         if self.over:
             listed = self.over(said.revision, said.whole, listed)
         if refused:
-            self.book.refuse("discovery", "entries that can't be taken", entries=refused)
-        self.book.count("taken.lists")
-        self.book.log.event(
+            self.telemetry.refuse("discovery", "entries that can't be taken", entries=refused)
+        self.telemetry.count("taken.lists")
+        self.telemetry.log.event(
             "info",
             "list",
             revision=said.revision,
--- a/plankroute/net/peers/drain_notices.py
+++ b/plankroute/net/peers/drain_notices.py
@@ -5,24 +5,24 @@
 from collections.abc import Callable, Iterable
 from dataclasses import replace
 
-from plankroute.cold_start.drain_notices import EarlyDrains
+from plankroute.cold_start.drain_notices import DrainNotices
 from plankroute.events import events
 from plankroute.events.events import HostState, ListKind
 from plankroute.net.discovery.directory import Directory
-from plankroute.net.process.clock import steady_us as now_us
-from plankroute.net.process.telemetry import Book
+from plankroute.net.process.clock import monotonic_us as now_us
+from plankroute.net.process.telemetry import Telemetry
 
 MOST_LOGGED = 30  # hosts of one line
 
 
-class DrainsAhead:
+class DrainNoticeOverlay:
     """`over` stands between every list and the core."""
 
     def __init__(
-        self, directory: Directory, book: Book, put: Callable[[events.Note], None]
+        self, directory: Directory, telemetry: Telemetry, put: Callable[[events.Event], None]
     ) -> None:
-        self.directory, self.book, self.put = directory, book, put
-        self.core, self.revision = EarlyDrains(), -1
+        self.directory, self.telemetry, self.put = directory, telemetry, put
+        self.core, self.revision = DrainNotices(), -1
         self.listed: dict[
             str, events.HostEntry
         ] = {}  # as the list has those that were closed ahead of it
@@ -33,10 +33,10 @@
         new = self.core.hear(
             now_us(), name, revision, closed, self.revision, len(self.directory.hosts)
         )
-        self.book.counts["early.refused"] = self.core.refused
+        self.telemetry.counts["early.refused"] = self.core.refused
         if new:
-            self.book.count("early.drains", len(new))
-            self.book.log.event(
+            self.telemetry.count("early.drains", len(new))
+            self.telemetry.log.event(
                 "info", "drains_early", other=name, revision=revision, hosts=new[:MOST_LOGGED]
             )
             known = [
--- a/plankroute/net/peers/links.py
+++ b/plankroute/net/peers/links.py
@@ -29,7 +29,7 @@
     write_frame,
 )
 from plankroute.net.process.address import host_and_port
-from plankroute.net.process.telemetry import Book
+from plankroute.net.process.telemetry import Telemetry
 
 BEAT_S = 0.5  # between beats: four in the shortest time after which somebody is left
 HELLO_S, DIAL_S = 2.0, 1.0
@@ -60,7 +60,7 @@
 
     group: str
     name: str
-    book: Book
+    telemetry: Telemetry
     held: HeldList
 
     def age_us(self) -> int: ...
@@ -115,15 +115,15 @@
                 served.wake.set()
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        book, served = self.owner.book, None
+        telemetry, served = self.owner.telemetry, None
         self.taken += 1
         try:
             if self.taken > MOST_LINKS:
-                book.count("links.dropped.full")
+                telemetry.count("links.dropped.full")
                 return
             cutter = FrameCutter()
             if (hello := await self.hello(reader, cutter)) is None:
-                book.count("links.dropped.hello")
+                telemetry.count("links.dropped.hello")
                 return
             if not isinstance(hello, Hello):
                 await self.serve_views(hello, reader, writer, cutter)
@@ -134,14 +134,16 @@
             )
             served = Served(writer, hello)
             self.served[served] = None
-            book.count("links.served")
+            telemetry.count("links.served")
             reading = asyncio.create_task(self.read(reader, cutter, served))
             try:
                 await self.give(served, reading)
             finally:
                 reading.cancel()
         except (OSError, TimeoutError) as error:
-            book.count("links.dropped.stuck" if isinstance(error, TimeoutError) else "links.broke")
+            telemetry.count(
+                "links.dropped.stuck" if isinstance(error, TimeoutError) else "links.broke"
+            )
         except asyncio.CancelledError:
             pass  # the steward ends: nobody waits for this task
         finally:
@@ -228,8 +230,8 @@
         check, offset, revision = crc32(data), 0, held.revision
         if is_whole and served.partial and served.partial[:2] == (revision, check):
             offset = min(served.partial[2], len(data))
-            self.owner.book.count("links.resumed")
-        self.owner.book.count("links.lists" if is_whole else "links.changes")
+            self.owner.telemetry.count("links.resumed")
+        self.owner.telemetry.count("links.lists" if is_whole else "links.changes")
         served.partial = None
         await self.write(served, Begin(revision, is_whole, len(data), check, offset))
         for at in range(offset, len(data), PART_BYTES):
@@ -247,13 +249,13 @@
         if not items or (not served.hello.light and held.since(served.revision) is not None):
             return  # the changes themselves come next, and are as short
         for targets in in_pieces([orjson.dumps(item) for item in items], MOST_DRAINS):
-            self.owner.book.count("links.drains")
+            self.owner.telemetry.count("links.drains")
             await self.write(served, Drains(revision, targets))
 
     async def write(self, served: Served, frame: Frame) -> None:
         """Raises TimeoutError where the other end takes nothing any more."""
         data = write_frame(frame)
-        self.owner.book.count("links.sent_bytes", len(data))
+        self.owner.telemetry.count("links.sent_bytes", len(data))
         served.writer.write(data)
         async with asyncio.timeout(STUCK_S):
             await served.writer.drain()
--- a/plankroute/net/peers/membership.py
+++ b/plankroute/net/peers/membership.py
@@ -14,7 +14,7 @@
 
 import msgspec
 
-from plankroute.config.feature_file import MembershipPart
+from plankroute.config.feature_file import MembershipSection
 from plankroute.events import events
 from plankroute.membership.codec import Codec, Unread
 from plankroute.membership.core import Membership
@@ -36,9 +36,9 @@
     ViewAsked,
 )
 from plankroute.net.process.address import host_and_port
-from plankroute.net.process.clock import steady_us
-from plankroute.net.process.telemetry import Book
-from plankroute.token_bucket import Tokens
+from plankroute.net.process.clock import monotonic_us
+from plankroute.net.process.telemetry import Telemetry
+from plankroute.token_bucket import TokenBucket
 
 TAKEN_BYTES = 262144  # the kernel's buffer: two seconds' datagrams of a large group, for a pause
 UNSENT_BYTES = 65536  # waiting for the kernel: beyond, datagrams are dropped, a loss as any
@@ -53,16 +53,16 @@
     {Change.SUSPECTED, Change.GONE, Change.DOUBLED, Change.CALLED_GONE, Change.ALONE}
 )
 STATES = {
-    Change.JOINED: events.StewardState.ALIVE,
-    Change.BACK: events.StewardState.ALIVE,
-    Change.SUSPECTED: events.StewardState.SUSPECTED,
-    Change.GONE: events.StewardState.GONE,
-    Change.LEFT: events.StewardState.LEFT,
+    Change.JOINED: events.ControllerState.ALIVE,
+    Change.BACK: events.ControllerState.ALIVE,
+    Change.SUSPECTED: events.ControllerState.SUSPECTED,
+    Change.GONE: events.ControllerState.GONE,
+    Change.LEFT: events.ControllerState.LEFT,
 }
 
 
 @dataclass(frozen=True, slots=True)
-class Self:
+class LocalMember:
     """What membership needs to know of the steward it is part of."""
 
     name: str
@@ -70,7 +70,7 @@
     seed: int
 
 
-def member_facts(part: MembershipPart, own: Self) -> MemberFacts:
+def member_facts(part: MembershipSection, own: LocalMember) -> MemberFacts:
     return MemberFacts(
         own.name,
         part.advertise or part.listen,
@@ -83,11 +83,15 @@
     )
 
 
-class Members(asyncio.DatagramProtocol):
+class MembershipService(asyncio.DatagramProtocol):
     def __init__(
-        self, part: MembershipPart, own: Self, book: Book, put: Callable[[events.Note], None]
+        self,
+        part: MembershipSection,
+        own: LocalMember,
+        telemetry: Telemetry,
+        put: Callable[[events.Event], None],
     ) -> None:
-        self.part, self.book, self.put = part, book, put
+        self.part, self.telemetry, self.put = part, telemetry, put
         self.codec = Codec(part.group)
         self.core = Membership(
             member_facts(part, own),
@@ -96,7 +100,7 @@
             time.time_ns() // 1000,
             self.codec.size,
         )
-        self.worked = Tokens(WORKED_RATE, WORKED_BURST)
+        self.worked = TokenBucket(WORKED_RATE, WORKED_BURST)
         self.transport: asyncio.DatagramTransport | None = None
         self.wake: asyncio.TimerHandle | None = None
         self.wake_us = 0
@@ -114,9 +118,11 @@
                 await loop.create_datagram_endpoint(lambda: self, sock=bound(self.part.listen))
                 break
             except OSError as error:
-                self.book.say_once("members_address_held", address=self.part.listen, why=str(error))
+                self.telemetry.log_once(
+                    "members_address_held", address=self.part.listen, why=str(error)
+                )
                 await asyncio.sleep(OPEN_EVERY_S)
-        self.book.log.event(
+        self.telemetry.log.event(
             "info",
             "members_open",
             address=self.part.listen,
@@ -130,15 +136,15 @@
         self.transport = cast(asyncio.DatagramTransport, transport)
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
-        self.book.count("members.taken")
-        if not self.worked.take(steady_us()):
-            self.book.count("members.dropped.flood")
+        self.telemetry.count("members.taken")
+        if not self.worked.take(monotonic_us()):
+            self.telemetry.count("members.dropped.flood")
             return
         said = self.codec.read(data)
         if isinstance(said, Unread):
-            self.book.count(f"members.dropped.{said.value}")
+            self.telemetry.count(f"members.dropped.{said.value}")
         elif isinstance(said, ViewAsked) and not self.is_here(addr[0]):
-            self.book.count("members.dropped.asked")
+            self.telemetry.count("members.dropped.asked")
         else:
             self.work([Heard(f"{addr[0]}:{addr[1]}", said)])
 
@@ -149,15 +155,15 @@
 
     def error_received(self, exc: OSError) -> None:
         """Such as nobody listening at a loopback address: a loss like any other."""
-        self.book.count("members.unreached")
+        self.telemetry.count("members.unreached")
 
     def work(self, events: list[Event]) -> None:
-        now_us = steady_us()
+        now_us = monotonic_us()
         try:
             for action in self.core.deliver(now_us, events):
                 self.carry_out(action)
         except Exception as error:
-            self.book.failed("members", error)
+            self.telemetry.failed("members", error)
             self.rest(now_us + 1_000_000)  # it is woken all the same
 
     def carry_out(self, action: Action) -> None:
@@ -167,7 +173,7 @@
             case Told():
                 self.tell(action)
             case Counted(name, by):
-                self.book.count(f"members.{name}", by)
+                self.telemetry.count(f"members.{name}", by)
             case Rest(until_us):
                 self.rest(until_us)
             case Finished():
@@ -177,26 +183,26 @@
         if self.transport is None or self.transport.is_closing():
             return
         if len(data) > MOST_DATAGRAM or self.transport.get_write_buffer_size() > UNSENT_BYTES:
-            self.book.count("members.dropped.unsent")
+            self.telemetry.count("members.dropped.unsent")
             return
         try:
             self.transport.sendto(data, endpoint(address))
         except (ValueError, OSError):  # an address that a record names need not be one
-            self.book.count("members.unreached")
+            self.telemetry.count("members.unreached")
             return
-        self.book.count("members.sent")
-        self.book.count("members.sent_bytes", len(data))
+        self.telemetry.count("members.sent")
+        self.telemetry.count("members.sent_bytes", len(data))
 
     def tell(self, told: Told) -> None:
         """Log line, counter and gauge; then the core's note, on which no rule rests."""
         change, record, view = told.change, told.record, self.core.view
-        self.book.count(f"members.told.{change.value}")
-        self.book.counts["members.living"] = 1 + len(view.living_places)
+        self.telemetry.count(f"members.told.{change.value}")
+        self.telemetry.counts["members.living"] = 1 + len(view.living_places)
         name = f"members_{change.value}" if change in SELF else f"member_{change.value}"
         level = (
             "error" if change is Change.DISPLACED else "warning" if change in WARNINGS else "info"
         )
-        self.book.log.event(
+        self.telemetry.log.event(
             level,
             name,
             member=record.name,
@@ -208,7 +214,7 @@
             living=1 + len(view.living_places),
         )
         if (state := STATES.get(change)) is not None:
-            self.put(events.StewardSeen(mark_of(record.name), state))
+            self.put(events.ControllerStatus(mark_of(record.name), state))
 
     def rest(self, until_us: int) -> None:
         if self.wake and self.wake_us == until_us:
@@ -216,14 +222,14 @@
         if self.wake:
             self.wake.cancel()
         self.wake_us = until_us
-        delay_s = max(0, until_us - steady_us()) / 1e6
+        delay_s = max(0, until_us - monotonic_us()) / 1e6
         self.wake = asyncio.get_running_loop().call_later(delay_s, self.on_wake)
 
     def on_wake(self) -> None:
         self.wake = None
         self.work([BeatDue()])
 
-    def reload(self, part: MembershipPart) -> list[str]:
+    def reload(self, part: MembershipSection) -> list[str]:
         """A changed seed list is taken; the names of what else differs, which holds until a restart."""
         if part.seeds != self.part.seeds:
             self.work([SeedsChanged(part.seeds)])
@@ -245,7 +251,7 @@
                 async with asyncio.timeout(LEAVE_S):
                     await self.finished.wait()
             except TimeoutError:
-                self.book.count("members.leave_cut_short")
+                self.telemetry.count("members.leave_cut_short")
             self.transport.close()
         if self.wake:
             self.wake.cancel()
--- a/plankroute/net/peers/shared_discovery.py
+++ b/plankroute/net/peers/shared_discovery.py
@@ -42,11 +42,11 @@
 from plankroute.net.discovery.backoff_watch import CarefulDiscovery
 from plankroute.net.discovery.catalogue import STATES
 from plankroute.net.discovery.watch import Discovery
-from plankroute.net.peers.drain_notices import DrainsAhead
+from plankroute.net.peers.drain_notices import DrainNoticeOverlay
 from plankroute.net.peers.links import LinkClient, LinkServer
-from plankroute.net.peers.membership import Members
+from plankroute.net.peers.membership import MembershipService
 from plankroute.net.process.address import host_and_port
-from plankroute.net.process.clock import steady_us as now_us
+from plankroute.net.process.clock import monotonic_us as now_us
 
 PLACE_US = 200_000  # between first calls of watchers: the second finds the list on its way already
 OPEN_EVERY_S = 1.0  # between tries for an address that is held
@@ -67,7 +67,7 @@
 
     def prepare_links(
         self,
-        members: Members,
+        members: MembershipService,
         facts: FollowFacts,
         listen: str,
         port: int,
@@ -77,7 +77,7 @@
         self.members, self.roles, self.listen, self.port = members, Follow(facts), listen, port
         self.name, self.group, self.call_facts, self.seed = facts.name, facts.group, call, seed
         self.held, self.server = HeldList(), LinkServer(self)
-        self.ahead = DrainsAhead(self.directory, self.book, self.put)
+        self.ahead = DrainNoticeOverlay(self.directory, self.telemetry, self.put)
         self.over = self.ahead.over
         self.clients: dict[str, LinkClient] = {}
         self.incoming: dict[str, Incoming] = {}
@@ -112,9 +112,9 @@
                 await self.server.open(self.listen)
                 break
             except OSError as error:
-                self.book.say_once("links_address_held", address=self.listen, why=str(error))
+                self.telemetry.log_once("links_address_held", address=self.listen, why=str(error))
                 await asyncio.sleep(OPEN_EVERY_S)
-        self.book.log.event("info", "links_open", address=self.listen)
+        self.telemetry.log.event("info", "links_open", address=self.listen)
 
     async def watch_always(self) -> None:
         """The beats of who follows whom; calls to the service are a task of their own."""
@@ -134,7 +134,7 @@
             for action in self.roles.deliver(now_us(), events):
                 self.carry_out(action)
         except Exception as error:
-            self.book.failed("follow", error)
+            self.telemetry.failed("follow", error)
 
     def carry_out(self, action: Action) -> None:
         match action:
@@ -147,9 +147,9 @@
                     self.calling.cancel()
                 self.calling = asyncio.create_task(self.calls(place)) if on else None
             case Noted(what, name):
-                self.book.count(f"follow.{what}")
+                self.telemetry.count(f"follow.{what}")
                 level = "warning" if what in WARNINGS else "info"
-                self.book.log.event(
+                self.telemetry.log.event(
                     level, f"follow_{what}", other=name, revision=self.held.revision
                 )
                 if what == "left_ahead":
@@ -204,7 +204,7 @@
         if not isinstance(revision, int) or (
             revision < self.held.revision and name not in self.anew
         ):
-            self.book.count("links.dropped.lower")
+            self.telemetry.count("links.dropped.lower")
             return (
                 None if isinstance(revision, int) else "no list"
             )  # what it goes on to say may explain it
@@ -242,8 +242,8 @@
             case _:
                 objection = "not for this side"
         if objection:
-            self.book.count("links.objected")
-            self.book.log.event("warning", "link_objected", other=name, why=objection)
+            self.telemetry.count("links.objected")
+            self.telemetry.log.event("warning", "link_objected", other=name, why=objection)
         return objection
 
     def heard_results(self, frame: Probed) -> None:
@@ -283,7 +283,7 @@
 
     def ended(self, client: LinkClient, why: str) -> None:
         if self.clients.get(client.name) is client:
-            self.book.count("links.ended")
+            self.telemetry.count("links.ended")
             self.forget(client.name)
             self.work([Ended(client.name)])
 
--- a/plankroute/net/peers/warm_start.py
+++ b/plankroute/net/peers/warm_start.py
@@ -13,17 +13,17 @@
 
 from plankroute.cold_start.link_codec import VERSION, Ask, FrameCutter, Keep, write_frame
 from plankroute.cold_start.watcher_election import ranked
-from plankroute.config.feature_file import LearnedPart
+from plankroute.config.feature_file import WarmStartSection
 from plankroute.controller.controller import Controller
 from plankroute.events import events
 from plankroute.events.events import HostState
 from plankroute.net.discovery.directory import Directory
 from plankroute.net.discovery.watch import Discovery
-from plankroute.net.peers.drain_notices import DrainsAhead
+from plankroute.net.peers.drain_notices import DrainNoticeOverlay
 from plankroute.net.peers.links import frames_of_view, read_views
-from plankroute.net.process.clock import steady_us as now_us
+from plankroute.net.process.clock import monotonic_us as now_us
 from plankroute.net.process.file_store import ASIDE, Disk, Saver
-from plankroute.net.process.telemetry import Book
+from plankroute.net.process.telemetry import Telemetry
 from plankroute.warm_start.codec import (
     KEPT,
     MOST_BYTES,
@@ -60,26 +60,26 @@
     return (name if PLAIN.fullmatch(name) else f"{zlib.crc32(name.encode()):08x}") + ".learned"
 
 
-class LearnedParts:
+class WarmStartService:
     """Keeps, tells and takes what is learned. `peers`: living members in the order in which they are asked,
     with their links' addresses."""
 
     def __init__(
         self,
-        part: LearnedPart,
+        part: WarmStartSection,
         name: str,
         group: str,
         own_host: str,
-        book: Book,
-        put: Callable[[events.Note], None],
+        telemetry: Telemetry,
+        put: Callable[[events.Event], None],
         disk: Disk | None = None,
     ) -> None:
-        self.part, self.name, self.group, self.own_host, self.book, self.put = (
+        self.part, self.name, self.group, self.own_host, self.telemetry, self.put = (
             part,
             name,
             group,
             own_host,
-            book,
+            telemetry,
             put,
         )
         self.core = Learned(LearnedFacts(int(part.limit_s * 1e6)))
@@ -92,11 +92,15 @@
         self.peers: Callable[[], list[tuple[str, tuple[str, int]]]] = list
 
     def attach(
-        self, steward: Controller, directory: Directory, discovery: Discovery, ahead: DrainsAhead
+        self,
+        controller: Controller,
+        directory: Directory,
+        discovery: Discovery,
+        ahead: DrainNoticeOverlay,
     ) -> None:
         """Before the first list."""
-        self.steward, self.directory, self.discovery, self.ahead = (
-            steward,
+        self.controller, self.directory, self.discovery, self.ahead = (
+            controller,
             directory,
             discovery,
             ahead,
@@ -161,7 +165,7 @@
         match kept:
             case Kept(view, age_us) if age_us is not None:
                 age_s = round(age_us / 1e6, 1)
-                self.book.log.event("info", "learned_read", hosts=len(view.hosts), age_s=age_s)
+                self.telemetry.log.event("info", "learned_read", hosts=len(view.hosts), age_s=age_s)
                 self.work(ViewCame("file", view, age_us))
             case Kept():
                 self.refuse(
@@ -174,8 +178,10 @@
                 self.refuse("unread", str(kept))
 
     def refuse(self, what: str, why: str, **facts: object) -> None:
-        self.book.count(f"learned.dropped.{what}")
-        self.book.log.event("warning", f"learned_{what}", why=why, file=str(self.path), **facts)
+        self.telemetry.count(f"learned.dropped.{what}")
+        self.telemetry.log.event(
+            "warning", f"learned_{what}", why=why, file=str(self.path), **facts
+        )
 
     # What counts
 
@@ -198,47 +204,47 @@
 
     def carry_out(self, action: Action) -> None:
         match action:
-            case Teach(uid, known, health_age_us, powers_age_us) if uid in self.directory.ids:
+            case Teach(uid, known, health_age_us, capacity_age_us) if uid in self.directory.ids:
                 health, powers = known.health.facts, known.powers.facts
-                self.book.count("learned.told")
+                self.telemetry.count("learned.told")
                 host = self.directory.ids[uid]
                 self.put(
-                    events.HostLearned(
+                    events.HostPriorKnowledge(
                         host,
                         powers.weight,
-                        powers.tries,
-                        health.voided,
-                        powers.mean_us,
+                        powers.attempts,
+                        health.failed,
+                        powers.mean_latency_us,
                         health.is_shut,
-                        health.needed,
+                        health.required_checks,
                         health_age_us,
-                        powers_age_us,
+                        capacity_age_us,
                     )
                 )
             case Close(source, revision, closed):
                 self.ahead.hear(source, revision, closed)
             case Noted(source, taken, old, beaten):
                 for name, number in (("taken", taken), ("old", old), ("beaten", beaten)):
-                    self.book.count(f"learned.{name}", number)
-                self.book.log.event(
+                    self.telemetry.count(f"learned.{name}", number)
+                self.telemetry.log.event(
                     "info", "learned", source=source, taken=taken, old=old, beaten=beaten
                 )
 
     def view(self) -> View:
         """What is known now; figures alone, so that a thread may write them down."""
         hosts, own = self.directory.hosts, []
-        for told in self.steward.learned():
+        for told in self.controller.learned():
             known = hosts[told.host]
             own.append(
                 HostFacts(
                     known.uid,
                     known.boot_ms,
                     told.weight,
-                    told.tries,
-                    told.voided,
-                    told.mean_us,
-                    told.shut,
-                    told.needed,
+                    told.attempts,
+                    told.failed,
+                    told.mean_latency_us,
+                    told.ejected,
+                    told.required_checks,
                     max(0, told.health_age_us),
                 )
             )
@@ -270,23 +276,23 @@
         mark = (
             view.revision,
             view.closed,
-            [(facts.uid, facts.is_shut, facts.tries) for facts in view.hosts],
+            [(facts.uid, facts.is_shut, facts.attempts) for facts in view.hosts],
         )
         if mark == self.saved or not (view.hosts or view.closed):
             return
         self.saved, unix_ms = mark, time.time_ns() // 1_000_000
         self.saver.want(lambda: write_file(view, unix_ms))
-        self.book.counts["learned.loop_us"] = now_us() - began_us
+        self.telemetry.counts["learned.loop_us"] = now_us() - began_us
 
     def wrote(self, size: int, error: OSError | None) -> None:
         """A disk that is full, gone or not ours: said once, counted; the next change is another try."""
         if error is None:
-            self.book.count("learned.files")
-            self.book.counts["learned.file_bytes"] = size
+            self.telemetry.count("learned.files")
+            self.telemetry.counts["learned.file_bytes"] = size
             return
         self.saved = None
-        self.book.count("learned.dropped.unwritten")
-        self.book.say_once("learned_unwritten", why=str(error), file=str(self.path))
+        self.telemetry.count("learned.dropped.unwritten")
+        self.telemetry.log_once("learned_unwritten", why=str(error), file=str(self.path))
 
     # Peers
 
@@ -296,19 +302,19 @@
         if name in self.left:
             at_us, data = self.left[name]
             out.append((name, now_us() - at_us, data))
-        self.book.count("learned.asked")
+        self.telemetry.count("learned.asked")
         return out
 
     def keep(self, name: str, data: bytes) -> None:
         """The newest of each name; of the oldest name nothing stays where there are too many."""
         if (view := read_view(data)) is None or view.name != name:
-            self.book.count("learned.dropped.left")
+            self.telemetry.count("learned.dropped.left")
             return
         self.left.pop(name, None)
         if len(self.left) >= KEPT_NAMES:
             del self.left[next(iter(self.left))]
         self.left[name] = now_us(), data
-        self.book.count("learned.left_here")
+        self.telemetry.count("learned.left_here")
 
     async def ask_at_start(self) -> None:
         """One or two that live, each once; the steward serves meanwhile, and takes what they say when it
@@ -336,8 +342,8 @@
                     writer.transport.abort()
         except (OSError, TimeoutError) as error:
             why = f"{type(error).__name__}: {error}".strip(": ")
-        self.book.count("learned.asks")
-        self.book.log.event(
+        self.telemetry.count("learned.asks")
+        self.telemetry.log.event(
             "info",
             "learned_asked",
             other=name,
@@ -350,7 +356,7 @@
                 # On its way at most as long as the whole call.
                 self.work(ViewCame(source, view, age_us + now_us() - began_us))
             else:
-                self.book.count("learned.dropped.view")
+                self.telemetry.count("learned.dropped.view")
 
     async def dial(
         self, address: tuple[str, int]
@@ -367,7 +373,7 @@
             self.saved = None
             self.save()
         left, written = await asyncio.gather(self.leave_with_peer(), self.finish_file())
-        self.book.log.event("info", "learned_handed_over", file=written, peer=left)
+        self.telemetry.log.event("info", "learned_handed_over", file=written, peer=left)
 
     async def finish_file(self) -> bool:
         return await asyncio.to_thread(self.saver.finish, LAST_S) if self.saver else False
@@ -388,8 +394,8 @@
                     await writer.wait_closed()
                 return name
             except (OSError, TimeoutError) as error:
-                self.book.count("learned.dropped.handing")
-                self.book.log.event(
+                self.telemetry.count("learned.dropped.handing")
+                self.telemetry.log.event(
                     "warning",
                     "learned_not_handed",
                     other=name,
--- a/plankroute/net/probing/prober.py
+++ b/plankroute/net/probing/prober.py
@@ -4,13 +4,13 @@
 from collections.abc import Callable
 
 from plankroute.events import events
-from plankroute.events.events import LoadReport, Outcome
-from plankroute.events.facts import ReportWay, StartFacts
+from plankroute.events.events import HealthCheckOutcome, LoadReport
+from plankroute.events.facts import ReportSource, StartFacts
 from plankroute.net.discovery.directory import Directory
 from plankroute.net.discovery.http_client import Answer, Limits, fetch
 from plankroute.net.process.clock import Clock, patience
 from plankroute.net.process.errors import CallFailed, Reached
-from plankroute.net.process.telemetry import Book
+from plankroute.net.process.telemetry import Telemetry
 from plankroute.net.proxies.line_codec import read_report
 
 PACE_S = (
@@ -19,7 +19,7 @@
 MOST_BODY = 4096  # bytes: a report is one line
 
 
-class Prober:
+class HealthChecker:
     """A connection a probe, closed after it: kept ones would lie idle, new ones cost half a millisecond."""
 
     def __init__(
@@ -27,31 +27,31 @@
         facts: StartFacts,
         directory: Directory,
         clock: Clock,
-        book: Book,
+        telemetry: Telemetry,
         dial_us: int,
         at_once: Callable[[], int],
-        put: Callable[[events.Note], None],
+        put: Callable[[events.Event], None],
     ) -> None:
-        self.directory, self.clock, self.book, self.put = directory, clock, book, put
+        self.directory, self.clock, self.telemetry, self.put = directory, clock, telemetry, put
         self.at_once = at_once  # a descriptor each
-        self.target = "/ping" if facts.reports is ReportWay.NONE else "/_load"
+        self.target = "/ping" if facts.report_source is ReportSource.NONE else "/_load"
         # Hosts serve probes like txns: an answer may take twice as long as a connection.
         self.limits = Limits(dial_us / 1e6, 2 * dial_us / 1e6, MOST_BODY)
         self.busy: dict[int, asyncio.Task[None]] = {}
         self.waiting = dict[int, None]()
         self.paced: asyncio.TimerHandle | None = None  # until the next may begin
-        self.may_probe = facts.may_probe
+        self.health_checks_allowed = facts.health_checks_allowed
 
     def probe(self, host: int) -> None:
-        if not self.may_probe or host in self.busy or host in self.waiting:
-            self.book.count("dropped.probes")
+        if not self.health_checks_allowed or host in self.busy or host in self.waiting:
+            self.telemetry.count("dropped.probes")
             return
         self.waiting[host] = None
         self.start()
 
     def close(self) -> None:
         """Guards against probes that begin while the loop ends, where nobody cancels them."""
-        self.may_probe = False
+        self.health_checks_allowed = False
         self.waiting.clear()
 
     def start(self) -> None:
@@ -71,7 +71,7 @@
     async def call(self, host: int) -> None:
         asked_us, known = self.clock.now(), self.directory.hosts[host]
         asked = known.address, known.boot_ms
-        self.book.count("sent.probes")
+        self.telemetry.count("sent.probes")
         try:
             async with patience(self.limits.dial_s + self.limits.quiet_s):
                 answer = await fetch(known.address, self.target, self.limits)
@@ -82,28 +82,28 @@
             self.start()
         if self.directory.hosts.get(host) is not known or asked != (known.address, known.boot_ms):
             # Guards against a word of the process before that is held against, or for, the new one.
-            self.book.count("dropped.late_probes")
+            self.telemetry.count("dropped.late_probes")
             return
         outcome, report = judge_call(answer)
-        self.book.count(f"answered.probes.{outcome.name.lower()}")
+        self.telemetry.count(f"answered.probes.{outcome.name.lower()}")
         if report:
-            self.book.count_report(report)
-        if outcome is not Outcome.ANSWERED:
-            self.book.log.event(
+            self.telemetry.count_report(report)
+        if outcome is not HealthCheckOutcome.ANSWERED:
+            self.telemetry.log.event(
                 "info", "probe_bad", host=known.uid, outcome=outcome.value, how=str(answer)
             )
         # Guards against far hosts taken for slow ones.
-        took_us = answer.served_us if isinstance(answer, Answer) else self.clock.now() - asked_us
-        self.put(events.ProbeResult(host, outcome, took_us, report))
+        elapsed_us = answer.served_us if isinstance(answer, Answer) else self.clock.now() - asked_us
+        self.put(events.HealthCheckResult(host, outcome, elapsed_us, report))
 
 
-def judge_call(answer: Answer | CallFailed) -> tuple[Outcome, LoadReport | None]:
+def judge_call(answer: Answer | CallFailed) -> tuple[HealthCheckOutcome, LoadReport | None]:
     """How the call ended, in the words of the notes."""
     if isinstance(answer, CallFailed):
         if answer.reached is Reached.NOTHING:
-            return Outcome.UNREACHED, None
+            return HealthCheckOutcome.UNREACHABLE, None
         # Guards against a connection that broke taken for a host out of reach: it was there.
-        return Outcome.SILENT if answer.timed_out else Outcome.ERROR, None
+        return HealthCheckOutcome.TIMED_OUT if answer.timed_out else HealthCheckOutcome.ERROR, None
     if answer.status != 200:
-        return Outcome.ERROR, None
-    return Outcome.ANSWERED, read_report(answer.body)
+        return HealthCheckOutcome.ERROR, None
+    return HealthCheckOutcome.ANSWERED, read_report(answer.body)
--- a/plankroute/net/probing/shared_prober.py
+++ b/plankroute/net/probing/shared_prober.py
@@ -10,15 +10,15 @@
 from plankroute.cold_start.link_codec import Probed
 from plankroute.cold_start.probe_sharing import SURVEY, WAIT_US, Result, Survey
 from plankroute.events import events
-from plankroute.events.events import Outcome
-from plankroute.net.probing.prober import Prober
-from plankroute.net.process.clock import steady_us as now_us
+from plankroute.events.events import HealthCheckOutcome
+from plankroute.net.probing.prober import HealthChecker
+from plankroute.net.process.clock import monotonic_us as now_us
 
 GATHER_S = 0.02  # results are told together: a survey's come some milliseconds apart
 MOST_TOLD = 200  # in one frame: 12 KB
 
 
-class SharedProber(Prober):
+class SharedHealthChecker(HealthChecker):
     """`prepare_survey` before the first probe."""
 
     def prepare_survey(
@@ -49,7 +49,7 @@
                 super().probe(host)
             return
         self.survey.zones = self.living()
-        self.book.count("survey.hosts", len(batch))
+        self.telemetry.count("survey.hosts", len(batch))
         for host in batch:
             if host in self.directory.hosts:
                 self.ask(host)
@@ -68,21 +68,25 @@
             self.awaited[known.uid] = host
 
     def note(self, host: int, result: Result) -> None:
-        self.book.count("survey.taken")
+        self.telemetry.count("survey.taken")
         age_us = max(0, now_us() - result.at_us)
-        self.to_core(events.ProbeResult(host, Outcome.ANSWERED, result.took_us, None, age_us))
+        self.to_core(
+            events.HealthCheckResult(
+                host, HealthCheckOutcome.ANSWERED, result.elapsed_us, None, age_us
+            )
+        )
 
     def on_result(self, note: Any) -> None:
         """Of a probe of its own; an answer to a survey is told to the others. What failed is not: each
         steward
         finds that out for itself before it believes it."""
-        if isinstance(note, events.ProbeResult) and note.host in self.surveyed:
+        if isinstance(note, events.HealthCheckResult) and note.host in self.surveyed:
             self.surveyed.discard(note.host)
             known = self.directory.hosts.get(note.host)
-            if known and note.outcome is Outcome.ANSWERED:
-                self.survey.keep(known.uid, Result(note.took_us, now_us(), known.boot_ms))
+            if known and note.outcome is HealthCheckOutcome.ANSWERED:
+                self.survey.keep(known.uid, Result(note.elapsed_us, now_us(), known.boot_ms))
                 self.untold.append(
-                    (known.uid, note.outcome.value, note.took_us, now_us(), known.boot_ms)
+                    (known.uid, note.outcome.value, note.elapsed_us, now_us(), known.boot_ms)
                 )
                 if self.handle is None:
                     self.handle = asyncio.get_running_loop().call_later(GATHER_S, self.tell_all)
@@ -93,23 +97,28 @@
         self.handle, now = None, now_us()
         untold, self.untold = self.untold, []
         for at in range(0, len(untold), MOST_TOLD):
-            self.book.count("survey.told", len(untold[at : at + MOST_TOLD]))
+            self.telemetry.count("survey.told", len(untold[at : at + MOST_TOLD]))
             self.tell(
                 Probed(
                     tuple(
-                        (uid, outcome, took, now - told, boot)
-                        for uid, outcome, took, told, boot in untold[at : at + MOST_TOLD]
+                        (uid, outcome, took, now - told, configuration)
+                        for uid, outcome, took, told, configuration in untold[at : at + MOST_TOLD]
                     )
                 )
             )
 
     def hear(self, frame: Probed) -> None:
         """Others' results: answered ones, of hosts that are listed here."""
-        for uid, outcome, took_us, age_us, boot_ms in frame.results:
+        for uid, outcome, elapsed_us, age_us, boot_ms in frame.results:
             host = self.directory.ids.get(uid)
-            if host is None or outcome != Outcome.ANSWERED.value or took_us <= 0 or age_us < 0:
+            if (
+                host is None
+                or outcome != HealthCheckOutcome.ANSWERED.value
+                or elapsed_us <= 0
+                or age_us < 0
+            ):
                 continue
-            result = Result(took_us, now_us() - age_us, boot_ms)
+            result = Result(elapsed_us, now_us() - age_us, boot_ms)
             if (
                 self.survey.keep(uid, result)
                 and uid in self.awaited
--- a/plankroute/net/process/clock.py
+++ b/plankroute/net/process/clock.py
@@ -31,7 +31,7 @@
             handle.cancel()
 
 
-def steady_us() -> int:
+def monotonic_us() -> int:
     """The steady clock, in microseconds: for spans, never for moments that others are told."""
     return time.monotonic_ns() // 1000
 
@@ -53,7 +53,7 @@
         return unix_us - (self.wall_ns() // 1000 - self.now())
 
 
-class Alarms:
+class Timers:
     """Timers by the time they are due, and in the order in which they were set."""
 
     def __init__(self) -> None:
--- a/plankroute/net/process/configuration.py
+++ b/plankroute/net/process/configuration.py
@@ -6,9 +6,9 @@
 import orjson
 
 from plankroute.events.facts import StartFacts
-from plankroute.events.settings import StartError, finite, microseconds, start_from
+from plankroute.events.settings import SettingsError, finite, microseconds, parse_settings
 from plankroute.net.process.address import host_and_port
-from plankroute.net.process.resource_limits import Room, room_for
+from plankroute.net.process.resource_limits import ResourceLimits, resource_limits_for
 
 USUAL_GATHER_MS = 5.0  # where the settings name no shortest time between batches
 USUAL_MB, USUAL_SOCKETS = 192.0, 1024  # where no limits are stated
@@ -16,12 +16,12 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Boot:
+class Configuration:
     name: str
     listen: str
     discovery: str
     seed: int
-    room: Room
+    room: ResourceLimits
     known: Any
     facts: StartFacts
     zones: tuple[str, ...]
@@ -36,20 +36,20 @@
     return text
 
 
-def read_boot(text: bytes) -> Boot:
+def parse_configuration(text: bytes) -> Configuration:
     """Raises StartError with one clear line."""
     try:
         raw = orjson.loads(text)
         settings = raw["settings"]
-        facts, _ = start_from(settings)
-        return Boot(
+        facts, _ = parse_settings(settings)
+        return Configuration(
             name=str(raw["name"]),
             listen=address(raw["listen"]),
             discovery=address(raw["discovery"]),
             seed=int(str(raw["seed"]), 16),
             room=room(raw.get("limits") or {}),
             known=raw.get("known"),
-            facts=replace(facts, lets_back=True),
+            facts=replace(facts, bind_reinstates_hosts=True),
             zones=names(settings["dcs"]),
             kinds=names(settings["machineTypes"]),
             products=names([item["name"] for item in settings["classes"]]),
@@ -59,12 +59,12 @@
             ),
         )
     except (KeyError, TypeError, ValueError, AttributeError, OverflowError) as error:
-        raise StartError(f"{type(error).__name__}: {error}") from error
+        raise SettingsError(f"{type(error).__name__}: {error}") from error
 
 
-def room(limits: dict[str, Any]) -> Room:
+def room(limits: dict[str, Any]) -> ResourceLimits:
     memory_mb, sockets = limits.get("memory_mb", USUAL_MB), limits.get("sockets", USUAL_SOCKETS)
-    return room_for(figure(memory_mb), int(figure(sockets)))
+    return resource_limits_for(figure(memory_mb), int(figure(sockets)))
 
 
 def figure(value: Any) -> float:
--- a/plankroute/net/process/optional_features.py
+++ b/plankroute/net/process/optional_features.py
@@ -8,42 +8,50 @@
 from plankroute.cold_start.link_codec import Probed
 from plankroute.cold_start.probe_sharing import Survey
 from plankroute.cold_start.watcher_election import FollowFacts
-from plankroute.config.feature_file import ColdStartPart, OwnFile
+from plankroute.config.feature_file import ColdStartSection, FeatureFile
 from plankroute.controller.controller import Controller
 from plankroute.events import events
 from plankroute.net.discovery.backoff_watch import CarefulDiscovery
 from plankroute.net.discovery.directory import Directory
 from plankroute.net.discovery.watch import Discovery
-from plankroute.net.peers.membership import Members, Self
-from plankroute.net.probing.prober import Prober
+from plankroute.net.peers.membership import LocalMember, MembershipService
+from plankroute.net.probing.prober import HealthChecker
 from plankroute.net.process.address import host_and_port
-from plankroute.net.process.configuration import Boot
-from plankroute.net.process.telemetry import Book
+from plankroute.net.process.configuration import Configuration
+from plankroute.net.process.telemetry import Telemetry
 
 if TYPE_CHECKING:
     from plankroute.net.peers.shared_discovery import SharedDiscovery
-    from plankroute.net.peers.warm_start import LearnedParts
+    from plankroute.net.peers.warm_start import WarmStartService
 
 
-class Extras:
+class OptionalFeatures:
     """Each part is there, or None where its section is missing."""
 
     def __init__(
-        self, own: OwnFile, boot: Boot, book: Book, put: Callable[[events.Note], None]
+        self,
+        own: FeatureFile,
+        configuration: Configuration,
+        telemetry: Telemetry,
+        put: Callable[[events.Event], None],
     ) -> None:
-        self.own, self.boot, self.book, self.put = own, boot, book, put
-        zones, zone = boot.zones, boot.facts.own_zone
-        self.me = Self(boot.name, zones[zone] if zone < len(zones) else "", boot.seed)
-        self.members = Members(own.membership, self.me, book, put) if own.membership else None
+        self.own, self.configuration, self.telemetry, self.put = own, configuration, telemetry, put
+        zones, zone = configuration.zones, configuration.facts.own_zone
+        self.me = LocalMember(
+            configuration.name, zones[zone] if zone < len(zones) else "", configuration.seed
+        )
+        self.members = (
+            MembershipService(own.membership, self.me, telemetry, put) if own.membership else None
+        )
         self.careful: CarefulDiscovery | None = None
         self.shared: SharedDiscovery | None = None
-        self.learned: LearnedParts | None = None
+        self.learned: WarmStartService | None = None
 
     def make_discovery(self, *words: Any) -> Discovery:
         """Takes what a Discovery takes."""
         if (part := self.own.coldstart) is None:
             return Discovery(*words)
-        calls, seed = call_facts(part, self.boot), self.boot.seed
+        calls, seed = call_facts(part, self.configuration), self.configuration.seed
         if part.links is None or self.members is None:
             self.careful = CarefulDiscovery(*words)
         else:
@@ -53,7 +61,7 @@
             facts = FollowFacts(
                 self.me.name,
                 self.members.part.group,
-                calls.stewards,
+                calls.controller_count,
                 part.links.watchers,
                 part.links.stall_ms * 1000,
             )
@@ -62,16 +70,18 @@
         self.careful.prepare(calls, int(part.list_old_s * 1e6), seed)
         return self.careful
 
-    def make_prober(self, *words: Any) -> Prober:
+    def make_prober(self, *words: Any) -> HealthChecker:
         """Takes what a Prober takes; after `make_discovery`."""
         if (part := self.own.coldstart) is None or part.probers == 0:
-            return Prober(*words)
-        from plankroute.net.probing.shared_prober import SharedProber
+            return HealthChecker(*words)
+        from plankroute.net.probing.shared_prober import SharedHealthChecker
 
-        prober, shared = SharedProber(*words), self.shared
-        survey = Survey(self.me.name, part.probers, part.stewards or self.boot.facts.stewards)
+        prober, shared = SharedHealthChecker(*words), self.shared
+        survey = Survey(
+            self.me.name, part.probers, part.stewards or self.configuration.facts.controller_count
+        )
         prober.prepare_survey(
-            survey, self.boot.zones, self.living, shared.tell_results if shared else drop
+            survey, self.configuration.zones, self.living, shared.tell_results if shared else drop
         )
         if shared:
             shared.on_results = prober.hear
@@ -84,19 +94,19 @@
         view = self.members.core.view
         return {view.at(place).name: view.at(place).zone for place in (0, *view.living())}
 
-    def attach(self, steward: Controller, directory: Directory, discovery: Discovery) -> None:
+    def attach(self, controller: Controller, directory: Directory, discovery: Discovery) -> None:
         """Before the first list; after `make_discovery`."""
         if (part := self.own.learned) is None:
             return
-        from plankroute.net.peers.drain_notices import DrainsAhead
-        from plankroute.net.peers.warm_start import LearnedParts
+        from plankroute.net.peers.drain_notices import DrainNoticeOverlay
+        from plankroute.net.peers.warm_start import WarmStartService
 
-        shared, book = self.shared, self.book
-        ahead = shared.ahead if shared else DrainsAhead(directory, book, self.put)
+        shared, telemetry = self.shared, self.telemetry
+        ahead = shared.ahead if shared else DrainNoticeOverlay(directory, telemetry, self.put)
         discovery.over = ahead.over
         group, own_host = (shared.group, host_and_port(shared.listen)[0]) if shared else ("", "")
-        self.learned = LearnedParts(part, self.me.name, group, own_host, book, self.put)
-        self.learned.attach(steward, directory, discovery, ahead)
+        self.learned = WarmStartService(part, self.me.name, group, own_host, telemetry, self.put)
+        self.learned.attach(controller, directory, discovery, ahead)
         if shared:
             shared.server.views, self.learned.peers = self.learned, self.peers
 
@@ -123,7 +133,7 @@
         if self.learned:
             self.learned.start()
 
-    def reload(self, own: OwnFile | None) -> list[str]:
+    def reload(self, own: FeatureFile | None) -> list[str]:
         """Seeds change; the names of what else differs, which waits for a restart."""
         kept = [
             name
@@ -146,11 +156,11 @@
             self.careful.close()
 
 
-def call_facts(part: ColdStartPart, boot: Boot) -> CallFacts:
+def call_facts(part: ColdStartSection, configuration: Configuration) -> CallFacts:
     """The number of stewards is as stated, in our file or in the settings: never as membership has it."""
     return CallFacts(
-        rank=boot.facts.steward if part.rank is None else part.rank,
-        stewards=part.stewards or boot.facts.stewards,
+        rank=configuration.facts.controller_rank if part.rank is None else part.rank,
+        controller_count=part.stewards or configuration.facts.controller_count,
         calls_a_second=part.calls_a_second,
         pause_most_us=int(part.pause_most_s * 1e6),
         retry_after_most_us=int(part.retry_after_most_s * 1e6),
--- a/plankroute/net/process/resource_limits.py
+++ b/plankroute/net/process/resource_limits.py
@@ -19,7 +19,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Room:
+class ResourceLimits:
     peers: int  # connections at the steward's address
     askers: int  # of them, those that asked whether the steward is alive and stay
     probes: int
@@ -27,11 +27,11 @@
     list_bytes: int
 
 
-def room_for(memory_mb: float, descriptors: int) -> Room:
+def resource_limits_for(memory_mb: float, descriptors: int) -> ResourceLimits:
     free = int(max(0.0, memory_mb - PROCESS_MB) * (1 << 20))
     spare = min(SPARE_MOST, max(FILES + 4, int(descriptors * SPARE_PART)))
     peers = max(1, descriptors - spare)
-    return Room(
+    return ResourceLimits(
         peers,
         max(1, int(peers * ASKERS_PART)),
         max(1, (spare - FILES) // 2),
--- a/plankroute/net/process/router.py
+++ b/plankroute/net/process/router.py
@@ -4,30 +4,42 @@
 from collections.abc import Callable
 
 from plankroute.controller.controller import Controller
-from plankroute.controller.messages import Message, Player
+from plankroute.controller.messages import Message, MessageBuilder
 from plankroute.events import commands, events
-from plankroute.net.process.clock import Alarms, Clock
-from plankroute.net.process.telemetry import Book
+from plankroute.net.process.clock import Clock, Timers
+from plankroute.net.process.telemetry import Telemetry
 
 
 class Router:
     """One batch at a time; batches follow no closer than operators state, as in the simulator."""
 
     def __init__(
-        self, steward: Controller, player: Player, clock: Clock, book: Book, gather_us: int
+        self,
+        controller: Controller,
+        message_builder: MessageBuilder,
+        clock: Clock,
+        telemetry: Telemetry,
+        gather_us: int,
     ) -> None:
-        self.steward, self.player, self.clock, self.book = steward, player, clock, book
+        self.controller, self.message_builder, self.clock, self.telemetry = (
+            controller,
+            message_builder,
+            clock,
+            telemetry,
+        )
         self.gather_us, self.last_us = gather_us, 0
-        self.alarms, self.pending = Alarms(), list[events.Note]()
+        self.alarms, self.pending = Timers(), list[events.Event]()
         self.handle: asyncio.TimerHandle | None = None
         self.handle_us = 0
         self.send: Callable[[Message], None] = lambda message: None
         self.probe: Callable[[int], None] = lambda host: None
         self.forget: Callable[[int], None] = lambda host: None
-        self.ask: Callable[[commands.AskList | commands.Subscribe], None] = lambda order: None
+        self.ask: Callable[[commands.PollHostList | commands.SubscribeHostList], None] = (
+            lambda command: None
+        )
 
-    def put(self, note: events.Note) -> None:
-        self.pending.append(note)
+    def put(self, event: events.Event) -> None:
+        self.pending.append(event)
         self.wake_at(self.last_us + self.gather_us)
 
     def wake_at(self, due_us: int) -> None:
@@ -44,7 +56,7 @@
         self.handle = None
         now = self.clock.now()
         # Timers first: guards against a note that fails and takes along the timers that the core lives by.
-        batch: list[events.Note] = [events.TimerDue(token) for token in self.alarms.due(now)]
+        batch: list[events.Event] = [events.TimerExpired(token) for token in self.alarms.due(now)]
         batch += self.pending
         self.pending = []
         if batch:
@@ -53,39 +65,39 @@
         if (next_us := self.alarms.next_us()) is not None:
             self.wake_at(max(next_us, self.last_us))
 
-    def work_on(self, now: int, batch: list[events.Note]) -> None:
+    def work_on(self, now: int, batch: list[events.Event]) -> None:
         """A failure is logged with its place; the steward goes on with the next batch."""
-        self.book.count("core.batches")
-        self.book.count("core.notes", len(batch))
+        self.telemetry.count("core.batches")
+        self.telemetry.count("core.notes", len(batch))
         try:
-            for note in batch:
-                self.player.hear(note)
-            decided = self.steward.deliver(now, batch)
+            for event in batch:
+                self.message_builder.hear(event)
+            decided = self.controller.deliver(now, batch)
             self.carry_out(now, decided)
-            for message in self.player.play(decided):
+            for message in self.message_builder.play(decided):
                 self.send(message)
-            for order in decided:
+            for command in decided:
                 if isinstance(
-                    order, commands.Forget
+                    command, commands.ForgetHost
                 ):  # last of all: no message can name the host from here
-                    self.player.forget(order.host)
-                    self.forget(order.host)
+                    self.message_builder.forget(command.host)
+                    self.forget(command.host)
         except Exception as error:
-            self.book.failed("core", error)
+            self.telemetry.failed("core", error)
 
-    def carry_out(self, now: int, decided: list[commands.Order]) -> None:
+    def carry_out(self, now: int, decided: list[commands.Command]) -> None:
         """What is no message; timers first of all, since the core lives by them."""
-        for order in decided:
-            match order:
+        for command in decided:
+            match command:
                 case commands.SetTimer(after_us, token):
                     self.alarms.set(now + after_us, token)
-                case commands.Probe(host):
+                case commands.CheckHealth(host):
                     self.probe(host)
-                case commands.AskList() | commands.Subscribe():
-                    self.ask(order)
-                case commands.Log(text):
-                    self.book.log.event("info", "core", text=text)
-                case commands.Tell():
-                    self.book.say_once(
+                case commands.PollHostList() | commands.SubscribeHostList():
+                    self.ask(command)
+                case commands.LogMessage(text):
+                    self.telemetry.log.event("info", "core", text=text)
+                case commands.SendToPeer():
+                    self.telemetry.log_once(
                         "unsupported_tell"
                     )  # the protocol has no messages between stewards
--- a/plankroute/net/process/telemetry.py
+++ b/plankroute/net/process/telemetry.py
@@ -17,7 +17,7 @@
 LINES_A_SECOND = 20  # of one event: the rest are counted, so that a storm can't fill the log
 
 
-class Log:
+class EventLog:
     """Lines are handed to a thread of their own, which alone may be blocked."""
 
     def __init__(self, name: str, write: Callable[[bytes], Any]) -> None:
@@ -73,10 +73,10 @@
         line = line[os.write(2, line) :]
 
 
-class Book:
+class Telemetry:
     """What was taken in, sent, answered and dropped, by name."""
 
-    def __init__(self, log: Log) -> None:
+    def __init__(self, log: EventLog) -> None:
         self.log = log
         self.counts: Counter[str] = Counter()
         self.once = set[str]()
@@ -100,7 +100,7 @@
         self.counts[f"dropped.{stage}"] += 1
         self.log.event("warning", "refused", stage=stage, why=why, **facts)
 
-    def say_once(self, event: str, **facts: Any) -> None:
+    def log_once(self, event: str, **facts: Any) -> None:
         """What would come again and again: said once, then counted."""
         self.counts[event] += 1
         if event not in self.once:
@@ -110,7 +110,7 @@
     def count_report(self, report: LoadReport) -> None:
         """Guards against reports whose names nobody knows: the steward would steer without them, unseen."""
         if report == LoadReport():
-            self.say_once("dropped.reports")
+            self.log_once("dropped.reports")
         else:
             self.counts["taken.reports"] += 1
 
--- a/plankroute/net/proxies/admission.py
+++ b/plankroute/net/proxies/admission.py
@@ -49,7 +49,7 @@
         self.longest_us = longest_us  # no try that was answered can have taken longer
         self.joined = set[int]()  # kept by the streams: proxies that are joined
 
-    def admit(self, party: Party, said: wire.Said) -> events.Note | Refused | None:
+    def admit(self, party: Party, said: wire.Said) -> events.Event | Refused | None:
         """None where nothing is to be noted."""
         match said:
             case wire.Asked():
@@ -75,7 +75,7 @@
         party.role, party.zone = Role.COLLECTOR, self.directory.zones[said.zone]
         return None
 
-    def hello(self, party: Party, said: wire.HelloSaid) -> events.Note | Refused:
+    def hello(self, party: Party, said: wire.HelloSaid) -> events.Event | Refused:
         if party.role not in (Role.STRANGER, Role.ASKER):
             return refused("hello is not the first word")
         if said.proxy >= self.proxies or said.zone not in self.directory.zones:
@@ -85,36 +85,38 @@
             said.proxy, self.directory.zones[said.zone], said.usual_rate, said.fresh
         )
 
-    def applied(self, party: Party, said: wire.AppliedSaid) -> events.Note | Refused:
+    def applied(self, party: Party, said: wire.AppliedSaid) -> events.Event | Refused:
         """Marks are answered in order: an answer also tells of those before it."""
         if (
             party.role is not Role.PROXY
             or said.proxy != party.proxy
-            or said.serial not in party.marks
+            or said.sequence_number not in party.marks
         ):
             return refused("answer to no mark")
-        while party.marks.popleft() != said.serial:
+        while party.marks.popleft() != said.sequence_number:
             pass
-        return events.Applied(said.proxy, said.serial, said.took_us)
+        return events.Acknowledged(said.proxy, said.sequence_number, said.elapsed_us)
 
-    def host(self, party: Party, said: wire.HostSaid) -> events.Note | Refused:
+    def host(self, party: Party, said: wire.HostSaid) -> events.Event | Refused:
         host, zone = self.directory.ids.get(said.host), self.directory.zones.get(said.zone)
         if party.role is not Role.COLLECTOR:
             return refused("sums from no collector")
         if host is None or zone is None:
             return refused("host or zone not known")
-        if said.voided > said.tries or said.mean_us > self.longest_us:
+        if said.failed > said.attempts or said.mean_latency_us > self.longest_us:
             return refused("sums that can't be")
         party.has_told = True
-        return events.HostSums(
-            host, zone, said.tries, said.voided, said.mean_us, said.span_us, said.report
+        return events.HostRequestStats(
+            host, zone, said.attempts, said.failed, said.mean_latency_us, said.span_us, said.report
         )
 
-    def traffic(self, party: Party, said: wire.TrafficSaid) -> events.Note | Refused:
+    def traffic(self, party: Party, said: wire.TrafficSaid) -> events.Event | Refused:
         product = self.directory.products.get(said.product)
         own = party.role is Role.PROXY and party.proxy == said.proxy
         if not own and party.role is not Role.COLLECTOR:
             return refused("traffic of another")
         if product is None or said.proxy not in self.joined:
             return refused("product not known, or proxy not joined")
-        return events.ProxyTraffic(said.proxy, product, said.arrived, said.voided, said.span_us)
+        return events.ProxyRequestStats(
+            said.proxy, product, said.arrived, said.failed, said.span_us
+        )
--- a/plankroute/net/proxies/line_codec.py
+++ b/plankroute/net/proxies/line_codec.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable, Iterable, Iterator
 from dataclasses import dataclass
 
-from plankroute.controller.messages import Message, Part
+from plankroute.controller.messages import Message, TableUpdate
 from plankroute.events.events import LoadReport
 from plankroute.events.settings import REPORT_FIELDS as SETTINGS_FIELDS
 from plankroute.events.settings import load_report, microseconds
@@ -25,11 +25,11 @@
 )  # within a line: two messages ran together
 # Guards against load reports read as empty: hosts name figures as the settings do, or as the protocol's page.
 REPORT_FIELDS = SETTINGS_FIELDS | {
-    "inflight": "inflight",
-    "queue": "queue",
-    "util": "util",
-    "latency_ms": "service_us",
-    "qps": "rate",
+    "inflight": "in_flight",
+    "queue": "queue_length",
+    "util": "utilization",
+    "latency_ms": "service_time_us",
+    "qps": "request_rate",
     "eps": "error_rate",
 }
 ALIVE, ERROR = b"alive\r\n", b"error\r\n"
@@ -58,8 +58,8 @@
 @dataclass(frozen=True, slots=True)
 class AppliedSaid:
     proxy: int
-    serial: int
-    took_us: int
+    sequence_number: int
+    elapsed_us: int
 
 
 @dataclass(frozen=True, slots=True)
@@ -68,9 +68,9 @@
 
     zone: str
     host: str
-    tries: int
-    voided: int
-    mean_us: int
+    attempts: int
+    failed: int
+    mean_latency_us: int
     span_us: int
     report: LoadReport | None
 
@@ -80,7 +80,7 @@
     proxy: int
     product: str
     arrived: int
-    voided: int
+    failed: int
     span_us: int
 
 
@@ -187,7 +187,7 @@
 
     def __init__(self, products: tuple[str, ...], uid: Callable[[int], str]) -> None:
         self.products, self.uid = products, uid
-        self.parts: list[Part] | None = (
+        self.parts: list[TableUpdate] | None = (
             None  # those written last, which hundreds of proxies may share
         )
         self.before, self.last = (
@@ -202,13 +202,13 @@
             self.before, self.last = self.text(message.parts)
         words = [self.last]
         for name, out in (("drop", True), ("undrop", False)):
-            if hosts := [self.uid(host) for host, held in message.held.items() if held is out]:
+            if hosts := [self.uid(host) for host, held in message.withdrawn.items() if held is out]:
                 words.append(f"{name}={','.join(hosts)}")
         if message.mark is not None:
             words.append(f"stamp={message.mark}")
         return f"{self.before}{' '.join(words)}\r\n".encode("ascii")
 
-    def text(self, parts: list[Part]) -> tuple[str, str]:
+    def text(self, parts: list[TableUpdate]) -> tuple[str, str]:
         """More parts than one message may have go on in a second message."""
         written = [self.part(chunk) for part in parts for chunk in chunks(part)] or [[]]
         for place, words in enumerate(written[:-1], 1):
@@ -217,7 +217,7 @@
         lines = [" ".join(["push", *words]) for words in written]
         return "".join(line + "\r\n" for line in lines[:-1]), lines[-1]
 
-    def part(self, part: Part) -> list[str]:
+    def part(self, part: TableUpdate) -> list[str]:
         words = []
         if len(part.products) < len(self.products):
             words.append("for=" + "+".join(self.products[place] for place in part.products))
@@ -233,11 +233,11 @@
         return words
 
 
-def chunks(part: Part) -> Iterator[Part]:
+def chunks(part: TableUpdate) -> Iterator[TableUpdate]:
     lines = list(part.lines.items())
-    yield Part(part.products, part.whole, dict(lines[:ROWS_A_PART]), part.level)
+    yield TableUpdate(part.products, part.whole, dict(lines[:ROWS_A_PART]), part.level)
     for at in range(ROWS_A_PART, len(lines), ROWS_A_PART):
-        yield Part(part.products, False, dict(lines[at : at + ROWS_A_PART]))
+        yield TableUpdate(part.products, False, dict(lines[at : at + ROWS_A_PART]))
 
 
 def read_report(body: bytes) -> LoadReport | None:
--- a/plankroute/net/proxies/listener.py
+++ b/plankroute/net/proxies/listener.py
@@ -8,8 +8,8 @@
 from plankroute.events import events
 from plankroute.net.process.address import host_and_port
 from plankroute.net.process.errors import Refused
-from plankroute.net.process.resource_limits import Room
-from plankroute.net.process.telemetry import Book
+from plankroute.net.process.resource_limits import ResourceLimits
+from plankroute.net.process.telemetry import Telemetry
 from plankroute.net.proxies.admission import Admission, Role
 from plankroute.net.proxies.connection import Peer
 from plankroute.net.proxies.line_codec import (
@@ -50,18 +50,18 @@
         self,
         admission: Admission,
         streams: Streams,
-        book: Book,
-        room: Room,
-        put: Callable[[events.Note], None],
+        telemetry: Telemetry,
+        room: ResourceLimits,
+        put: Callable[[events.Event], None],
     ) -> None:
-        self.admission, self.streams, self.book, self.put = admission, streams, book, put
+        self.admission, self.streams, self.telemetry, self.put = admission, streams, telemetry, put
         self.room, self.pool = room, Pool(room.ring_bytes)
         self.peers = dict[Peer, None]()
         # Of them, the oldest first: who has said nothing yet, and who has but asked for a sign of life.
         self.strangers, self.askers = dict[Peer, None](), dict[Peer, None]()
         self.server: asyncio.Server | None = None
 
-    def allow(self, room: Room) -> None:
+    def allow(self, room: ResourceLimits) -> None:
         self.room = room
         self.pool.allow(room.ring_bytes)
 
@@ -88,14 +88,14 @@
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         """A connection from its start to its end; nothing that goes wrong with it goes further."""
         peer = Peer(writer, self.pool)
-        self.book.count("taken.connections")
+        self.telemetry.count("taken.connections")
         self.peers[peer] = self.strangers[peer] = None
         self.make_room()
         pump = asyncio.create_task(peer.outlet.pump())
         why = "ended"
         try:
             while data := await reader.read(READ_AT_ONCE):
-                self.book.count("taken.bytes", len(data))
+                self.telemetry.count("taken.bytes", len(data))
                 self.read(peer, data)
         except OSError as error:
             why = str(error)
@@ -103,8 +103,8 @@
             why = "the steward ends"  # nothing waits for this task: its end is the connection's
         except Exception as error:
             why = f"{type(error).__name__}: {error}"
-            self.book.count("dropped.connections")
-            self.book.log.event("error", "connection_failed", why=why)
+            self.telemetry.count("dropped.connections")
+            self.telemetry.log.event("error", "connection_failed", why=why)
         finally:
             pump.cancel()
             self.end(peer, why)
@@ -126,21 +126,21 @@
 
     def refuse(self, peer: Peer, what: Refused) -> None:
         """It costs a stranger the connection, and a stream or a collector where nothing can follow it."""
-        self.book.refuse(
+        self.telemetry.refuse(
             what.stage.value, what.why, role=peer.party.role.value, proxy=peer.party.proxy
         )
         if peer.is_stranger():
             peer.outlet.turn_away(ERROR)
         elif what.is_end:
             # Guards against a proxy that counts as left and stays so, on a stream that is of no more use.
-            self.book.count("dropped.unreadable")
+            self.telemetry.count("dropped.unreadable")
             peer.outlet.reset()
             self.streams.end(peer, what.why)
 
-    def accept(self, peer: Peer, said: Said, note: events.Note | None) -> None:
-        self.book.count(TAKEN[type(said)])
+    def accept(self, peer: Peer, said: Said, note: events.Event | None) -> None:
+        self.telemetry.count(TAKEN[type(said)])
         if isinstance(said, HostSaid) and said.report:
-            self.book.count_report(said.report)
+            self.telemetry.count_report(said.report)
         if isinstance(said, Asked):
             self.answer(peer)
         if isinstance(said, CollectorSaid):
@@ -183,14 +183,14 @@
         others.sort(key=lambda old: (old.party.has_told, old.heard))
         for place, old in enumerate(others):
             if old.heard < late or len(others) - place >= MOST_COLLECTORS:
-                self.book.count("dropped.collectors")
+                self.telemetry.count("dropped.collectors")
                 old.outlet.reset()
 
     def end(self, peer: Peer, why: str) -> None:
         self.drop(peer)
         self.streams.end(peer, why)
         if peer.party.role is Role.COLLECTOR:
-            self.book.log.event("info", "collector_left", why=why)
+            self.telemetry.log.event("info", "collector_left", why=why)
         peer.cutter.ring.release()
         peer.outlet.close()
 
@@ -214,7 +214,7 @@
             return
         few = len(self.strangers) <= AT_ONCE
         if not self.askers and few and (silent := self.streams.oldest_silent()):
-            self.book.count("dropped.silent_streams")
+            self.telemetry.count("dropped.silent_streams")
             self.drop(silent)
             silent.outlet.reset()
         elif waiting := self.askers or self.strangers:
@@ -235,5 +235,5 @@
     def turn_away(self, peer: Peer) -> None:
         """It no longer counts, though its connection's end is still to run: each is to make room for one."""
         self.drop(peer)
-        self.book.count("dropped.strangers")
+        self.telemetry.count("dropped.strangers")
         peer.outlet.turn_away(ERROR)
--- a/plankroute/net/proxies/sender.py
+++ b/plankroute/net/proxies/sender.py
@@ -1,31 +1,31 @@
 """Send: messages become bytes on their proxy's stream."""
 
 from plankroute.controller.messages import Message
-from plankroute.net.process.telemetry import Book
+from plankroute.net.process.telemetry import Telemetry
 from plankroute.net.proxies.line_codec import Writer
 from plankroute.net.proxies.sessions import Streams
 
 
 class Sender:
-    def __init__(self, streams: Streams, writer: Writer, book: Book) -> None:
-        self.streams, self.writer, self.book = streams, writer, book
+    def __init__(self, streams: Streams, writer: Writer, telemetry: Telemetry) -> None:
+        self.streams, self.writer, self.telemetry = streams, writer, telemetry
 
     def send(self, message: Message) -> None:
         peer = self.streams.by_proxy.get(message.proxy)
         if peer is None:
-            self.book.count("dropped.messages")
+            self.telemetry.count("dropped.messages")
             return
         data = self.writer.write(message)
         if not peer.outlet.send(data):
             # It reads nothing, or its connection is gone: what follows would rest on what it never got.
-            self.book.count("dropped.messages")
-            self.book.log.event(
+            self.telemetry.count("dropped.messages")
+            self.telemetry.log.event(
                 "error", "stream_overrun", proxy=message.proxy, waiting=peer.outlet.ring.size
             )
             peer.outlet.reset()
             return
         if message.mark is not None:
             peer.expect(message.mark)
-        self.book.count("sent.messages")
-        self.book.count("sent.lines", message.cost())
-        self.book.count("sent.bytes", len(data))
+        self.telemetry.count("sent.messages")
+        self.telemetry.count("sent.lines", message.cost())
+        self.telemetry.count("sent.bytes", len(data))
--- a/plankroute/net/proxies/sessions.py
+++ b/plankroute/net/proxies/sessions.py
@@ -5,7 +5,7 @@
 from dataclasses import replace
 
 from plankroute.events import events
-from plankroute.net.process.telemetry import Book
+from plankroute.net.process.telemetry import Telemetry
 from plankroute.net.proxies.connection import Peer
 
 
@@ -22,9 +22,13 @@
     )
 
     def __init__(
-        self, joined: set[int], book: Book, answer_s: float, put: Callable[[events.Note], None]
+        self,
+        joined: set[int],
+        telemetry: Telemetry,
+        answer_s: float,
+        put: Callable[[events.Event], None],
     ) -> None:
-        self.joined, self.book, self.put = joined, book, put
+        self.joined, self.telemetry, self.put = joined, telemetry, put
         self.silent_s = self.PATIENCE * answer_s
         self.by_proxy: dict[int, Peer] = {}
         self.hellos: dict[Peer, events.ProxyJoined] = {}
@@ -37,13 +41,13 @@
             old.outlet.reset()
         self.by_proxy[hello.proxy], self.hellos[peer] = peer, hello
         self.joined.add(hello.proxy)
-        self.book.log.event("info", "proxy_joined", proxy=hello.proxy, again=old is not None)
+        self.telemetry.log.event("info", "proxy_joined", proxy=hello.proxy, again=old is not None)
         self.put(hello)
 
     def end(self, peer: Peer, why: str) -> None:
         if hello := self.hellos.pop(peer, None):
             del self.by_proxy[hello.proxy]
-            self.book.log.event("info", "proxy_left", proxy=hello.proxy, why=why)
+            self.telemetry.log.event("info", "proxy_left", proxy=hello.proxy, why=why)
             self.tell_left(hello.proxy)
 
     def tell_left(self, proxy: int) -> None:
@@ -58,8 +62,8 @@
         now = time.monotonic()
         for proxy, peer in self.by_proxy.items():
             if proxy in self.joined and peer.owes_for(now) > self.silent_s:
-                self.book.count("dropped.silent")
-                self.book.log.event(
+                self.telemetry.count("dropped.silent")
+                self.telemetry.log.event(
                     "warning", "stream_silent", proxy=proxy, owes=len(peer.party.marks)
                 )
                 self.tell_left(proxy)
@@ -78,5 +82,5 @@
         hello = self.hellos.get(peer)
         if hello and hello.proxy not in self.joined and not peer.is_ending():
             self.joined.add(hello.proxy)
-            self.book.log.event("info", "stream_back", proxy=hello.proxy)
+            self.telemetry.log.event("info", "stream_back", proxy=hello.proxy)
             self.put(replace(hello, fresh=False))
--- a/plankroute/simulator/__main__.py
+++ b/plankroute/simulator/__main__.py
@@ -6,8 +6,8 @@
 from typing import BinaryIO
 
 from plankroute.controller.controller import Controller
-from plankroute.events.commands import Forget
-from plankroute.events.events import Note
+from plankroute.events.commands import ForgetHost
+from plankroute.events.events import Event
 from plankroute.events.settings import microseconds
 from plankroute.simulator.frames import WireError, read_batch, write_reply
 from plankroute.simulator.records import (
@@ -25,34 +25,34 @@
 
     def __init__(self) -> None:
         self.decoder = Decoder()
-        self.stewards: dict[int, Controller] = {}
+        self.controllers: dict[int, Controller] = {}
 
     def reply(self, clock_us: int, body: bytes) -> list[bytes]:
-        pending: dict[int, list[Note]] = {}
+        pending: dict[int, list[Event]] = {}
         for event in self.decoder.decode(body):
             match event:
                 case Enlisted(instance, seed, facts):
-                    self.stewards[instance] = Controller(facts, seed)
+                    self.controllers[instance] = Controller(facts, seed)
                     pending[instance] = []
                 case Destroyed(instance):
-                    self.stewards.pop(instance, None)
+                    self.controllers.pop(instance, None)
                     pending.pop(instance, None)
                 case Delivered(instance, note):
                     pending.setdefault(instance, []).append(note)
         records: list[bytes] = []
-        for instance, notes in pending.items():
-            records += self.decide(instance, clock_us, notes)
+        for instance, events in pending.items():
+            records += self.decide(instance, clock_us, events)
         return records
 
-    def decide(self, instance: int, clock_us: int, notes: list[Note]) -> list[bytes]:
-        steward = self.stewards.get(instance)
-        if steward is None:
+    def decide(self, instance: int, clock_us: int, events: list[Event]) -> list[bytes]:
+        controller = self.controllers.get(instance)
+        if controller is None:
             return []
         try:
             return [
-                encode_order(instance, order)
-                for order in steward.deliver(clock_us, notes)
-                if not isinstance(order, Forget)
+                encode_order(instance, command)
+                for command in controller.deliver(clock_us, events)
+                if not isinstance(command, ForgetHost)
             ]  # the wire keeps every host
         except Exception as error:  # the wire asks for a word on any failure of a decision
             place = traceback.extract_tb(error.__traceback__)[-1]
--- a/plankroute/simulator/records.py
+++ b/plankroute/simulator/records.py
@@ -7,7 +7,13 @@
 
 from plankroute.events import commands, events
 from plankroute.events.facts import StartFacts
-from plankroute.events.settings import StartError, finite, load_report, microseconds, start_from
+from plankroute.events.settings import (
+    SettingsError,
+    finite,
+    load_report,
+    microseconds,
+    parse_settings,
+)
 from plankroute.simulator.frames import WireError
 
 ALL_TABLES = 0xFFFF
@@ -20,12 +26,12 @@
     3: events.ListKind.FAILED,
 }
 OUTCOMES = {
-    0: events.Outcome.ANSWERED,
-    5: events.Outcome.ERROR,
-    11: events.Outcome.TURNED_AWAY,
-    110: events.Outcome.SILENT,
-    111: events.Outcome.UNREACHED,
-    104: events.Outcome.ERROR,
+    0: events.HealthCheckOutcome.ANSWERED,
+    5: events.HealthCheckOutcome.ERROR,
+    11: events.HealthCheckOutcome.REJECTED,
+    110: events.HealthCheckOutcome.TIMED_OUT,
+    111: events.HealthCheckOutcome.UNREACHABLE,
+    104: events.HealthCheckOutcome.ERROR,
 }
 ENTRY = struct.Struct("<dfHBHIH")
 EVENTS = {
@@ -88,10 +94,10 @@
     """A note for an instance."""
 
     instance: int
-    note: events.Note
+    note: events.Event
 
 
-Event = Enlisted | Destroyed | Delivered
+WireEvent = Enlisted | Destroyed | Delivered
 
 
 class Decoder:
@@ -101,7 +107,7 @@
         self.lists: dict[int, tuple[events.HostEntry, ...]] = {}
         self.report_fields: dict[int, tuple[str, ...]] = {}
 
-    def decode(self, body: bytes) -> Iterator[Event]:
+    def decode(self, body: bytes) -> Iterator[WireEvent]:
         at = 0
         while at < len(body):
             code = body[at]
@@ -135,8 +141,10 @@
     def on_enlist(self, values, body, at):
         instance, seed, size = values
         try:
-            facts, self.report_fields[instance] = start_from(json.loads(self.tail(body, at, size)))
-        except (ValueError, StartError) as error:
+            facts, self.report_fields[instance] = parse_settings(
+                json.loads(self.tail(body, at, size))
+            )
+        except (ValueError, SettingsError) as error:
             raise WireError(f"the settings can't be read: {error}") from error
         return Enlisted(instance, seed, facts), at + size
 
@@ -172,14 +180,14 @@
         return Delivered(instance, events.HostList(kind, self.lists[number])), at
 
     def on_ring(self, values, body, at):
-        return Delivered(values[0], events.TimerDue(values[1])), at
+        return Delivered(values[0], events.TimerExpired(values[1])), at
 
     def on_status_back(self, values, body, at):
         instance, host, ending, took, count = values
         report, at = self.report(instance, count, body, at)
-        outcome = OUTCOMES.get(ending, events.Outcome.ERROR)
+        outcome = OUTCOMES.get(ending, events.HealthCheckOutcome.ERROR)
         return Delivered(
-            instance, events.ProbeResult(host, outcome, microseconds(took), report)
+            instance, events.HealthCheckResult(host, outcome, microseconds(took), report)
         ), at
 
     def on_mail(self, values, body, at):
@@ -194,69 +202,71 @@
         return Delivered(values[0], events.ProxyLeft(values[1])), at
 
     def on_installed(self, values, body, at):
-        instance, proxy, serial, took = values
-        return Delivered(instance, events.Applied(proxy, serial, microseconds(took))), at
+        instance, proxy, sequence_number, took = values
+        return Delivered(
+            instance, events.Acknowledged(proxy, sequence_number, microseconds(took))
+        ), at
 
     def on_stats(self, values, body, at):
-        instance, zone, mean, voided, tries, span, host, count = values
+        instance, zone, mean, failed, attempts, span, host, count = values
         report, at = self.report(instance, count, body, at)
-        note = events.HostSums(
-            host, zone, tries, voided, finite(mean) * 1000, microseconds(span), report
+        note = events.HostRequestStats(
+            host, zone, attempts, failed, finite(mean) * 1000, microseconds(span), report
         )
         return Delivered(instance, note), at
 
     def on_traffic(self, values, body, at):
-        instance, span, product, voided, proxy, arrived = values
-        note = events.ProxyTraffic(proxy, product, arrived, voided, microseconds(span))
+        instance, span, product, failed, proxy, arrived = values
+        note = events.ProxyRequestStats(proxy, product, arrived, failed, microseconds(span))
         return Delivered(instance, note), at
 
     def on_pressure(self, values, body, at):
-        instance, slice_, product, arrived, voided, span = values
-        note = events.SliceTraffic(slice_, product, arrived, voided, microseconds(span))
+        instance, slice_, product, arrived, failed, span = values
+        note = events.SliceRequestStats(slice_, product, arrived, failed, microseconds(span))
         return Delivered(instance, note), at
 
     def on_mandate(self, values, body, at):
-        return Delivered(values[0], events.SliceCharge(values[1], bool(values[2]))), at
+        return Delivered(values[0], events.SliceAssignment(values[1], bool(values[2]))), at
 
     def on_stored_line(self, values, body, at):
         instance, slice_, host, weight = values
-        return Delivered(instance, events.SliceLine(slice_, host, finite(weight))), at
+        return Delivered(instance, events.SliceRoute(slice_, host, finite(weight))), at
 
 
 def mask(products: tuple[int, ...] | None) -> int:
     return 0 if products is None else sum(1 << place for place in products)
 
 
-def encode_order(instance: int, order: commands.Order) -> bytes:
+def encode_order(instance: int, command: commands.Command) -> bytes:
     """One action record."""
-    match order:
-        case commands.SetLine(table, host, weight):
+    match command:
+        case commands.SetRoute(table, host, weight):
             return struct.pack("<BHHIf", 75, instance, table, host, weight)
-        case commands.Bind(table, proxy, products):
+        case commands.BindProxy(table, proxy, products):
             return struct.pack("<BHHHH", 67, instance, table, proxy, mask(products))
-        case commands.Withdraw(host, out):
+        case commands.WithdrawHost(host, out):
             return struct.pack("<BHIB", 72, instance, host, out)
-        case commands.SetLevel(table, products, level, retry):
+        case commands.SetAdmissionLimit(table, products, level, retry):
             number = ALL_TABLES if table is commands.ALL_TABLES else table
             return struct.pack("<BHHBHf", 68, instance, number, retry, mask(products), level)
         case commands.SetTimer(after_us, token):
             return struct.pack("<BHdI", 65, instance, after_us / 1000, token)
-        case commands.Probe(host):
+        case commands.CheckHealth(host):
             return struct.pack("<BHI", 70, instance, host)
-        case commands.Mark(serial, everyone):
-            return struct.pack("<BHQB", 73, instance, serial, everyone)
+        case commands.RequestAcknowledgement(sequence_number, everyone):
+            return struct.pack("<BHQB", 73, instance, sequence_number, everyone)
         case commands.ClearTable(table):
             return struct.pack("<BHH", 64, instance, table)
-        case commands.Tell(peer, data):
+        case commands.SendToPeer(peer, data):
             number = ALL_PEERS if peer is commands.ALL_PEERS else peer
             return struct.pack("<BHHH", 69, instance, number, len(data)) + data
-        case commands.Subscribe(on):
+        case commands.SubscribeHostList(on):
             return struct.pack("<BHB", 74, instance, on)
-        case commands.AskList():
+        case commands.PollHostList():
             return struct.pack("<BH", 66, instance)
-        case commands.Log(text):
+        case commands.LogMessage(text):
             return encode_text(71, instance, text)
-    raise TypeError(f"no record for {order!r}")
+    raise TypeError(f"no record for {command!r}")
 
 
 def encode_failure(instance: int, text: str) -> bytes:
--- a/plankroute/testbed/list_service.py
+++ b/plankroute/testbed/list_service.py
@@ -16,7 +16,7 @@
 import orjson
 
 from plankroute.net.discovery.catalogue import MEMBERS
-from plankroute.token_bucket import Tokens
+from plankroute.token_bucket import TokenBucket
 
 BIN_S = 0.1  # in which calls are counted
 QUIET_S = 2.0  # between signs of life on a watch, as published
@@ -75,7 +75,7 @@
         self.targets, self.behaviour, self.revision = targets, behaviour, revision
         self.first_revision = revision
         self.changes: list[tuple[int, dict[str, Any]]] = []
-        self.allowed = Tokens(
+        self.allowed = TokenBucket(
             behaviour.rate, max(1.0, behaviour.rate / 4)
         )  # bunches of a quarter of a
         # second
--- a/plankroute/testbed/write_kills.py
+++ b/plankroute/testbed/write_kills.py
@@ -104,7 +104,7 @@
     if not isinstance(kept, Kept):
         seen.failed += 1
         return
-    numbers = {facts.tries for facts in kept.view.hosts}
+    numbers = {facts.attempts for facts in kept.view.hosts}
     seen.mixtures += numbers != {float(kept.view.revision)} or len(kept.view.hosts) != HOSTS
 
 
--- a/plankroute/token_bucket.py
+++ b/plankroute/token_bucket.py
@@ -3,7 +3,7 @@
 SECOND_US = 1_000_000
 
 
-class Tokens:
+class TokenBucket:
     """`rate` a second, `burst` at most."""
 
     def __init__(self, rate: float, burst: float) -> None:
--- a/plankroute/warm_start/core.py
+++ b/plankroute/warm_start/core.py
@@ -45,7 +45,7 @@
     uid: str
     known: Merged
     health_age_us: int
-    powers_age_us: int
+    capacity_age_us: int
 
 
 @dataclass(frozen=True, slots=True)
@@ -136,9 +136,9 @@
         return msgspec.structs.replace(
             health,
             weight=powers.weight,
-            tries=powers.tries,
-            voided=min(health.voided, powers.tries),
-            mean_us=powers.mean_us,
+            attempts=powers.attempts,
+            failed=min(health.failed, powers.attempts),
+            mean_latency_us=powers.mean_latency_us,
             age_us=max(0, age_us),
         )
 
--- a/plankroute/warm_start/facts.py
+++ b/plankroute/warm_start/facts.py
@@ -21,16 +21,16 @@
     uid: Name
     boot_ms: Figure
     weight: Figure
-    tries: Figure
-    voided: Figure
-    mean_us: Figure
+    attempts: Figure
+    failed: Figure
+    mean_latency_us: Figure
     is_shut: bool
-    needed: Annotated[int, msgspec.Meta(ge=0, le=1024)]
+    required_checks: Annotated[int, msgspec.Meta(ge=0, le=1024)]
     age_us: Age
 
     def is_bad(self) -> bool:
         """Shut, or most of what it was sent was voided."""
-        return self.is_shut or 2 * self.voided > self.tries
+        return self.is_shut or 2 * self.failed > self.attempts
 
 
 class View(msgspec.Struct, frozen=True, array_like=True):
--- a/plankroute/warm_start/merge.py
+++ b/plankroute/warm_start/merge.py
@@ -23,7 +23,7 @@
 
     def powers_us(self, half_us: int) -> float:
         """Twice the tries make up for one half-life."""
-        return self.at_us + half_us * math.log2(1.0 + self.facts.tries)
+        return self.at_us + half_us * math.log2(1.0 + self.facts.attempts)
 
 
 @dataclass(frozen=True, slots=True)
@@ -47,11 +47,11 @@
     return (
         heard.at_us,
         facts.is_shut,
-        facts.voided,
-        facts.tries,
-        facts.needed,
+        facts.failed,
+        facts.attempts,
+        facts.required_checks,
         facts.weight,
-        facts.mean_us,
+        facts.mean_latency_us,
     )
 
 
--- a/tests/test_channel.py
+++ b/tests/test_channel.py
@@ -7,7 +7,7 @@
 
 def channel_with(lines: int, proxies: range) -> Channel:
     """A thousand lines a second, answers after half a second at most, one message to each proxy."""
-    channel = Channel(head_lines=4, lines_a_us=1e-3, answer_us=SECOND / 2)
+    channel = Channel(message_overhead_lines=4, lines_per_us=1e-3, answer_us=SECOND / 2)
     channel.charge(proxies, lines)
     channel.close()
     return channel
@@ -15,8 +15,8 @@
 
 def test_queued_lines_leave_at_the_regular_pace():
     channel = channel_with(lines=95, proxies=range(10))
-    assert channel.queued == channel.waiting == 1000
-    channel.pass_time(SECOND // 4)
+    assert channel.queued == channel.unacknowledged == 1000
+    channel.advance(SECOND // 4)
     assert channel.queued == 750
 
 
@@ -26,15 +26,15 @@
     channel = channel_with(lines=995, proxies=range(10))
     for proxy in range(9):
         channel.left(proxy)
-    channel.pass_time(0)
-    assert channel.queued == channel.waiting == 1000
+    channel.advance(0)
+    assert channel.queued == channel.unacknowledged == 1000
 
 
 def test_a_channel_slower_than_stated_keeps_lines_queued():
     """Guards against a slow channel that is filled to its cap, so that drains wait behind ordinary lines."""
     channel = channel_with(lines=95, proxies=range(10))
-    channel.pass_time(20 * SECOND)
+    channel.advance(20 * SECOND)
     assert channel.queued == 500  # of a thousand without an answer half can be in flight
-    channel.answered(9, channel.serial)
-    channel.pass_time(21 * SECOND)
+    channel.acknowledge(9, channel.sequence_number)
+    channel.advance(21 * SECOND)
     assert channel.queued == 400
--- a/tests/test_coldstart.py
+++ b/tests/test_coldstart.py
@@ -19,7 +19,7 @@
     Refused,
     retry_after_us,
 )
-from plankroute.cold_start.drain_notices import EarlyDrains
+from plankroute.cold_start.drain_notices import DrainNotices
 from plankroute.cold_start.endpoint_list import HeldList, Incoming
 from plankroute.cold_start.link_codec import (
     VERSION,
@@ -50,10 +50,10 @@
 from plankroute.net.discovery.backoff_watch import CarefulDiscovery
 from plankroute.net.discovery.catalogue import list_from
 from plankroute.net.discovery.directory import Directory
-from plankroute.net.peers.drain_notices import DrainsAhead
+from plankroute.net.peers.drain_notices import DrainNoticeOverlay
 from plankroute.net.peers.links import LinkServer, in_pieces
 from plankroute.net.process.clock import Clock
-from plankroute.net.process.telemetry import Book, Log
+from plankroute.net.process.telemetry import EventLog, Telemetry
 from plankroute.testbed.cold_start import Case, down_until, run_case
 from plankroute.testbed.cold_start_cases import CASES, run_cold
 from plankroute.testbed.list_service import Behaviour, Mode, Phase, target
@@ -394,7 +394,7 @@
 
 
 def test_a_drain_told_ahead_holds_until_a_list_of_its_revision_says_otherwise():
-    early = EarlyDrains()
+    early = DrainNotices()
     assert early.hear(0, "n1", 7, [*DRAINS, ("d", HostState.READY)], held=5, listed=10) == [
         "a",
         "b",
@@ -409,7 +409,7 @@
 
 def test_a_peer_can_close_half_of_the_hosts_ahead_of_a_list_and_only_for_a_while():
     """Guards against a liar that leaves proxies nobody to pick."""
-    early = EarlyDrains()
+    early = DrainNotices()
     lies = [(f"h{host}", HostState.GONE) for host in range(10)]
     assert len(early.hear(0, "liar", 99, lies, 5, 10)) == 5 and early.refused == 5
     assert early.hear(SECOND, "n2", 9, [("h0", HostState.DRAINING)], 5, 10) == []
@@ -420,9 +420,9 @@
 
 
 def test_what_was_told_ahead_lies_over_lists_and_gives_way_to_the_lists_own_word():
-    told, book = [], Book(Log("n0", lambda line: None))
+    told, telemetry = [], Telemetry(EventLog("n0", lambda line: None))
     directory = Directory(Clock(), ("a",), ("m",), ("p",))
-    ahead = DrainsAhead(directory, book, told.append)
+    ahead = DrainNoticeOverlay(directory, telemetry, told.append)
 
     def listed(revision: int, whole: bool, **states: str) -> dict[str, str]:
         items = [
@@ -466,7 +466,7 @@
 )
 def test_no_host_is_open_that_the_newest_word_heard_has_closed(words):
     """A plain model beside it: of each host the newest word, from early drains and from lists alike."""
-    early, newest, held = EarlyDrains(), {}, 0
+    early, newest, held = DrainNotices(), {}, 0
     for revision, uid, state, is_list in words:
         if is_list and revision >= held:
             held = revision
@@ -487,7 +487,7 @@
     group, name = "g", "n0"
 
     def __init__(self, hosts: int, padding: int) -> None:
-        self.book, self.held = Book(Log("n0", lambda line: None)), HeldList()
+        self.telemetry, self.held = Telemetry(EventLog("n0", lambda line: None)), HeldList()
         targets = [{**entry(f"h{host}"), "padding": "x" * padding} for host in range(hosts)]
         self.held.take({"rev": 5, "all": True, "targets": targets})
 
@@ -605,7 +605,7 @@
                 f"127.0.0.1:{port}",
                 1 << 20,
                 Directory(Clock(), ("a",), ("m",), ()),
-                Book(Log("n", [].append)),
+                Telemetry(EventLog("n", [].append)),
                 1,
                 False,
                 [].append,
