--- a/tests/test_decide.py
+++ b/tests/test_decide.py
@@ -9,8 +9,8 @@
 
 from plankroute.controller.controller import Controller
 from plankroute.events import commands, events
-from plankroute.events.events import ListKind, Outcome
-from plankroute.events.facts import LevelUnit, Prices, ReportWay
+from plankroute.events.events import HealthCheckOutcome, ListKind
+from plankroute.events.facts import AdmissionUnit, PenaltyRates, ReportSource
 from plankroute.policy.decide import Host, Publisher
 
 
@@ -18,7 +18,12 @@
     bench = Bench(start_facts(**facts))
     bench.give(full(*[entry(100 + i, zone=i % 3, kind=i % 2) for i in range(hosts)]))
     asked = probes(bench.give(*[events.ProxyJoined(p, p % 3, 10.0, True) for p in range(proxies)]))
-    bench.give(*[events.ProbeResult(host, Outcome.ANSWERED, 10_000, None) for host in asked])
+    bench.give(
+        *[
+            events.HealthCheckResult(host, HealthCheckOutcome.ANSWERED, 10_000, None)
+            for host in asked
+        ]
+    )
     bench.pass_time(SECOND // 10)
     return bench
 
@@ -27,22 +32,22 @@
     bench: Bench,
     turns: int,
     time_ms=lambda host: 200.0,
-    voided=lambda host: 0,
-    tries: int = 8,
+    failed=lambda host: 0,
+    attempts: int = 8,
     skip: tuple[int, ...] = (),
-    inflight: float = 2.0,
+    in_flight: float = 2.0,
 ) -> None:
     for _ in range(turns):
         bench.give(
             *[
-                events.HostSums(
+                events.HostRequestStats(
                     host,
                     0,
-                    tries,
-                    voided(host),
+                    attempts,
+                    failed(host),
                     time_ms(host) * 1000,
                     SECOND,
-                    events.LoadReport(inflight=inflight),
+                    events.LoadReport(in_flight=in_flight),
                 )
                 for host, item in bench.hosts.items()
                 if item.state is READY and host not in skip
@@ -51,8 +56,8 @@
         bench.pass_time(SECOND)
 
 
-def probes(out: list[commands.Order]) -> set[int]:
-    return {order.host for order in out if isinstance(order, commands.Probe)}
+def probes(out: list[commands.Command]) -> set[int]:
+    return {order.host for order in out if isinstance(order, commands.CheckHealth)}
 
 
 def test_one_shared_table_binds_each_proxy_once_and_sends_only_changes():
@@ -60,7 +65,7 @@
     assert len(bench.lines) == 1 and len({table for table in bench.bound.values()}) == 1
     bench.log.clear()
     bench.pass_time(5 * SECOND)
-    assert not [o for o in bench.log if isinstance(o, (commands.SetLine, commands.Bind))]
+    assert not [o for o in bench.log if isinstance(o, (commands.SetRoute, commands.BindProxy))]
 
 
 def test_the_pid_moves_weight_from_slow_hosts_to_fast_ones():
@@ -75,7 +80,7 @@
     """Guards against a tenth of a core spent on looks that find nothing new, at 500 hosts."""
     bench = ready_bench()
     feed(bench, 3)
-    publisher, found = bench.steward.publisher, []
+    publisher, found = bench.controller.publisher, []
     table = type(publisher.tables[0])
     plain = table.slots
     table.slots = lambda *words: found.append(words) or plain(*words)
@@ -85,7 +90,7 @@
         bench.give(changes(entry(100, DRAINING, zone=0, kind=0)))
         assert turns == 0 < len(found) and 100 not in bench.lines[0]
         assert publisher.all_slots() == [
-            plain(publisher.tables[0], bench.steward.fleet, publisher.withdrawn)
+            plain(publisher.tables[0], bench.controller.host_table, publisher.withdrawn)
         ]
     finally:
         table.slots = plain
@@ -94,36 +99,38 @@
 def test_a_stale_report_does_not_kick_the_derivative():
     bench = ready_bench()
     feed(bench, 4, time_ms=lambda host: 400.0 if host == 100 else 200.0)
-    fleet = bench.steward.fleet
-    assert not any(fleet.news)
-    errors = list(fleet.error)
+    host_table = bench.controller.host_table
+    assert not any(host_table.heard_since_turn)
+    errors = list(host_table.error)
     bench.pass_time(3 * SECOND)
-    assert fleet.error == errors
+    assert host_table.error == errors
 
 
 def test_a_blind_steward_keeps_its_weights():
     bench = ready_bench()
     feed(bench, 2, time_ms=lambda host: 900.0 if host == 100 else 200.0)
     bench.pass_time(2 * SECOND)  # its slots are written
-    fleet = bench.steward.fleet
-    fleet.integral[:] = [0.0] * len(fleet.integral)
-    before = list(fleet.weight)
+    host_table = bench.controller.host_table
+    host_table.integral[:] = [0.0] * len(host_table.integral)
+    before = list(host_table.weight)
     bench.pass_time(3 * SECOND)
-    assert fleet.weight == pytest.approx(before)
+    assert host_table.weight == pytest.approx(before)
 
 
 def test_turns_keep_behind_the_sums_that_come_together():
     """Guards against news that wait up to a turn."""
     bench = ready_bench()
     feed(bench, 4)
-    bench.give(*[events.HostSums(host, 0, 8, 0, 200_000.0, SECOND, None) for host in bench.hosts])
-    assert all(bench.steward.fleet.news)
+    bench.give(
+        *[events.HostRequestStats(host, 0, 8, 0, 200_000.0, SECOND, None) for host in bench.hosts]
+    )
+    assert all(bench.controller.host_table.heard_since_turn)
     bench.pass_time(SECOND // 5)
-    assert not any(bench.steward.fleet.news)
+    assert not any(bench.controller.host_table.heard_since_turn)
 
 
 def test_load_that_other_stewards_bring_counts():
-    bench = Bench(start_facts(products=(product(), product(own_zone=True))))
+    bench = Bench(start_facts(request_classes=(product(), product(stays_in_zone=True))))
     bench.give(
         full(*[entry(100 + i, zone=i % 3) for i in range(9)]), events.ProxyJoined(0, 1, 10.0, True)
     )
@@ -132,14 +139,14 @@
     ):  # this steward's proxy brings zone 0 nothing, the hosts there hold three times as much
         bench.give(
             *[
-                events.HostSums(
+                events.HostRequestStats(
                     h,
                     0,
                     3 if e.zone == 0 else 9,
                     0,
                     200e3,
                     SECOND,
-                    events.LoadReport(inflight=2.7 if e.zone == 0 else 0.9),
+                    events.LoadReport(in_flight=2.7 if e.zone == 0 else 0.9),
                 )
                 for h, e in bench.hosts.items()
             ]
@@ -155,26 +162,26 @@
         bench,
         8,
         time_ms=lambda host: 20.0 if host == 101 else 200.0,
-        voided=lambda host: 4 * (host == 101),
+        failed=lambda host: 4 * (host == 101),
     )
     assert bench.lines[0][101] < before / 2
 
 
 def test_hosts_open_to_fewer_products_are_not_starved():
-    bench = Bench(start_facts(products=(product(), product(zones=(0, 1)))))
+    bench = Bench(start_facts(request_classes=(product(), product(zones=(0, 1)))))
     bench.give(full(*[entry(100 + i, zone=i % 3) for i in range(6)]))
     bench.give(events.ProxyJoined(0, 0, 10.0, True))
     for _ in range(10):  # zone 2 has a third of the tries and longer work, and holds less for it
         bench.give(
             *[
-                events.HostSums(
+                events.HostRequestStats(
                     h,
                     0,
                     3 if e.zone == 2 else 9,
                     0,
                     300e3 if e.zone == 2 else 150e3,
                     SECOND,
-                    events.LoadReport(inflight=0.9 if e.zone == 2 else 1.35),
+                    events.LoadReport(in_flight=0.9 if e.zone == 2 else 1.35),
                 )
                 for h, e in bench.hosts.items()
             ]
@@ -197,11 +204,11 @@
     bench.log.clear()
     feed(bench, 2, skip=(100,))
     assert probes(bench.log) == {100}
-    bench.give(events.ProbeResult(100, Outcome.SILENT, 500_000, None))
+    bench.give(events.HealthCheckResult(100, HealthCheckOutcome.TIMED_OUT, 500_000, None))
     bench.pass_time(SECOND // 4)
     assert 100 not in bench.lines[0]
     for _ in range(4):
-        bench.give(events.ProbeResult(100, Outcome.ANSWERED, 20_000, None))
+        bench.give(events.HealthCheckResult(100, HealthCheckOutcome.ANSWERED, 20_000, None))
     bench.pass_time(1_100_000)
     assert 0 < bench.lines[0][100] <= bench.lines[0][101] / 2
 
@@ -210,10 +217,10 @@
     bench = ready_bench(hosts=9)
     feed(bench, 6)
     for host in bench.hosts:
-        bench.give(events.HostSums(host, 0, 9, 9 * (host == 100), 200_000.0, SECOND, None))
-    bad = events.ProbeResult(100, Outcome.ERROR, 1000, None)
-    assert probes(bench.give(bad)) == {100} and not bench.steward.fleet.shut[0]
-    assert not probes(bench.give(bad)) and bench.steward.fleet.shut[0]
+        bench.give(events.HostRequestStats(host, 0, 9, 9 * (host == 100), 200_000.0, SECOND, None))
+    bad = events.HealthCheckResult(100, HealthCheckOutcome.ERROR, 1000, None)
+    assert probes(bench.give(bad)) == {100} and not bench.controller.host_table.ejected[0]
+    assert not probes(bench.give(bad)) and bench.controller.host_table.ejected[0]
     assert not probes(bench.give(replace(bad, host=101)))  # no suspect
 
 
@@ -222,10 +229,10 @@
     bench = ready_bench(hosts=9)
     feed(bench, 6)
     feed(bench, 1, time_ms=lambda host: 9000.0 if host == 100 else 200.0)
-    fleet, before = bench.steward.fleet, bench.steward.fleet.weight[0]
-    fleet.integral[0] = 0.0
+    host_table, before = bench.controller.host_table, bench.controller.host_table.weight[0]
+    host_table.integral[0] = 0.0
     feed(bench, 1, skip=(100,))
-    assert fleet.weight[0] < 0.9 * before
+    assert host_table.weight[0] < 0.9 * before
 
 
 def test_half_the_fleet_may_fall_silent_but_no_more_than_three_quarters_are_shut(monkeypatch):
@@ -233,16 +240,21 @@
     feed(bench, 3)
     for _ in range(4):
         bench.give(
-            *[events.ProbeResult(host, Outcome.SILENT, 500_000, None) for host in range(100, 106)]
+            *[
+                events.HealthCheckResult(host, HealthCheckOutcome.TIMED_OUT, 500_000, None)
+                for host in range(100, 106)
+            ]
         )
         feed(bench, 1, skip=tuple(range(100, 106)))
     assert bench.lines[0].keys() == set(range(106, 112))
-    shut = bench.steward.fleet.shut
+    ejected = bench.controller.host_table.ejected
     monkeypatch.setattr(Host, "suspect", lambda self, usual: True)
     for others, spared in ((9, False), (8, True)):
-        shut[:] = [True] * others + [False] * (12 - others)
-        bench.give(*[events.ProbeResult(109, Outcome.SILENT, 500_000, None)] * 2)
-        assert shut[9] is spared
+        ejected[:] = [True] * others + [False] * (12 - others)
+        bench.give(
+            *[events.HealthCheckResult(109, HealthCheckOutcome.TIMED_OUT, 500_000, None)] * 2
+        )
+        assert ejected[9] is spared
 
 
 def test_streams_that_break_together_ask_all_hosts_and_who_is_out_of_reach_goes_at_once():
@@ -256,8 +268,11 @@
     near = {host for host in asked if bench.hosts[host].zone == 0}
     bench.give(
         *[
-            events.ProbeResult(
-                host, Outcome.ANSWERED if host in near else Outcome.UNREACHED, 1000, None
+            events.HealthCheckResult(
+                host,
+                HealthCheckOutcome.ANSWERED if host in near else HealthCheckOutcome.UNREACHABLE,
+                1000,
+                None,
             )
             for host in asked
         ]
@@ -271,18 +286,23 @@
     far = {host for host, item in bench.hosts.items() if item.zone}
     feed(bench, 3)
     for _ in range(3):
-        feed(bench, 1, voided=lambda host: 8 * (host in far))
+        feed(bench, 1, failed=lambda host: 8 * (host in far))
         asked = probes(bench.log[-40:])
-        bench.give(*[events.ProbeResult(host, Outcome.UNREACHED, 1000, None) for host in asked])
+        bench.give(
+            *[
+                events.HealthCheckResult(host, HealthCheckOutcome.UNREACHABLE, 1000, None)
+                for host in asked
+            ]
+        )
     bench.pass_time(SECOND)
     assert bench.lines[0].keys() == bench.hosts.keys() - far
 
 
 def test_a_zone_left_with_suspects_and_cold_hosts_uses_the_suspects():
-    bench = Bench(start_facts(products=(product(own_zone=True),)))
+    bench = Bench(start_facts(request_classes=(product(stays_in_zone=True),)))
     bench.give(full(*[entry(100 + i) for i in range(3)]), events.ProxyJoined(0, 0, 10.0, True))
     bench.pass_time(2 * SECOND)
-    bench.steward.fleet.shut[0] = True
+    bench.controller.host_table.ejected[0] = True
     bench.give(changes(entry(101, DRAINING), entry(102, GONE), entry(103, started_us=bench.now)))
     bench.pass_time(SECOND // 2)
     assert 100 in bench.picks(0, 0)
@@ -299,9 +319,9 @@
     feed(bench, 5)
     risen = bench.lines[0][200]
     assert 0.3 * usual < risen < 0.9 * usual
-    feed(bench, 3, voided=lambda host: 5)
+    feed(bench, 3, failed=lambda host: 5)
     assert 0 < bench.lines[0][200] < risen
-    feed(bench, 5, voided=lambda host: 8)
+    feed(bench, 5, failed=lambda host: 8)
     assert 200 not in bench.lines[0] and len(bench.lines[0]) == 6
 
 
@@ -311,7 +331,7 @@
         feed(bench, 8, time_ms=lambda host: 900.0 if host % 2 else 100.0)
         small = bench.lines[0][101]
         for place in (1, 3):
-            bench.steward.fleet.shut[place] = kind == 1
+            bench.controller.host_table.ejected[place] = kind == 1
         bench.give(changes(entry(200, kind=kind, started_us=bench.now)))
         bench.pass_time(SECOND)
         assert bench.lines[0][200] <= small
@@ -331,7 +351,7 @@
 def test_many_cold_hosts_may_share_what_few_may_not():
     for fresh, taken in ((1, False), (12, True)):
         bench = ready_bench()
-        feed(bench, 6, voided=lambda host: 6)
+        feed(bench, 6, failed=lambda host: 6)
         started_us = bench.now - 9 * SECOND
         bench.give(
             changes(*[entry(200 + i, zone=i % 3, started_us=started_us) for i in range(fresh)])
@@ -344,9 +364,9 @@
     bench = ready_bench(proxies=60)
     feed(bench, 3)
     bench.give(changes(entry(200, started_us=bench.now)))
-    feed(bench, 6, time_ms=lambda host: 1500.0, voided=lambda host: 3)
+    feed(bench, 6, time_ms=lambda host: 1500.0, failed=lambda host: 3)
     assert 0 < bench.lines[0][200] < bench.lines[0][101] / 2
-    feed(bench, 5, voided=lambda host: 8)  # so much may come to all that the cold ones fall
+    feed(bench, 5, failed=lambda host: 8)  # so much may come to all that the cold ones fall
     assert 200 not in bench.lines[0]
 
 
@@ -360,16 +380,16 @@
 
 
 def test_ordinary_lines_wait_while_proxies_do_not_answer_but_drains_do_not():
-    bench = ready_bench(queue_cap=400)
+    bench = ready_bench(backlog_cap_lines=400)
     bench.rate = 0.0
     feed(bench, 20, time_ms=lambda host: random.Random(host + bench.now).uniform(50, 900))
     assert bench.most_waiting <= 400
-    assert commands.SetLine(0, 100, 0.0) in bench.give(changes(entry(100, DRAINING)))
+    assert commands.SetRoute(0, 100, 0.0) in bench.give(changes(entry(100, DRAINING)))
 
 
 def test_a_steward_that_starts_anew_takes_over_what_old_tables_have_learnt():
     """Guards against even weights for proxies whose tables were right: their tries tell the weights."""
-    bench = Bench(start_facts(proxies=30, grace_us=7 * SECOND))
+    bench = Bench(start_facts(proxy_count=30, drain_grace_us=7 * SECOND))
     bench.give(
         full(*[entry(100 + i, zone=i % 3, kind=i % 2) for i in range(12)], entry(200), entry(201))
     )
@@ -378,34 +398,41 @@
         assert not bench.bound
         bench.give(
             *[
-                events.HostSums(host, 0, 9 if host % 2 else 3, 0, 2e5, SECOND, None)
+                events.HostRequestStats(host, 0, 9 if host % 2 else 3, 0, 2e5, SECOND, None)
                 for host in range(100, 112)
             ]
         )
         bench.pass_time(SECOND // 2)
-        bench.steward.publisher.round = 100.0  # a channel that is busy with withdrawals
+        bench.controller.publisher.round = 100.0  # a channel that is busy with withdrawals
         bench.give(changes(entry(host, DRAINING)))
         bench.rate = 0.0
         bench.pass_time(SECOND // 2)
     assert bench.bound and bench.lines[0][101] > 2 * bench.lines[0][100]  # binds carry it already
-    bench.rate = bench.facts.lines_per_s
+    bench.rate = bench.facts.channel_lines_per_s
     bench.pass_time(SECOND)
     assert len(bench.bound) == 30
     fresh = ready_bench(proxies=2)
     assert fresh.bound  # nobody has learnt anything yet: at once
 
 
-@pytest.mark.parametrize("weight, may_probe", [(0.0, True), (0.0, False), (2.0, True)])
-def test_first_probes_tell_the_speed_of_hosts_whose_sizes_the_list_keeps_silent(weight, may_probe):
+@pytest.mark.parametrize("weight, health_checks_allowed", [(0.0, True), (0.0, False), (2.0, True)])
+def test_first_probes_tell_the_speed_of_hosts_whose_sizes_the_list_keeps_silent(
+    weight, health_checks_allowed
+):
     """Guards against even weights until the first sums come, seconds after the first txns."""
-    bench = Bench(start_facts(may_probe=may_probe))
+    bench = Bench(start_facts(health_checks_allowed=health_checks_allowed))
     bench.give(full(*[entry(100 + i, kind=i % 2, weight=weight * (1 + i)) for i in range(6)]))
     asked = probes(bench.give(events.ProxyJoined(0, 0, 10.0, True)))
-    assert asked == (bench.hosts.keys() if may_probe and not weight else set())
+    assert asked == (bench.hosts.keys() if health_checks_allowed and not weight else set())
     took = {host: 10_000 + host % 2 * 15_000 for host in asked} | {
         100: 1
     }  # one seems to answer at once
-    bench.give(*[events.ProbeResult(host, Outcome.ANSWERED, took[host], None) for host in asked])
+    bench.give(
+        *[
+            events.HealthCheckResult(host, HealthCheckOutcome.ANSWERED, took[host], None)
+            for host in asked
+        ]
+    )
     bench.pass_time(SECOND // 10)
     lines = bench.lines[0]
     assert (
@@ -420,7 +447,10 @@
     bench.give(full(*[entry(100 + i) for i in range(6)]))
     asked = probes(bench.give(events.ProxyJoined(0, 0, 10.0, True)))
     bench.give(
-        *[events.ProbeResult(host, Outcome.ANSWERED, 10_000, None) for host in asked - {100}]
+        *[
+            events.HealthCheckResult(host, HealthCheckOutcome.ANSWERED, 10_000, None)
+            for host in asked - {100}
+        ]
     )
     bench.pass_time(SECOND // 10)
     assert not bench.bound
@@ -430,11 +460,16 @@
 
 def test_a_controller_that_starts_anew_and_hears_nothing_in_time_goes_by_probes():
     """Guards against even weights after a restart where the grace leaves no time for the first reports."""
-    bench = Bench(start_facts(grace_us=2 * SECOND))
+    bench = Bench(start_facts(drain_grace_us=2 * SECOND))
     bench.give(full(*[entry(100 + i, kind=i % 2) for i in range(6)]))
     asked = probes(bench.give(events.ProxyJoined(0, 0, 10.0, False)))
     took = {host: 10_000 + host % 2 * 20_000 for host in asked}
-    bench.give(*[events.ProbeResult(host, Outcome.ANSWERED, took[host], None) for host in asked])
+    bench.give(
+        *[
+            events.HealthCheckResult(host, HealthCheckOutcome.ANSWERED, took[host], None)
+            for host in asked
+        ]
+    )
     bench.pass_time(2 * SECOND)
     assert asked == set(range(100, 106)) and bench.lines[0][100] > 2 * bench.lines[0][101]
 
@@ -446,7 +481,12 @@
     bench.give(full(*[entry(100 + i, kind=i % 2) for i in range(20)]))
     bench.give(events.ProxyJoined(0, 0, 10.0, True))
     took = {host: 10_000 for host in range(100, 120) if host % 2 == 0 or host < 108} | {100: 1}
-    bench.give(*[events.ProbeResult(host, Outcome.ANSWERED, took[host], None) for host in took])
+    bench.give(
+        *[
+            events.HealthCheckResult(host, HealthCheckOutcome.ANSWERED, took[host], None)
+            for host in took
+        ]
+    )
     bench.pass_time(SECOND // 2)
     lines = bench.lines[0]
     assert len(lines) == 20 and max(lines.values()) <= 2 * min(lines.values())
@@ -456,7 +496,7 @@
     bench = Bench(start_facts())
     bench.give(full(entry(100), entry(101)), events.ProxyJoined(0, 0, 1.0, False))
     bench.give(changes(entry(100, DRAINING)))  # told even while it waits
-    assert commands.Withdraw(100, True) in bench.log
+    assert commands.WithdrawHost(100, True) in bench.log
     bench.pass_time(7 * SECOND)
     assert bench.bound and bench.lines[0][101] > 0
 
@@ -464,7 +504,7 @@
 def test_who_joins_is_bound_and_nobody_is_told_again_who_is_gone():
     """Guards against drains that wait behind withdrawals given again to all, each time that a proxy joins."""
     bench, _ = large_bench(3)
-    bench.rate = bench.facts.lines_per_s
+    bench.rate = bench.facts.channel_lines_per_s
     bench.pass_time(8 * SECOND)
     bench.give(changes(*[entry(100 + i, GONE, i % 3) for i in range(12)]))
     bench.pass_time(4 * SECOND)
@@ -473,7 +513,7 @@
         bench.give(events.ProxyLeft(proxy), events.ProxyJoined(proxy, proxy % 3, 1.0, False))
         bench.pass_time(SECOND // 2)
         assert (proxy, 0) in bench.bound and not [
-            o for o in bench.log if isinstance(o, commands.Withdraw)
+            o for o in bench.log if isinstance(o, commands.WithdrawHost)
         ]
 
 
@@ -482,57 +522,61 @@
     bench.pass_time(8 * SECOND)
     bench.give(changes(*[entry(100 + i, GONE, i % 3) for i in range(12)]))
     bench.pass_time(4 * SECOND)
-    bench.steward.publisher.spare_us = 2 * SECOND  # binds of all take three
+    bench.controller.publisher.spare_us = 2 * SECOND  # binds of all take three
     bench.log.clear()
     bench.give(
         *[events.ProxyLeft(p) for p in range(100)],
         *[events.ProxyJoined(p, p % 3, 1.0, False) for p in range(100)],
     )
     bench.pass_time(SECOND)
-    assert {o.host for o in bench.log if isinstance(o, commands.Withdraw)} == set(range(100, 112))
+    assert {o.host for o in bench.log if isinstance(o, commands.WithdrawHost)} == set(
+        range(100, 112)
+    )
 
 
 def test_a_warm_host_that_returns_keeps_its_line_while_the_fleet_drowns():
-    bench = ready_bench(hosts=4, products=(product(own_zone=True),))
-    feed(bench, 6, voided=lambda host: 8)
-    bench.steward.hosts[0].share = 0.25
+    bench = ready_bench(hosts=4, request_classes=(product(stays_in_zone=True),))
+    feed(bench, 6, failed=lambda host: 8)
+    bench.controller.hosts[0].share = 0.25
     bench.give(changes(entry(100)))
     bench.give(changes(entry(103, GONE)))
     bench.pass_time(SECOND)
     assert set(bench.picks(0, 0)) == {100}
 
 
-@pytest.mark.parametrize("unit", [LevelUnit.RATE, LevelUnit.SHARE, LevelUnit.NONE])
+@pytest.mark.parametrize("unit", [AdmissionUnit.RATE, AdmissionUnit.SHARE, AdmissionUnit.NONE])
 def test_levels_fall_under_overload_only_where_heeded(unit):
-    bench = ready_bench(level_unit=unit)
+    bench = ready_bench(admission_unit=unit)
     bench.levels.clear()
     for _ in range(6):
-        bench.give(*[events.ProxyTraffic(p, 0, 20, 0, SECOND) for p in range(4)])
+        bench.give(*[events.ProxyRequestStats(p, 0, 20, 0, SECOND) for p in range(4)])
         feed(bench, 1, time_ms=lambda host: 900.0)
-    if unit is LevelUnit.NONE:
+    if unit is AdmissionUnit.NONE:
         assert not bench.levels
         return
-    whole = 1.0 if unit is LevelUnit.SHARE else 20.0
+    whole = 1.0 if unit is AdmissionUnit.SHARE else 20.0
     assert (
-        0.4 * whole < bench.levels[-1].level < whole
+        0.4 * whole < bench.levels[-1].limit < whole
     )  # one late answer is counted once, not every turn
     feed(bench, 25)
-    assert bench.levels[-1].level == Publisher.OPEN[unit]
+    assert bench.levels[-1].limit == Publisher.OPEN[unit]
 
 
 def test_levels_decline_nothing_for_lost_connections_and_no_more_than_is_lost():
-    for slow_ms, voided, least in ((200.0, 6, 20.0), (900.0, 2, 12.0)):
-        bench = ready_bench(level_unit=LevelUnit.RATE)
+    for slow_ms, failed, least in ((200.0, 6, 20.0), (900.0, 2, 12.0)):
+        bench = ready_bench(admission_unit=AdmissionUnit.RATE)
         for _ in range(20):
-            bench.give(*[events.ProxyTraffic(p, 0, 12, 0, SECOND) for p in range(4)])
-            feed(bench, 1, time_ms=lambda host: slow_ms, voided=lambda host: voided)
-        assert bench.levels[-1].level >= least * 0.6
+            bench.give(*[events.ProxyRequestStats(p, 0, 12, 0, SECOND) for p in range(4)])
+            feed(bench, 1, time_ms=lambda host: slow_ms, failed=lambda host: failed)
+        assert bench.levels[-1].limit >= least * 0.6
 
 
 def test_slices_stay_as_the_store_has_them_but_drains_are_kept():
-    bench = Bench(start_facts(slices=4, exclusive=True))
+    bench = Bench(start_facts(slices=4, slices_exclusive=True))
     bench.give(
-        full(entry(1), entry(2)), events.ProxyJoined(0, 0, 1.0, True), events.SliceCharge(0, True)
+        full(entry(1), entry(2)),
+        events.ProxyJoined(0, 0, 1.0, True),
+        events.SliceAssignment(0, True),
     )
     bench.give(changes(entry(1, DRAINING)))
     assert not bench.lines and not bench.bound and bench.withdrawn == {1}
@@ -543,29 +587,29 @@
     bench.give(events.HostList(ListKind.FAILED, ()))
     bench.log.clear()
     bench.pass_time(3 * SECOND)
-    assert commands.Subscribe(True) in bench.log
+    assert commands.SubscribeHostList(True) in bench.log
 
 
 def test_the_same_events_give_the_same_orders():
-    logs = [Bench(start_facts(), steward=Controller(start_facts(), 5)) for _ in range(2)]
+    logs = [Bench(start_facts(), controller=Controller(start_facts(), 5)) for _ in range(2)]
     for bench in logs:
         generated_day(bench, random.Random(3), 60)
     assert logs[0].log == logs[1].log
 
 
-def odd_notes(rng: random.Random) -> list[events.Note]:
+def odd_notes(rng: random.Random) -> list[events.Event]:
     return [
-        events.HostSums(9999, 0, 3, 1, 1.0, 0, None),
-        events.HostSums(100, 2, 0, 5, 0.0, 0, None),
-        events.Applied(77, 3, 0),
+        events.HostRequestStats(9999, 0, 3, 1, 1.0, 0, None),
+        events.HostRequestStats(100, 2, 0, 5, 0.0, 0, None),
+        events.Acknowledged(77, 3, 0),
         events.ProxyLeft(78),
-        events.TimerDue(rng.randrange(9)),
+        events.TimerExpired(rng.randrange(9)),
         events.PeerMessage(1, b"?"),
-        events.ProbeResult(9999, Outcome.SILENT, 1, None),
-        events.ProxyTraffic(50, 0, 0, 0, 0),
-        events.HostSums(101, 0, 1, 9, 1e12, 1, events.LoadReport()),
-        events.HostSums(100, 0, 4, 0, math.nan, 1, events.LoadReport(inflight=math.nan)),
-        events.HostSums(100, 1, 4, 0, math.inf, 1, events.LoadReport(inflight=math.inf)),
+        events.HealthCheckResult(9999, HealthCheckOutcome.TIMED_OUT, 1, None),
+        events.ProxyRequestStats(50, 0, 0, 0, 0),
+        events.HostRequestStats(101, 0, 1, 9, 1e12, 1, events.LoadReport()),
+        events.HostRequestStats(100, 0, 4, 0, math.nan, 1, events.LoadReport(in_flight=math.nan)),
+        events.HostRequestStats(100, 1, 4, 0, math.inf, 1, events.LoadReport(in_flight=math.inf)),
     ]
 
 
@@ -574,7 +618,7 @@
     zones = {100 + i: rng.randrange(3) for i in range(rng.randint(1, 9))}
     bench.give(events.HostList(ListKind.CACHED, tuple(entry(h, zone=z) for h, z in zones.items())))
     for _ in range(steps):
-        host, proxy = rng.choice(list(zones)), rng.randrange(bench.facts.proxies)
+        host, proxy = rng.choice(list(zones)), rng.randrange(bench.facts.proxy_count)
         match rng.randrange(9):
             case 0:
                 bench.give(changes(entry(host, rng.choice([DRAINING, GONE]), zones[host])))
@@ -585,7 +629,10 @@
                 bench.give(changes(entry(host + 10, READY, zones[host + 10], started_us=bench.now)))
             case 3:
                 bench.give(
-                    *[events.ProxyJoined(p, p % 3, 1.0, False) for p in range(bench.facts.proxies)]
+                    *[
+                        events.ProxyJoined(p, p % 3, 1.0, False)
+                        for p in range(bench.facts.proxy_count)
+                    ]
                 )
             case 4:
                 bench.give(events.ProxyJoined(proxy, proxy % 3, 1.0, True), events.ProxyLeft(proxy))
@@ -599,11 +646,16 @@
                     bench,
                     rng.randint(1, 3),
                     time_ms=lambda _: math.exp(rng.gauss(5.5, 1.0)),
-                    voided=lambda _: rng.choice([0, 0, 0, 8]),
-                    inflight=rng.uniform(0, 20),
+                    failed=lambda _: rng.choice([0, 0, 0, 8]),
+                    in_flight=rng.uniform(0, 20),
                 )
                 bench.give(
-                    *[events.ProbeResult(h, rng.choice(list(Outcome)), 1000, None) for h in zones]
+                    *[
+                        events.HealthCheckResult(
+                            h, rng.choice(list(HealthCheckOutcome)), 1000, None
+                        )
+                        for h in zones
+                    ]
                 )
 
 
@@ -614,15 +666,15 @@
         [
             (product(),),
             (product(), product(zones=(0, 1))),
-            (product(own_zone=True), product(kinds=(0,))),
+            (product(stays_in_zone=True), product(machine_types=(0,))),
         ]
     )
     facts = start_facts(
-        products=products,
-        reports=rng.choice(list(ReportWay)),
-        level_unit=rng.choice(list(LevelUnit)),
-        may_probe=rng.random() < 0.7,
-        messages_most=rng.choice([0, 12]),
+        request_classes=products,
+        report_source=rng.choice(list(ReportSource)),
+        admission_unit=rng.choice(list(AdmissionUnit)),
+        health_checks_allowed=rng.random() < 0.7,
+        max_messages_per_window=rng.choice([0, 12]),
     )
     generated_day(Bench(facts, speed=rng.choice([1.0, 0.4])), rng, 50)
 
@@ -632,12 +684,17 @@
     rng, total = random.Random(5), dict.fromkeys(range(100, 160), 0.0)
     took = {host: int(math.exp(rng.gauss(9.0, 0.6))) for host in total}
     for seed in range(20):
-        bench = Bench(start_facts(stewards=20), steward=Controller(start_facts(stewards=20), seed))
+        bench = Bench(
+            start_facts(controller_count=20),
+            controller=Controller(start_facts(controller_count=20), seed),
+        )
         bench.give(full(*[entry(host, zone=host % 3, started_us=bench.now) for host in total]))
         bench.give(*[events.ProxyJoined(p, p % 3, 10.0, True) for p in range(4)])
         bench.give(
             *[
-                events.ProbeResult(host, Outcome.ANSWERED, took[host], None, age_us=SECOND)
+                events.HealthCheckResult(
+                    host, HealthCheckOutcome.ANSWERED, took[host], None, age_us=SECOND
+                )
                 for host in total
                 if rng.random() < 0.9
             ]
@@ -655,16 +712,16 @@
     benches = []
     for rank in range(stewards):
         told = start_facts(
-            steward=rank,
-            stewards=stewards,
-            proxies=stewards * 60,
-            lines_per_s=500.0,
-            queue_cap=40_000,
-            grace_us=12 * SECOND,
-            bare_us=60 * SECOND,
-            may_probe=False,
+            controller_rank=rank,
+            controller_count=stewards,
+            proxy_count=stewards * 60,
+            channel_lines_per_s=500.0,
+            backlog_cap_lines=40_000,
+            drain_grace_us=12 * SECOND,
+            max_unbound_us=60 * SECOND,
+            health_checks_allowed=False,
         )
-        bench = Bench(told, steward=Controller(told, rank))
+        bench = Bench(told, controller=Controller(told, rank))
         bench.give(full(*[entry(100 + i, zone=i % 3, kind=i % 2) for i in range(hosts)]))
         bench.give(*[events.ProxyJoined(p, p % 3, 10.0, True) for p in range(joined)])
         bench.pass_time(SECOND)
@@ -704,19 +761,19 @@
 def test_a_subset_is_as_large_as_can_be_bound_in_time():
     """Guards against whole tables that take longer to hand out than a drain may, after a restart."""
     told = start_facts(
-        steward=1,
-        stewards=4,
-        proxies=240,
-        lines_per_s=2000.0,
-        queue_cap=40_000,
-        grace_us=12 * SECOND,
-        bare_us=60 * SECOND,
-        may_probe=False,
+        controller_rank=1,
+        controller_count=4,
+        proxy_count=240,
+        channel_lines_per_s=2000.0,
+        backlog_cap_lines=40_000,
+        drain_grace_us=12 * SECOND,
+        max_unbound_us=60 * SECOND,
+        health_checks_allowed=False,
     )
     sizes = {}
     for grace_s in (12, 3):
-        facts = replace(told, grace_us=grace_s * SECOND)
-        bench = Bench(facts, steward=Controller(facts, 1))
+        facts = replace(told, drain_grace_us=grace_s * SECOND)
+        bench = Bench(facts, controller=Controller(facts, 1))
         bench.give(full(*[entry(100 + n, zone=n % 3) for n in range(200)]))
         bench.give(*[events.ProxyJoined(p, p % 3, 10.0, True) for p in range(60)])
         bench.pass_time(4 * SECOND)
@@ -728,20 +785,20 @@
 def test_subsets_are_whole_shares_so_that_each_host_is_in_as_many_tables():
     """Guards against hosts that stand in two controllers' tables beside others that stand in one."""
     sizes = {}
-    for stewards, lines_per_s in ((5, 2000.0), (2, 500.0)):
+    for stewards, channel_lines_per_s in ((5, 2000.0), (2, 500.0)):
         held: list[int] = []
         for rank in range(stewards):
             told = start_facts(
-                steward=rank,
-                stewards=stewards,
-                proxies=stewards * 60,
-                may_probe=False,
-                lines_per_s=lines_per_s,
-                queue_cap=40_000,
-                grace_us=12 * SECOND,
-                bare_us=60 * SECOND,
+                controller_rank=rank,
+                controller_count=stewards,
+                proxy_count=stewards * 60,
+                health_checks_allowed=False,
+                channel_lines_per_s=channel_lines_per_s,
+                backlog_cap_lines=40_000,
+                drain_grace_us=12 * SECOND,
+                max_unbound_us=60 * SECOND,
             )
-            bench = Bench(told, steward=Controller(told, rank))
+            bench = Bench(told, controller=Controller(told, rank))
             bench.give(full(*[entry(100 + n, zone=n % 3) for n in range(200)]))
             bench.give(*[events.ProxyJoined(p, p % 3, 10.0, True) for p in range(4)])
             bench.pass_time(SECOND)
@@ -754,7 +811,7 @@
 def test_after_a_restart_proxies_are_bound_within_the_grace_whatever_they_bring(grace_s):
     """Guards against hosts that were gone before the restart: nobody tells of them any more, so tables that
     still name them have to be replaced within the grace."""
-    facts = start_facts(proxies=30, grace_us=grace_s * SECOND)
+    facts = start_facts(proxy_count=30, drain_grace_us=grace_s * SECOND)
     bench = Bench(facts)
     bench.give(full(*[entry(100 + i, zone=i % 3) for i in range(12)]))
     bench.give(*[events.ProxyJoined(p, p % 3, 10.0, False) for p in range(30)])
@@ -769,17 +826,23 @@
     bench.log.clear()
     mine = set(bench.lines[0])
     feed(bench, 8, skip=tuple(set(bench.hosts) - mine))
-    fleet = bench.steward.fleet
-    assert fleet.outside_subset and not any(
-        bench.steward.hosts[i].silent() for i in fleet.outside_subset
+    host_table = bench.controller.host_table
+    assert host_table.outside_subset and not any(
+        bench.controller.hosts[i].silent() for i in host_table.outside_subset
+    )
+    mean = sum(host_table.weight[i] for i in host_table.outside_subset) / len(
+        host_table.outside_subset
     )
-    mean = sum(fleet.weight[i] for i in fleet.outside_subset) / len(fleet.outside_subset)
-    assert not any(fleet.shut) and mean == pytest.approx(1.0, abs=0.01)
+    assert not any(host_table.ejected) and mean == pytest.approx(1.0, abs=0.01)
 
 
 def test_a_table_longer_than_binds_may_queue_is_bound_all_the_same():
     """Guards against proxies that are never bound: 500 hosts, 2,000 lines a second on a short way."""
-    bench = Bench(start_facts(way_us=0, way_most_us=0, grace_us=3 * SECOND, proxies=9))
+    bench = Bench(
+        start_facts(
+            one_way_delay_us=0, max_one_way_delay_us=0, drain_grace_us=3 * SECOND, proxy_count=9
+        )
+    )
     bench.give(full(*[entry(100 + i, zone=i % 3) for i in range(500)]))
     bench.give(*[events.ProxyJoined(p, p % 3, 10.0, True) for p in range(9)])
     bench.pass_time(8 * SECOND)
@@ -788,28 +851,34 @@
 
 def test_an_answer_of_another_steward_from_another_time_counts_for_nothing():
     bench = ready_bench()
-    speed = list(bench.steward.fleet.speed)
-    bench.give(events.ProbeResult(100, Outcome.ANSWERED, 1000, None, age_us=60 * SECOND))
-    assert bench.steward.fleet.speed == speed
-    bench.give(events.ProbeResult(100, Outcome.ANSWERED, 1000, None, age_us=SECOND))
-    assert bench.steward.fleet.speed != speed
+    speed = list(bench.controller.host_table.probe_speed)
+    bench.give(
+        events.HealthCheckResult(100, HealthCheckOutcome.ANSWERED, 1000, None, age_us=60 * SECOND)
+    )
+    assert bench.controller.host_table.probe_speed == speed
+    bench.give(
+        events.HealthCheckResult(100, HealthCheckOutcome.ANSWERED, 1000, None, age_us=SECOND)
+    )
+    assert bench.controller.host_table.probe_speed != speed
 
 
-def views_of_stewards(kind: str, rng: random.Random) -> list[events.Note]:
+def views_of_stewards(kind: str, rng: random.Random) -> list[events.Event]:
     """What membership might say in one batch, right or not."""
-    alive, gone = events.StewardState.ALIVE, events.StewardState.GONE
+    alive, gone = events.ControllerState.ALIVE, events.ControllerState.GONE
     match kind:
         case "empty":
-            return [events.StewardSeen(1, gone)]
+            return [events.ControllerStatus(1, gone)]
         case "flapping":
-            return [events.StewardSeen(rng.randrange(3), state) for state in (gone, alive) * 3]
+            return [events.ControllerStatus(rng.randrange(3), state) for state in (gone, alive) * 3]
         case "lying":
             return [
-                events.StewardSeen(rng.randrange(-9, 2**40), rng.choice(list(events.StewardState)))
+                events.ControllerStatus(
+                    rng.randrange(-9, 2**40), rng.choice(list(events.ControllerState))
+                )
                 for _ in range(50)
             ]
         case _:
-            return [events.StewardSeen(1, alive)]  # of one that is gone
+            return [events.ControllerStatus(1, alive)]  # of one that is gone
 
 
 @pytest.mark.parametrize("kind", ["empty", "wrong", "flapping", "lying"])
@@ -819,11 +888,11 @@
     besides."""
 
     class Told(Bench):
-        def give(self, *batch: events.Note) -> list[commands.Order]:
+        def give(self, *batch: events.Event) -> list[commands.Command]:
             return super().give(*views_of_stewards(kind, random.Random(self.now)), *batch)
 
     logs = []
-    for bench in (Bench(start_facts(stewards=3)), Told(start_facts(stewards=3))):
+    for bench in (Bench(start_facts(controller_count=3)), Told(start_facts(controller_count=3))):
         generated_day(bench, random.Random(seed), 40)
         logs.append(bench.log)
     assert logs[0] == logs[1] and logs[0]
@@ -833,11 +902,11 @@
     """All proxies on one steward, whose channel may be slow: every bind is half a hundred lines."""
     rng = random.Random(seed)
     facts = start_facts(
-        proxies=100,
-        queue_cap=4000,
-        grace_us=7 * SECOND,
-        bare_us=12 * SECOND,
-        prices=Prices(order=order),
+        proxy_count=100,
+        backlog_cap_lines=4000,
+        drain_grace_us=7 * SECOND,
+        max_unbound_us=12 * SECOND,
+        penalty_rates=PenaltyRates(command_line=order),
     )
     bench = Bench(facts, speed=rng.choice([1.0, 0.7]))
     bench.give(full(*[entry(100 + i, zone=i % 3) for i in range(60)]))
@@ -878,11 +947,14 @@
     bench.pass_time(8 * SECOND)
     bench.log.clear()
     feed(bench, 1, time_ms=lambda host: 2000.0 if host == 100 else 200.0 + host)
-    lines = [order.host for order in bench.log if isinstance(order, commands.SetLine)]
+    lines = [order.host for order in bench.log if isinstance(order, commands.SetRoute)]
     assert lines[0] == 100 and len(lines) < 30
-    bench.rate, fleet = 0.0, bench.steward.fleet
+    bench.rate, host_table = 0.0, bench.controller.host_table
     feed(bench, 12, time_ms=lambda host: 2000.0 if host == 101 else 200.0)
-    assert fleet.dear and fleet.weight[1] >= fleet.standing[1] / 2
+    assert (
+        host_table.channel_constrained
+        and host_table.weight[1] >= host_table.effective_weight[1] / 2
+    )
 
 
 def test_dear_lines_do_not_keep_a_bad_slot_for_good():
@@ -900,10 +972,10 @@
         bench.pass_time(8 * SECOND)
         feed(bench, 6, time_ms=lambda _: time_ms)
         bench.log.clear()
-        weights = bench.steward.fleet.weight
+        weights = bench.controller.host_table.weight
         weights[:] = [weight * (1.1 if i % 2 else 0.9) for i, weight in enumerate(weights)]
         bench.pass_time(SECOND)
-        assert any(isinstance(o, commands.SetLine) for o in bench.log) is written
+        assert any(isinstance(o, commands.SetRoute) for o in bench.log) is written
 
 
 def test_the_model_objects_to_a_steward_that_forgets_drains(monkeypatch):
@@ -917,14 +989,14 @@
 def test_proxies_on_standing_tables_are_bound_while_slots_move_and_a_tenth_of_their_zone_is_gone():
     """Guards against proxies left with nobody to pick: slots filled the channel, turn after turn."""
     facts = start_facts(
-        lines_per_s=600.0,
-        queue_cap=6000,
-        grace_us=20 * SECOND,
-        way_us=400_000,
-        proxies=60,
-        may_probe=False,
+        channel_lines_per_s=600.0,
+        backlog_cap_lines=6000,
+        drain_grace_us=20 * SECOND,
+        one_way_delay_us=400_000,
+        proxy_count=60,
+        health_checks_allowed=False,
     )
-    bench = Bench(facts, steward=Controller(facts, 3))
+    bench = Bench(facts, controller=Controller(facts, 3))
     bench.give(full(*[entry(100 + n, zone=n % 3) for n in range(60)]))
     bench.give(*[events.ProxyJoined(p, p % 3, 10.0 / (1 + p), True) for p in range(40)])
     gone = []
@@ -934,28 +1006,30 @@
             bench.give(changes(*[entry(host, DRAINING, zone=(host - 100) % 3) for host in gone]))
         bench.give(
             *[
-                events.HostSums(host, 0, 40, 0, 200_000 * (1 + (host + turn) % 7), SECOND, None)
+                events.HostRequestStats(
+                    host, 0, 40, 0, 200_000 * (1 + (host + turn) % 7), SECOND, None
+                )
                 for host in range(100, 160)
                 if host not in gone
             ]
         )
         bench.pass_time(SECOND)
-    assert not bench.steward.publisher.unbound
+    assert not bench.controller.publisher.unbound
 
 
 def test_a_table_of_a_part_widens_until_it_holds_enough_warm_hosts():
     """Guards against whole tables, which take minutes to bind, after half of the hosts were replaced."""
     told = start_facts(
-        steward=1,
-        stewards=5,
-        proxies=300,
-        lines_per_s=500.0,
-        queue_cap=40_000,
-        grace_us=12 * SECOND,
-        bare_us=60 * SECOND,
-        may_probe=False,
+        controller_rank=1,
+        controller_count=5,
+        proxy_count=300,
+        channel_lines_per_s=500.0,
+        backlog_cap_lines=40_000,
+        drain_grace_us=12 * SECOND,
+        max_unbound_us=60 * SECOND,
+        health_checks_allowed=False,
     )
-    bench = Bench(told, steward=Controller(told, 1))
+    bench = Bench(told, controller=Controller(told, 1))
     new = bench.now - SECOND
     bench.give(full(*[entry(100 + n, zone=n % 3, started_us=new * (n % 2)) for n in range(200)]))
     bench.give(*[events.ProxyJoined(p, p % 3, 10.0, True) for p in range(60)])
@@ -966,14 +1040,14 @@
 def test_who_comes_from_elsewhere_is_told_of_the_newest_drains_at_once_and_of_each_once():
     """Guards against the last drains of a steward that ended, which nobody told its proxies of in time."""
     facts = start_facts(
-        lines_per_s=800.0,
-        queue_cap=6000,
-        grace_us=4 * SECOND,
-        way_us=100_000,
-        proxies=60,
-        may_probe=False,
+        channel_lines_per_s=800.0,
+        backlog_cap_lines=6000,
+        drain_grace_us=4 * SECOND,
+        one_way_delay_us=100_000,
+        proxy_count=60,
+        health_checks_allowed=False,
     )
-    bench = Bench(facts, steward=Controller(facts, 3))
+    bench = Bench(facts, controller=Controller(facts, 3))
     bench.give(full(*[entry(100 + n, zone=n % 3) for n in range(120)]))
     bench.give(*[events.ProxyJoined(p, p % 3, 10.0, True) for p in range(4)])
     bench.pass_time(5 * SECOND)
@@ -990,31 +1064,35 @@
             ]
         )
         bench.pass_time(SECOND // 2)
-    told = [order.host for order in bench.log if isinstance(order, commands.Withdraw) and order.out]
+    told = [
+        order.host
+        for order in bench.log
+        if isinstance(order, commands.WithdrawHost) and order.withdrawn
+    ]
     assert set(told[:20]) == set(range(100, 120))
-    publisher = bench.steward.publisher
+    publisher = bench.controller.publisher
     assert publisher.unbound and all(
-        publisher.knows[publisher.fleet.index[host]] for host in range(100, 120)
+        publisher.notified[publisher.host_table.index_of[host]] for host in range(100, 120)
     )
 
 
 def test_hosts_that_return_are_let_back_only_as_the_channel_has_room():
     """Guards against a channel filled past its cap: a zone returns while hundreds of proxies wait."""
     facts = start_facts(
-        proxies=100,
-        queue_cap=1500,
-        lines_per_s=1000.0,
-        grace_us=20 * SECOND,
-        bare_us=60 * SECOND,
-        may_probe=False,
+        proxy_count=100,
+        backlog_cap_lines=1500,
+        channel_lines_per_s=1000.0,
+        drain_grace_us=20 * SECOND,
+        max_unbound_us=60 * SECOND,
+        health_checks_allowed=False,
     )
-    bench = Bench(facts, steward=Controller(facts, 3))
+    bench = Bench(facts, controller=Controller(facts, 3))
     bench.give(full(*[entry(100 + n, zone=n % 3) for n in range(60)]))
     bench.give(*[events.ProxyJoined(0, 0, 10.0, True)])
     bench.pass_time(SECOND)
     zone = range(100, 160, 3)
     bench.give(changes(*[entry(host, GONE) for host in zone]))
-    publisher = bench.steward.publisher
+    publisher = bench.controller.publisher
     publisher.IN_TIME = 0.0  # as if binds took too long: who joins is told of drains
     bench.give(*[events.ProxyJoined(p, p % 3, 10.0, False) for p in range(1, 100)])
     bench.pass_time(3 * SECOND)
@@ -1025,18 +1103,23 @@
 
 def test_a_busy_channel_holds_up_what_is_urgent_for_a_turn_at_most():
     """Guards against hosts that stay in the tables for a third of a long grace after they were found bad."""
-    facts = start_facts(proxies=100, queue_cap=40_000, grace_us=30 * SECOND, bare_us=60 * SECOND)
+    facts = start_facts(
+        proxy_count=100,
+        backlog_cap_lines=40_000,
+        drain_grace_us=30 * SECOND,
+        max_unbound_us=60 * SECOND,
+    )
     bench = Bench(facts)
     bench.give(full(*[entry(100 + i, zone=i % 3) for i in range(60)]))
     bench.give(*[events.ProxyJoined(p, p % 3, 5.0, True) for p in range(100)])
     bench.pass_time(8 * SECOND)
-    publisher = bench.steward.publisher
+    publisher = bench.controller.publisher
     publisher.round, publisher.written_us = (
         0.0,
         bench.now,
     )  # as if it had just written, and more still waits
     publisher.channel.charge([0], 1)
-    bench.steward.fleet.shut[0] = True
+    bench.controller.host_table.ejected[0] = True
     bench.pass_time(SECOND // 2)
     assert 100 in bench.lines[0]
     bench.pass_time(SECOND)
@@ -1046,9 +1129,9 @@
 def test_a_subset_that_moves_on_gives_up_no_host_before_others_stand_in():
     """Guards against tables of a few hosts: those that it left went at once, those that it got came later."""
     bench = parts_of(4, 200, 60)[0]
-    fleet, publisher = bench.steward.fleet, bench.steward.publisher
+    host_table, publisher = bench.controller.host_table, bench.controller.publisher
     before = set(bench.lines[0])
     publisher.start, publisher.seen = 0.1, []  # as if warm hosts had come and gone beside it
     left = [change for change in publisher.changes() if not change.count]
-    assert 10 < len(left) < 30 and {fleet.ids[change.place] for change in left} < before
+    assert 10 < len(left) < 30 and {host_table.host_ids[change.index] for change in left} < before
     assert not any(change.urgent for change in left)
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -21,7 +21,7 @@
 from test_service import HELLO, Agent, Caller, Stage, ask, config, free_port, listing, play, process
 
 from plankroute.events import events
-from plankroute.events.events import Outcome
+from plankroute.events.events import HealthCheckOutcome
 from plankroute.net.discovery import watch as discovery_module
 from plankroute.net.process.clock import patience
 from plankroute.net.proxies import listener
@@ -35,12 +35,12 @@
     return b"%x\r\n%s\r\n" % (len(text), text)
 
 
-def told(stage: Stage) -> list[events.Note]:
+def told(stage: Stage) -> list[events.Event]:
     """Every note that streams put from here on."""
-    streams, out = stage.service.listener.streams, list[events.Note]()
+    streams, out = stage.service.listener.streams, list[events.Event]()
     put = streams.put
 
-    def keep(note: events.Note) -> None:
+    def keep(note: events.Event) -> None:
         out.append(note)
         put(note)
 
@@ -101,12 +101,12 @@
         watch = await stage.agent.watches.get()
         old = await stage.dial(HELLO)
         await old.hear("replace=1")
-        publisher, lists = stage.service.router.steward.publisher, stage.counts["taken.lists"]
+        publisher, lists = stage.service.router.controller.publisher, stage.counts["taken.lists"]
         if end == "not yet":
             old.reader._transport.pause_reading()  # type: ignore[attr-defined]
         else:
             old.writer.close() if end == "fin" else old.writer.transport.abort()
-            await stage.until(lambda: not publisher.zone_of)
+            await stage.until(lambda: not publisher.zone_of_proxy)
         stage.agent.tell(watch, DRAINED)
         await stage.until(lambda: stage.counts["taken.lists"] > lists)
         new = await stage.dial(RETURNED)
@@ -118,20 +118,20 @@
 
 def test_what_waited_for_the_old_stream_is_neither_written_to_the_new_one_nor_lost_from_the_books():
     async def scene(stage: Stage) -> None:
-        publisher = stage.service.router.steward.publisher
+        publisher = stage.service.router.controller.publisher
         old = await stage.dial(HELLO)
         await old.hear("replace=1")
         peer = stage.service.listener.streams.by_proxy[3]
         old.reader._transport.pause_reading()  # type: ignore[attr-defined]
         while peer.outlet.send(b"push stamp=" + b"9" * 50000 + b"\r\n"):
             await asyncio.sleep(0)
-        assert peer.outlet.ring.size > 1 << 20 and publisher.channel.waiting
+        assert peer.outlet.ring.size > 1 << 20 and publisher.channel.unacknowledged
         new = await stage.dial(RETURNED)
         bound = await new.hear()
         assert "replace=1" in bound and peer.outlet.ring.size == 0
         new.say(f"ack node=3 nonce={bound.split('stamp=')[1]} latency=1", "probe")
         assert await new.hear() == "alive"  # nothing of the old one came before it
-        await stage.until(lambda: publisher.channel.waiting == 0)
+        await stage.until(lambda: publisher.channel.unacknowledged == 0)
 
     play(scene)
 
@@ -141,12 +141,15 @@
 
     async def scene(stage: Stage) -> None:
         fleet, publisher = (
-            stage.service.router.steward.fleet,
-            stage.service.router.steward.publisher,
+            stage.service.router.controller.host_table,
+            stage.service.router.controller.publisher,
         )
         for _ in range(40):
             await (await stage.dial(RETURNED)).hear()
-        assert list(publisher.zone_of) == [3] and len(stage.service.listener.streams.by_proxy) == 1
+        assert (
+            list(publisher.zone_of_proxy) == [3]
+            and len(stage.service.listener.streams.by_proxy) == 1
+        )
         assert fleet.alarm_us == 0
         for proxy in range(4, 8):
             await (await stage.dial(HELLO.replace("=3", f"={proxy}"))).hear("replace=1")
@@ -306,7 +309,7 @@
     log = list[bytes]()
 
     async def scene(stage: Stage, held: Held) -> None:
-        stage.service.discovery.allow(stage.service.boot.room.list_bytes)
+        stage.service.discovery.allow(stage.service.configuration.room.list_bytes)
         proxy = await stage.dial(HELLO)
         await proxy.hear("replace=1")
         assert await held.asked.get() == "/catalog/members?watch=1&after=41"
@@ -362,9 +365,9 @@
         await held.met.wait()
         proxy = await stage.dial(HELLO)
         await proxy.hear("replace=1")
-        path.write_bytes(config(int(stage.service.boot.discovery.rpartition(":")[2])))
-        stage.service.boot = replace(
-            stage.service.boot, discovery="127.0.0.1:1"
+        path.write_bytes(config(int(stage.service.configuration.discovery.rpartition(":")[2])))
+        stage.service.configuration = replace(
+            stage.service.configuration, discovery="127.0.0.1:1"
         )  # as if it had been there
         while not stage.agent.watches.empty():
             stage.agent.watches.get_nowait()
@@ -381,9 +384,9 @@
 
 def play_probe(
     act: Callable[[Stage, asyncio.StreamWriter], Awaitable[None]],
-) -> list[events.ProbeResult]:
+) -> list[events.HealthCheckResult]:
     """One probe of host 0, whose stand-in holds its answer until `act` has been called."""
-    results = list[events.ProbeResult]()
+    results = list[events.HealthCheckResult]()
 
     async def scene(stage: Stage) -> None:
         asked = asyncio.Queue[asyncio.StreamWriter]()
@@ -397,7 +400,7 @@
         async with await asyncio.start_server(serve, "127.0.0.1", 0) as server:
             prober = stage.service.prober
             prober.put = lambda note: (
-                results.append(note) if isinstance(note, events.ProbeResult) else None
+                results.append(note) if isinstance(note, events.HealthCheckResult) else None
             )
             stage.service.directory.hosts[0].address = (
                 "127.0.0.1:%d" % server.sockets[0].getsockname()[1]
@@ -445,7 +448,7 @@
         assert time.monotonic() - began < limits.dial_s + limits.quiet_s + 1.0
 
     (result,) = play_probe(act)
-    assert result.outcome is Outcome.SILENT
+    assert result.outcome is HealthCheckOutcome.TIMED_OUT
 
 
 def test_a_pause_of_the_stewards_own_is_not_held_against_a_host():
@@ -459,7 +462,7 @@
         answer(writer)
 
     (result,) = play_probe(act)
-    assert result.outcome is Outcome.ANSWERED
+    assert result.outcome is HealthCheckOutcome.ANSWERED
 
 
 @pytest.mark.parametrize(
@@ -488,24 +491,24 @@
     env = {**os.environ, "GW_CONFIG": str(path)}
     with subprocess.Popen(
         [sys.executable, "-m", "plankroute"], env=env, stderr=subprocess.PIPE, **more
-    ) as steward:  # type: ignore[call-overload]
-        yield steward
-        steward.kill()
+    ) as controller:  # type: ignore[call-overload]
+        yield controller
+        controller.kill()
 
 
-def lines_until(steward: subprocess.Popen, event: str) -> list[dict]:
-    assert steward.stderr
+def lines_until(controller: subprocess.Popen, event: str) -> list[dict]:
+    assert controller.stderr
     out = list[dict]()
     while not out or out[-1]["event"] != event:
-        out.append(json.loads(steward.stderr.readline()))
+        out.append(json.loads(controller.stderr.readline()))
     return out
 
 
-def last_lines(steward: subprocess.Popen) -> list[dict]:
+def last_lines(controller: subprocess.Popen) -> list[dict]:
     """Of a steward that ends well: status 0, and nothing but its log."""
-    assert steward.stderr
-    out = [json.loads(line) for line in steward.stderr.read().splitlines()]
-    assert steward.wait(20) == 0
+    assert controller.stderr
+    out = [json.loads(line) for line in controller.stderr.read().splitlines()]
+    assert controller.wait(20) == 0
     assert not [line for line in out if line["level"] == "error"]
     return out
 
@@ -514,10 +517,10 @@
     """Guards against a log that says the steward listens where it never did."""
     with socket.create_server(("127.0.0.1", 0)) as held:
         (tmp_path / "c.json").write_bytes(config(discovery=9, listen=held.getsockname()[1]))
-        with started(tmp_path / "c.json") as steward:
-            lines_until(steward, "address_in_use")
-            steward.send_signal(signal.SIGTERM)
-            events = [line["event"] for line in last_lines(steward)]
+        with started(tmp_path / "c.json") as controller:
+            lines_until(controller, "address_in_use")
+            controller.send_signal(signal.SIGTERM)
+            events = [line["event"] for line in last_lines(controller)]
     assert "listening" not in events and events[-1] == "ended"
 
 
@@ -535,10 +538,10 @@
 def test_sigterm_before_the_configuration_is_read(tmp_path):
     """Guards against a restart that is struck dead, with a status that is none, as it starts."""
     os.mkfifo(path := tmp_path / "c.json")
-    with started(path) as steward:
+    with started(path) as controller:
         reading = open_fifo(path)
-        steward.send_signal(signal.SIGTERM)
-        assert steward.wait(20) == 0 and steward.stderr and steward.stderr.read() == b""
+        controller.send_signal(signal.SIGTERM)
+        assert controller.wait(20) == 0 and controller.stderr and controller.stderr.read() == b""
         os.close(reading)
 
 
@@ -548,45 +551,45 @@
     for pipe in pipes:
         os.mkfifo(pipe)
     path.symlink_to(pipes[0])
-    with started(path) as steward:
+    with started(path) as controller:
         first = open_fifo(pipes[0])
         (tmp_path / "next").symlink_to(pipes[1])
         os.replace(tmp_path / "next", path)
-        steward.send_signal(signal.SIGHUP)
+        controller.send_signal(signal.SIGHUP)
         os.write(first, config(discovery=9, listen=port))
         os.close(first)
         second = open_fifo(pipes[1])
         os.write(second, config(discovery=10, listen=port))
         os.close(second)
-        reloaded = lines_until(steward, "reloaded")[-1]
+        reloaded = lines_until(controller, "reloaded")[-1]
         assert reloaded["discovery"] == "127.0.0.1:10"
-        lines_until(steward, "listening")
+        lines_until(controller, "listening")
         assert ask(port) == b"alive\r\n"
-        steward.send_signal(signal.SIGTERM)
-        last_lines(steward)
+        controller.send_signal(signal.SIGTERM)
+        last_lines(controller)
 
 
 def test_a_second_sigterm_does_not_spoil_the_exit(tmp_path):
     """Guards against a status that is none because the last log lines were still being written."""
     text = config(discovery=9, listen=free_port())
-    with process(tmp_path / "config.json", text) as steward:
-        assert steward.stderr
-        fcntl.fcntl(steward.stderr, fcntl.F_SETPIPE_SZ, 4096)
+    with process(tmp_path / "config.json", text) as controller:
+        assert controller.stderr
+        fcntl.fcntl(controller.stderr, fcntl.F_SETPIPE_SZ, 4096)
         for _ in range(30):  # more than the pipe holds: the last lines are waited for
-            steward.send_signal(signal.SIGUSR1)
+            controller.send_signal(signal.SIGUSR1)
             time.sleep(0.002)
-        while steward.poll() is None:
+        while controller.poll() is None:
             for number in (signal.SIGTERM, signal.SIGHUP, signal.SIGUSR1, signal.SIGINT):
-                steward.send_signal(number)
+                controller.send_signal(number)
             time.sleep(0.002)
-        assert steward.returncode == 0
+        assert controller.returncode == 0
 
 
 def test_sigterm_with_lines_waiting_and_half_a_message_said(tmp_path):
     """No whole line goes out in part: what a proxy has at the end ends with a line's end, or is no line."""
     port = free_port()
     with (
-        process(tmp_path / "config.json", config(discovery=9, listen=port)) as steward,
+        process(tmp_path / "config.json", config(discovery=9, listen=port)) as controller,
         socket.create_connection(("127.0.0.1", port)) as proxy,
         socket.create_connection(("127.0.0.1", port)) as half,
     ):
@@ -597,12 +600,12 @@
             bound += proxy.recv(65536)
         proxy.sendall(b"demand node=3 route=loo")
         began = time.monotonic()
-        steward.send_signal(signal.SIGTERM)
+        controller.send_signal(signal.SIGTERM)
         rest = b""
         with suppress(ConnectionResetError):
             while more := proxy.recv(65536):
                 rest += more
-        events = [line["event"] for line in last_lines(steward)]
+        events = [line["event"] for line in last_lines(controller)]
         assert (
             time.monotonic() - began < 0.7 + 1.0
         )  # a slow machine's second; it takes a few hundredths
@@ -618,7 +621,7 @@
     for _ in range(10):
         (tmp_path / "c.json").write_bytes(config(discovery=9, listen=port))
         began = time.monotonic()
-        with started(tmp_path / "c.json") as steward:
+        with started(tmp_path / "c.json") as controller:
             back = list[socket.socket]()
             while len(back) < 9:  # as the proxies do: again until it is there
                 with suppress(OSError):
@@ -629,10 +632,10 @@
             assert ask(port) == b"alive\r\n"
             took.append(time.monotonic() - began)
             if len(took) % 2:
-                steward.kill()
+                controller.kill()
             else:
-                steward.send_signal(signal.SIGTERM)
-                last_lines(steward)
+                controller.send_signal(signal.SIGTERM)
+                last_lines(controller)
         for old in proxies:
             old.close()
         proxies = back  # theirs are half closed while the next one starts
--- a/tests/test_learned.py
+++ b/tests/test_learned.py
@@ -16,13 +16,13 @@
 from test_decide import feed, generated_day, probes, ready_bench
 
 from plankroute.cold_start.link_codec import Begin, Part, ViewOf, write_frame
-from plankroute.config.feature_file import LearnedPart
+from plankroute.config.feature_file import WarmStartSection
 from plankroute.events import events
-from plankroute.events.events import HostState, Outcome
+from plankroute.events.events import HealthCheckOutcome, HostState
 from plankroute.net.peers.links import frames_of_view
-from plankroute.net.peers.warm_start import LAST_S, READ_S, LearnedParts, file_name
+from plankroute.net.peers.warm_start import LAST_S, READ_S, WarmStartService, file_name
 from plankroute.net.process.file_store import Disk, Saver, replace
-from plankroute.net.process.telemetry import Book, Log
+from plankroute.net.process.telemetry import EventLog, Telemetry
 from plankroute.testbed.faults import Act, Script, Step
 from plankroute.testbed.processes import Fleet, Plan
 from plankroute.testbed.warm_restart import run_ways
@@ -52,7 +52,7 @@
 from plankroute.warm_start.merge import Heard, first, join
 
 FACTS = HostFacts("h", 5.0, 1.0, 40.0, 0.0, 20_000.0, False, 2, 0)
-BAD = msgspec.structs.replace(FACTS, voided=40.0, is_shut=True, weight=0.1, needed=8)
+BAD = msgspec.structs.replace(FACTS, failed=40.0, is_shut=True, weight=0.1, required_checks=8)
 
 
 def view(*hosts: HostFacts, revision: int = 7, closed=(), name: str = "n1") -> View:
@@ -63,8 +63,8 @@
 
 
 HEARD = st.builds(
-    lambda boot, weight, tries, voided, shut, at: first(
-        Heard(HostFacts("h", boot, weight, tries, voided, 1.0, shut, 2, 0), at)
+    lambda configuration, weight, attempts, failed, ejected, at: first(
+        Heard(HostFacts("h", configuration, weight, attempts, failed, 1.0, ejected, 2, 0), at)
     ),
     st.sampled_from([1.0, 2.0]),
     st.sampled_from([0.1, 1.0]),
@@ -312,7 +312,7 @@
             hangs.wait(20)
 
     async def run() -> None:
-        learner, _ = parts(LearnedPart(folder=str(tmp_path)), Hanging())
+        learner, _ = parts(WarmStartSection(folder=str(tmp_path)), Hanging())
         learner.view = lambda: view(FACTS)  # type: ignore[method-assign]
         began = time.monotonic()
         await learner.recall()
@@ -334,22 +334,25 @@
 
 def learned(
     host: int, bad: bool = False, weight: float = 1.0, age_us: int = SECOND
-) -> events.HostLearned:
-    return events.HostLearned(
+) -> events.HostPriorKnowledge:
+    return events.HostPriorKnowledge(
         host, weight, 40.0, 40.0 * bad, 20_000.0, bad, 8 if bad else 2, age_us, age_us
     )
 
 
-def started(*told: events.HostLearned, hosts: int = 10, fresh: bool = True) -> Bench:
+def started(*told: events.HostPriorKnowledge, hosts: int = 10, fresh: bool = True) -> Bench:
     """The list and the news come first, as at a start; then proxies, and good answers to probes."""
     bench = Bench(start_facts())
     bench.give(full(*[entry(100 + i, zone=i % 3) for i in range(hosts)]), *told)
     asked = probes(bench.give(*[events.ProxyJoined(p, p % 3, 10.0, fresh) for p in range(4)]))
-    bad = {note.host for note in told if note.shut}
+    bad = {note.host for note in told if note.ejected}
     bench.give(
         *[
-            events.ProbeResult(
-                host, Outcome.ERROR if host in bad else Outcome.ANSWERED, 10_000, None
+            events.HealthCheckResult(
+                host,
+                HealthCheckOutcome.ERROR if host in bad else HealthCheckOutcome.ANSWERED,
+                10_000,
+                None,
             )
             for host in sorted(asked | bad)
         ]
@@ -365,7 +368,7 @@
     assert 103 in probes(bench.log)
     for _ in range(12):  # it got well: good probes in a row bring it back, by degrees
         bench.pass_time(SECOND)
-        bench.give(events.ProbeResult(103, Outcome.ANSWERED, 10_000, None))
+        bench.give(events.HealthCheckResult(103, HealthCheckOutcome.ANSWERED, 10_000, None))
     assert 0 < bench.lines[0][103]
 
 
@@ -389,21 +392,25 @@
         bench.give(*[events.ProxyJoined(p, p % 3, 10.0, True) for p in range(4)])
         bench.give(
             *[
-                events.ProbeResult(
-                    100 + i, Outcome.ERROR if i > 7 else Outcome.ANSWERED, 10_000, None
+                events.HealthCheckResult(
+                    100 + i,
+                    HealthCheckOutcome.ERROR if i > 7 else HealthCheckOutcome.ANSWERED,
+                    10_000,
+                    None,
                 )
                 for i in range(10)
             ]
         )
         bench.pass_time(SECOND // 2)
     assert (
-        wrong.lines[0] == pytest.approx(plain.lines[0], rel=0.05) and not wrong.steward.fleet.told
+        wrong.lines[0] == pytest.approx(plain.lines[0], rel=0.05)
+        and not wrong.controller.host_table.told
     )
 
 
 def test_news_that_most_hosts_are_bad_shut_a_third_at_most_and_leave_nobody_bare():
     bench = started(*[learned(100 + i, True) for i in range(10)])
-    assert len(bench.lines[0]) >= 6 and sum(bench.steward.fleet.shut) <= 3
+    assert len(bench.lines[0]) >= 6 and sum(bench.controller.host_table.ejected) <= 3
 
 
 def test_beside_old_tables_news_may_only_lower_a_weight():
@@ -416,7 +423,10 @@
     )
     bench.give(*[events.ProxyJoined(p, p % 3, 10.0, False) for p in range(4)])
     bench.give(
-        *[events.HostSums(100 + i, 0, 30 * (i != 9), 0, 20_000.0, SECOND, None) for i in range(10)]
+        *[
+            events.HostRequestStats(100 + i, 0, 30 * (i != 9), 0, 20_000.0, SECOND, None)
+            for i in range(10)
+        ]
     )
     bench.pass_time(SECOND)
     lines = bench.lines[0]
@@ -428,12 +438,12 @@
     feed(bench, 3)
     before = dict(bench.lines[0])
     bench.give(learned(101, True, 0.05))
-    assert bench.lines[0] == before and not any(bench.steward.fleet.shut)
+    assert bench.lines[0] == before and not any(bench.controller.host_table.ejected)
     bench = started(learned(103, True))
     bench.give(changes(entry(103, READY, zone=0, started_us=bench.now)))
     assert (
-        not bench.steward.fleet.shut[bench.steward.fleet.index[103]]
-        and not bench.steward.fleet.told
+        not bench.controller.host_table.ejected[bench.controller.host_table.index_of[103]]
+        and not bench.controller.host_table.told
     )
 
 
@@ -445,7 +455,7 @@
         def give(self, *batch):
             rng = random.Random(self.now + seed)
             told = [
-                events.HostLearned(
+                events.HostPriorKnowledge(
                     rng.randrange(95, 125),
                     rng.choice([0.0, 1e9, rng.random()]),
                     rng.choice([0.0, 40.0]),
@@ -460,28 +470,30 @@
             ]
             return super().give(*told, *batch)
 
-    generated_day(Told(start_facts(may_probe=seed % 2 == 0)), random.Random(seed), 40)
+    generated_day(Told(start_facts(health_checks_allowed=seed % 2 == 0)), random.Random(seed), 40)
 
 
 def test_what_is_told_on_was_found_out_first_hand():
     bench = started(learned(103, True), learned(104, False, 0.5))
-    assert not [told for told in bench.steward.learned()]
-    feed(bench, 3, voided=lambda host: 8 * (host == 105), skip=(103,))
-    told = {one.host: one for one in bench.steward.learned()}
-    assert 103 not in told and told[105].voided > 3 and told[104].weight > 0
+    assert not [told for told in bench.controller.learned()]
+    feed(bench, 3, failed=lambda host: 8 * (host == 105), skip=(103,))
+    told = {one.host: one for one in bench.controller.learned()}
+    assert 103 not in told and told[105].failed > 3 and told[104].weight > 0
 
 
 # Peers, scripted
 
 
-def parts(part: LearnedPart, disk: Disk | None = None) -> tuple[LearnedParts, list[events.Note]]:
-    out, book = list[events.Note](), Book(Log("n0", lambda line: None))
-    return LearnedParts(part, "n0", "g", "127.0.0.1", book, out.append, disk), out
+def parts(
+    part: WarmStartSection, disk: Disk | None = None
+) -> tuple[WarmStartService, list[events.Event]]:
+    out, telemetry = list[events.Event](), Telemetry(EventLog("n0", lambda line: None))
+    return WarmStartService(part, "n0", "g", "127.0.0.1", telemetry, out.append, disk), out
 
 
-async def asked(answer) -> tuple[LearnedParts, list[ViewCame], float]:
+async def asked(answer) -> tuple[WarmStartService, list[ViewCame], float]:
     """One question to a peer that does as `answer` has it."""
-    learner, _ = parts(LearnedPart(ask_ms=400))
+    learner, _ = parts(WarmStartSection(ask_ms=400))
     came: list[ViewCame] = []
     learner.work = came.append  # type: ignore[method-assign]
     server = await asyncio.start_server(answer, "127.0.0.1", 0)
@@ -534,7 +546,7 @@
 
 
 def test_what_is_left_here_by_others_is_bounded_and_the_newest_of_each():
-    learner, _ = parts(LearnedPart())
+    learner, _ = parts(WarmStartSection())
     for number in range(40):
         learner.keep(f"n{number}", write_view(view(FACTS, name=f"n{number}")))
     learner.keep("n39", write_view(view(BAD, name="n39")))
--- a/tests/test_messages.py
+++ b/tests/test_messages.py
@@ -5,9 +5,9 @@
 import pytest
 from model import DRAINING, entry, full
 
-from plankroute.controller.messages import Message, Part, Player
+from plankroute.controller.messages import Message, MessageBuilder, TableUpdate
 from plankroute.events import commands, events
-from plankroute.events.commands import Retry
+from plankroute.events.commands import RetryPolicy
 from plankroute.net.proxies.line_codec import MOST_PARTS, ROWS_A_PART, Writer
 
 PRODUCTS = ("view", "edit", "pay")
@@ -30,19 +30,19 @@
         self.bound: dict[int, dict[int, int]] = {}
         self.held = set[int]()
 
-    def obey(self, order: commands.Order) -> None:
+    def obey(self, order: commands.Command) -> None:
         match order:
-            case commands.SetLine(table, host, weight):
+            case commands.SetRoute(table, host, weight):
                 self.tables.setdefault(table, {})[host] = weight
             case commands.ClearTable(table):
                 self.tables.pop(table, None)
                 self.levels = {key: level for key, level in self.levels.items() if key[0] != table}
-            case commands.Withdraw(host, out):
+            case commands.WithdrawHost(host, out):
                 (self.held.add if out else self.held.discard)(host)
-            case commands.Bind(table, proxy, products) if proxy in self.bound:
+            case commands.BindProxy(table, proxy, products) if proxy in self.bound:
                 for product in range(len(PRODUCTS)) if products is None else products:
                     self.bound[proxy][product] = table
-            case commands.SetLevel(table, products, level, retry):
+            case commands.SetAdmissionLimit(table, products, level, retry):
                 for product in range(len(PRODUCTS)) if products is None else products:
                     self.levels[table, product] = (level, int(retry))
 
@@ -100,26 +100,26 @@
     """One steward's player and writer, beside the replay of its orders."""
 
     def __init__(self) -> None:
-        self.player, self.replay, self.writer = (
-            Player(len(PRODUCTS)),
+        self.message_builder, self.replay, self.writer = (
+            MessageBuilder(len(PRODUCTS)),
             Replay(),
             Writer(PRODUCTS, uid),
         )
 
     def join(self, number: int, proxy: Proxy, fresh: bool) -> None:
-        self.player.hear(joined(number, fresh))
+        self.message_builder.hear(joined(number, fresh))
         self.replay.bound[number] = {}
         if fresh:
             proxy.shut.clear()
 
     def leave(self, number: int) -> None:
-        self.player.hear(events.ProxyLeft(number))
+        self.message_builder.hear(events.ProxyLeft(number))
         del self.replay.bound[number]
 
-    def order(self, batch: list[commands.Order], proxies: dict[int, Proxy]) -> list[Message]:
+    def order(self, batch: list[commands.Command], proxies: dict[int, Proxy]) -> list[Message]:
         for order in batch:
             self.replay.obey(order)
-        messages = self.player.play(batch)
+        messages = self.message_builder.play(batch)
         for message in messages:
             assert proxies[message.proxy].read(self.writer.write(message)) == message.cost()
         for number, bound in self.replay.bound.items():
@@ -134,29 +134,29 @@
         return messages
 
 
-def some_orders(chance: random.Random, drained: list[int]) -> list[commands.Order]:
+def some_orders(chance: random.Random, drained: list[int]) -> list[commands.Command]:
     def products() -> tuple[int, ...] | None:
         return chance.choice([None, (0,), (1, 2), (0, 1, 2)])
 
-    def one() -> commands.Order:
+    def one() -> commands.Command:
         table, host = chance.randrange(3), chance.randrange(8)
         return chance.choice(
             [
-                commands.SetLine(table, host, float(chance.randrange(4))),
-                commands.SetLine(table, host, float(chance.randrange(1, 4))),
-                commands.Bind(table, chance.randrange(4), products()),
-                commands.SetLevel(
+                commands.SetRoute(table, host, float(chance.randrange(4))),
+                commands.SetRoute(table, host, float(chance.randrange(1, 4))),
+                commands.BindProxy(table, chance.randrange(4), products()),
+                commands.SetAdmissionLimit(
                     chance.choice([table, None]),
                     products(),
                     chance.choice([0.25, 0.5, 1.0]),
-                    chance.choice([Retry.NEVER, Retry.UNRUN]),
+                    chance.choice([RetryPolicy.NEVER, RetryPolicy.IF_NOT_EXECUTED]),
                 ),
-                commands.Withdraw(chance.choice(drained or [host]), chance.random() < 0.5)
+                commands.WithdrawHost(chance.choice(drained or [host]), chance.random() < 0.5)
                 if drained
                 else commands.ClearTable(table),
                 commands.ClearTable(table)
                 if chance.random() < 0.2
-                else commands.SetLine(table, host, 1.0),
+                else commands.SetRoute(table, host, 1.0),
             ]
         )
 
@@ -174,7 +174,7 @@
         if roll < 0.1 and len(drained) < 6:
             drained.append(chance.randrange(8))
             for side in sides:
-                side.player.hear(full(entry(drained[-1], DRAINING)))
+                side.message_builder.hear(full(entry(drained[-1], DRAINING)))
         elif roll < 0.3:
             if old := at[number]:
                 old.leave(number)
@@ -184,20 +184,20 @@
             chance.choice(sides).order(some_orders(chance, drained), proxies)
 
 
-def messages_for(*batch: commands.Order, fresh: bool = True) -> list[Message]:
-    player = Player(len(PRODUCTS))
-    player.hear(joined(0, fresh))
-    player.hear(joined(1, fresh))
-    return player.play(batch)
+def messages_for(*batch: commands.Command, fresh: bool = True) -> list[Message]:
+    message_builder = MessageBuilder(len(PRODUCTS))
+    message_builder.hear(joined(0, fresh))
+    message_builder.hear(joined(1, fresh))
+    return message_builder.play(batch)
 
 
 def test_a_bind_is_a_whole_table_with_its_level_hosts_held_back_and_mark():
     (message,) = messages_for(
-        commands.SetLevel(0, None, 1.0, Retry.UNRUN),
-        commands.SetLine(0, 7, 3.0),
-        commands.SetLine(0, 8, 1.5),
-        commands.Bind(0, 1),
-        commands.Mark(905),
+        commands.SetAdmissionLimit(0, None, 1.0, RetryPolicy.IF_NOT_EXECUTED),
+        commands.SetRoute(0, 7, 3.0),
+        commands.SetRoute(0, 8, 1.5),
+        commands.BindProxy(0, 1),
+        commands.RequestAcknowledgement(905),
     )
     assert Writer(PRODUCTS, uid).write(message) == (
         b"push replace=1 rows=s-00000007:3,s-00000008:1.5 gate=1 again=1 stamp=905\r\n"
@@ -208,47 +208,54 @@
 
 
 def test_orders_reach_only_proxies_that_use_the_table_and_marks_everyone_if_so_ordered():
-    batch = [commands.Bind(0, 1), commands.SetLine(0, 7, 3.0)]
-    assert [m.proxy for m in messages_for(*batch, commands.Mark(1))] == [1]
-    assert {m.proxy: m.mark for m in messages_for(*batch, commands.Mark(1, everyone=True))} == {
+    batch = [commands.BindProxy(0, 1), commands.SetRoute(0, 7, 3.0)]
+    assert [m.proxy for m in messages_for(*batch, commands.RequestAcknowledgement(1))] == [1]
+    assert {
+        m.proxy: m.mark
+        for m in messages_for(*batch, commands.RequestAcknowledgement(1, all_proxies=True))
+    } == {
         0: 1,
         1: 1,
     }
 
 
 def test_a_host_is_held_back_only_where_its_lines_are_or_may_be():
-    player = Player(1)
+    message_builder = MessageBuilder(1)
     for proxy in (0, 1, 2):
-        player.hear(joined(proxy))
-    player.play(
+        message_builder.hear(joined(proxy))
+    message_builder.play(
         [
-            commands.SetLine(0, 7, 1.0),
-            commands.SetLine(1, 8, 1.0),
-            commands.Bind(0, 0),
-            commands.Bind(1, 1),
+            commands.SetRoute(0, 7, 1.0),
+            commands.SetRoute(1, 8, 1.0),
+            commands.BindProxy(0, 0),
+            commands.BindProxy(1, 1),
         ]
     )
-    assert {m.proxy for m in player.play([commands.Withdraw(7, True)])} == {0, 2}
+    assert {m.proxy for m in message_builder.play([commands.WithdrawHost(7, True)])} == {0, 2}
 
 
 def test_a_host_let_back_while_out_of_the_table_is_let_back_with_its_next_line():
     """Guards against a host that stays shut out for good: the proxy keeps what it was told."""
-    player = Player(1)
-    player.hear(joined(0))
-    player.play([commands.SetLine(0, 7, 1.0), commands.SetLine(0, 8, 1.0), commands.Bind(0, 0)])
-    player.play([commands.Withdraw(7, True), commands.SetLine(0, 7, 0.0)])
-    assert player.play([commands.Withdraw(7, False)]) == []
-    (message,) = player.play([commands.SetLine(0, 7, 2.0)])
-    assert message.held == {7: False} and message.parts[0].lines == {7: 2.0}
+    message_builder = MessageBuilder(1)
+    message_builder.hear(joined(0))
+    message_builder.play(
+        [commands.SetRoute(0, 7, 1.0), commands.SetRoute(0, 8, 1.0), commands.BindProxy(0, 0)]
+    )
+    message_builder.play([commands.WithdrawHost(7, True), commands.SetRoute(0, 7, 0.0)])
+    assert message_builder.play([commands.WithdrawHost(7, False)]) == []
+    (message,) = message_builder.play([commands.SetRoute(0, 7, 2.0)])
+    assert message.withdrawn == {7: False} and message.parts[0].lines == {7: 2.0}
 
 
 def test_what_does_not_fit_one_message_goes_on_in_parts():
     lines = {host: 1.0 for host in range(2 * ROWS_A_PART + 1)}
-    data = Writer(PRODUCTS, uid).write(Message(0, [Part((0, 1, 2), True, lines)], {}, 5))
+    data = Writer(PRODUCTS, uid).write(Message(0, [TableUpdate((0, 1, 2), True, lines)], {}, 5))
     assert [b"part=1" in line for line in data.split(b"\r\n")] == [True, True, False, False]
     proxy = Proxy()
     assert proxy.read(data) == len(lines) + 2
     assert len(proxy.rows["edit"]) == len(lines) and proxy.messages == 1
-    many = Message(0, [Part((0,), lines={host: 1.0}) for host in range(MOST_PARTS + 1)], {}, 6)
+    many = Message(
+        0, [TableUpdate((0,), lines={host: 1.0}) for host in range(MOST_PARTS + 1)], {}, 6
+    )
     proxy.read(Writer(PRODUCTS, uid).write(many))
     assert proxy.messages == 3 and len(proxy.rows["view"]) == len(lines)
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -12,21 +12,21 @@
 from model import DRAINING, GONE, READY, SECOND, entry, full, start_facts
 
 from plankroute.controller.controller import Controller
-from plankroute.controller.messages import Player
+from plankroute.controller.messages import MessageBuilder
 from plankroute.events import commands, events
-from plankroute.events.events import ListKind, LoadReport, Outcome
-from plankroute.events.settings import StartError
+from plankroute.events.events import HealthCheckOutcome, ListKind, LoadReport
+from plankroute.events.settings import SettingsError
 from plankroute.net.discovery import http_client as http
 from plankroute.net.discovery.catalogue import EntrySaid, ListSaid, Unread, list_from, read_list
 from plankroute.net.discovery.directory import Directory
 from plankroute.net.discovery.http_client import Answer, Limits, fetch
-from plankroute.net.probing.prober import Prober, judge_call
-from plankroute.net.process.clock import Alarms, Clock
-from plankroute.net.process.configuration import read_boot
+from plankroute.net.probing.prober import HealthChecker, judge_call
+from plankroute.net.process.clock import Clock, Timers
+from plankroute.net.process.configuration import parse_configuration
 from plankroute.net.process.errors import CallFailed, Reached, Refused
-from plankroute.net.process.resource_limits import FILES, room_for
+from plankroute.net.process.resource_limits import FILES, resource_limits_for
 from plankroute.net.process.router import Router
-from plankroute.net.process.telemetry import Book, Log
+from plankroute.net.process.telemetry import EventLog, Telemetry
 from plankroute.net.proxies import line_codec as wire
 from plankroute.net.proxies.admission import Admission, Party, Role
 from plankroute.net.proxies.line_reader import LineCutter
@@ -126,7 +126,7 @@
         wire.Asked(),
         wire.HelloSaid(3, "a", 21.5, True),
         wire.HostSaid(
-            "a", "s-5be2a07c", 212, 3, 41700, SECOND, LoadReport(inflight=7.0, util=0.61)
+            "a", "s-5be2a07c", 212, 3, 41700, SECOND, LoadReport(in_flight=7.0, utilization=0.61)
         ),
         wire.AppliedSaid(3, 905, 310400),
         wire.TrafficSaid(3, "lookup", 19, 0, SECOND),
@@ -187,14 +187,14 @@
     said = wire.read_line(line + b"\r")
     assert (
         isinstance(said, wire.HostSaid)
-        and said.tries == 212
-        and said.report == LoadReport(util=0.61)
+        and said.attempts == 212
+        and said.report == LoadReport(utilization=0.61)
     )
 
 
 @pytest.mark.parametrize("memory_mb, descriptors", [(32, 256), (64, 256), (80, 384), (192, 1024)])
 def test_what_is_held_at_most_follows_from_the_limits(memory_mb, descriptors):
-    room = room_for(memory_mb, descriptors)
+    room = resource_limits_for(memory_mb, descriptors)
     assert room.ring_bytes + 10 * room.list_bytes < memory_mb << 20
     assert room.peers >= 0.8 * descriptors and room.peers + room.probes + FILES < descriptors
     assert 0 < room.askers < room.peers / 8
@@ -234,14 +234,16 @@
     admission.joined.add(3)
     proxy.marks.extend((904, 905, 906))
     assert admitted(admission, proxy, LINES[4], LINES[5]) == [
-        events.Applied(3, 905, 310400),
-        events.ProxyTraffic(3, 0, 19, 0, SECOND),
+        events.Acknowledged(3, 905, 310400),
+        events.ProxyRequestStats(3, 0, 19, 0, SECOND),
     ]
     assert list(proxy.marks) == [906]
     assert admitted(admission, collector, LINES[0]) == [None] and collector.role is Role.COLLECTOR
     assert admitted(admission, collector, LINES[3], LINES[5]) == [
-        events.HostSums(0, 0, 212, 3, 41700, SECOND, LoadReport(inflight=7.0, util=0.61)),
-        events.ProxyTraffic(3, 0, 19, 0, SECOND),
+        events.HostRequestStats(
+            0, 0, 212, 3, 41700, SECOND, LoadReport(in_flight=7.0, utilization=0.61)
+        ),
+        events.ProxyRequestStats(3, 0, 19, 0, SECOND),
     ]
 
 
@@ -359,7 +361,7 @@
 
 
 def test_alarms_come_in_order_and_not_too_soon():
-    alarms = Alarms()
+    alarms = Timers()
     for due, token in ((30, 1), (10, 2), (30, 3), (20, 4)):
         alarms.set(due, token)
     assert (alarms.next_us(), alarms.due(9), alarms.due(20), alarms.due(99), alarms.next_us()) == (
@@ -375,14 +377,14 @@
     "text", [b"", b"[]", b"{}", b'{"settings": {}}', b'{"name": "n", "listen": "x"}']
 )
 def test_a_start_that_can_not_be_read_is_one_clear_error(text):
-    with pytest.raises(StartError):
-        read_boot(text)
+    with pytest.raises(SettingsError):
+        parse_configuration(text)
 
 
 def test_load_reports_of_probes():
     assert wire.read_report(
         b"TEXT inflight=7, queue=2, util=0.61, latency_ms=3.5, other=1\n"
-    ) == LoadReport(inflight=7.0, queue=2.0, util=0.61, service_us=3500.0)
+    ) == LoadReport(in_flight=7.0, queue_length=2.0, utilization=0.61, service_time_us=3500.0)
     assert wire.read_report(b"TEXT inflight=-7, queue=nan") == LoadReport()
     assert wire.read_report(b"<html>") is None
 
@@ -392,25 +394,27 @@
     for said in [
         wire.read_line(LINES[3].rpartition(b"=")[0] + b"=" + figures + b"\r") for figures in named
     ]:
-        assert said.report == LoadReport(inflight=7.0, queue=2.0, util=0.61, service_us=3500.0)
+        assert said.report == LoadReport(
+            in_flight=7.0, queue_length=2.0, utilization=0.61, service_time_us=3500.0
+        )
     wrong = wire.read_line(LINES[3].replace(b"inflight:7", b"inflight:x,queue:-1,eps:inf") + b"\r")
-    assert wrong.report == LoadReport(util=0.61) and wrong.tries == 212
-    assert wire.read_report(b"TEXT rif=7, busy=0.61") == LoadReport(inflight=7.0, util=0.61)
-    book = Book(Log("n", lambda line: None))
-    for report in (LoadReport(), LoadReport(inflight=0.0)):
-        book.count_report(report)
-    assert book.counts == {"dropped.reports": 1, "taken.reports": 1}
+    assert wrong.report == LoadReport(utilization=0.61) and wrong.attempts == 212
+    assert wire.read_report(b"TEXT rif=7, busy=0.61") == LoadReport(in_flight=7.0, utilization=0.61)
+    telemetry = Telemetry(EventLog("n", lambda line: None))
+    for report in (LoadReport(), LoadReport(in_flight=0.0)):
+        telemetry.count_report(report)
+    assert telemetry.counts == {"dropped.reports": 1, "taken.reports": 1}
 
 
 @pytest.mark.parametrize(
     "answer, outcome",
     [
-        (Answer(200, b"", 0), Outcome.ANSWERED),
-        (Answer(503, b"", 0), Outcome.ERROR),
-        (CallFailed(Reached.NOTHING, "", timed_out=True), Outcome.UNREACHED),
-        (CallFailed(Reached.NOTHING, "refused"), Outcome.UNREACHED),
-        (CallFailed(Reached.ASKED, "reset"), Outcome.ERROR),
-        (CallFailed(Reached.ASKED, "", timed_out=True), Outcome.SILENT),
+        (Answer(200, b"", 0), HealthCheckOutcome.ANSWERED),
+        (Answer(503, b"", 0), HealthCheckOutcome.ERROR),
+        (CallFailed(Reached.NOTHING, "", timed_out=True), HealthCheckOutcome.UNREACHABLE),
+        (CallFailed(Reached.NOTHING, "refused"), HealthCheckOutcome.UNREACHABLE),
+        (CallFailed(Reached.ASKED, "reset"), HealthCheckOutcome.ERROR),
+        (CallFailed(Reached.ASKED, "", timed_out=True), HealthCheckOutcome.TIMED_OUT),
     ],
 )
 def test_probe_outcomes(answer, outcome):
@@ -472,7 +476,7 @@
     """Guards against times that are the steward's own work for all of them at once."""
 
     async def run() -> None:
-        book = Book(Log("n", lambda line: None))
+        telemetry = Telemetry(EventLog("n", lambda line: None))
         directory = Directory(Clock(), ("a",), ("m",), ("p",))
         directory.note(
             ListSaid(
@@ -484,29 +488,33 @@
                 ),
             )
         )
-        prober = Prober(start_facts(), directory, Clock(), book, 1000, lambda: 9, lambda note: None)
+        prober = HealthChecker(
+            start_facts(), directory, Clock(), telemetry, 1000, lambda: 9, lambda note: None
+        )
         for host in range(3):
             prober.probe(host)
         assert len(prober.busy) == 1 and len(prober.waiting) == 2
         while prober.waiting or prober.busy:
             await asyncio.sleep(0)
-        assert book.counts["sent.probes"] == 3
+        assert telemetry.counts["sent.probes"] == 3
 
     asyncio.run(run())
 
 
 def test_a_note_that_fails_takes_no_timer_along():
     async def run() -> None:
-        book, player = Book(Log("n", lambda line: None)), Player(1)
-        router = Router(Controller(start_facts(), 7), player, Clock(), book, gather_us=0)
+        telemetry, message_builder = Telemetry(EventLog("n", lambda line: None)), MessageBuilder(1)
+        router = Router(
+            Controller(start_facts(), 7), message_builder, Clock(), telemetry, gather_us=0
+        )
         router.put(full(entry(100)))
         router.flush()
         tokens = sorted(token for _, _, token in router.alarms.heap)
         assert tokens == [Controller.TURN, Controller.PULSE]
         router.alarms.heap = [(0, *rest) for _, *rest in router.alarms.heap]
-        router.put(events.HostSums(100, 0, None, 0, 1.0, SECOND, None))  # type: ignore[arg-type]
+        router.put(events.HostRequestStats(100, 0, None, 0, 1.0, SECOND, None))  # type: ignore[arg-type]
         router.flush()
-        assert book.counts["core.failed"] == 1 and not router.alarms.heap
+        assert telemetry.counts["core.failed"] == 1 and not router.alarms.heap
         for _ in range(2):  # the note was for two parts
             router.put(events.ProxyLeft(1))
             router.flush()
@@ -517,31 +525,35 @@
 
 def test_a_blocked_log_drops_lines_and_holds_up_nobody():
     written, gate = [], threading.Event()
-    log = Log("n", lambda line: gate.wait(30) and written.append(line))
-    book = Book(log)
+    log = EventLog("n", lambda line: gate.wait(30) and written.append(line))
+    telemetry = Telemetry(log)
     for number in range(3000):
         log.event("info", f"event{number}")
     assert log.dropped >= 1900
     gate.set()
     log.finish(30.0)
-    book.print()
+    telemetry.print()
     log.finish(30.0)
     assert len(written) == 3001 - log.dropped and b'"counters"' in written[-1]
 
 
 def test_hosts_replaced_all_day_leave_nothing_behind():
     """Guards against what grows with hosts that are gone: names, places, lines, hosts held back, marks."""
-    known, book, sent = (
+    known, telemetry, sent = (
         named(*[f"s-{n}" for n in range(12)]),
-        Book(Log("n1", lambda line: None)),
+        Telemetry(EventLog("n1", lambda line: None)),
         [],
     )
-    router = Router(Controller(start_facts(cold_us=SECOND), 7), Player(1), Clock(), book, 1000)
+    router = Router(
+        Controller(start_facts(warmup_us=SECOND), 7), MessageBuilder(1), Clock(), telemetry, 1000
+    )
     router.send, router.forget = sent.append, known.forget
-    core, sizes, now = router.steward, [], 10**15
+    core, sizes, now = router.controller, [], 10**15
 
-    def work(*batch: events.Note) -> None:
-        router.work_on(now, [*batch, *map(events.TimerDue, (Controller.PULSE, Controller.TURN))])
+    def work(*batch: events.Event) -> None:
+        router.work_on(
+            now, [*batch, *map(events.TimerExpired, (Controller.PULSE, Controller.TURN))]
+        )
 
     first = listing(*[member(f"s-{n}") for n in range(12)])
     joined = [events.ProxyJoined(proxy, 0, 9.0, True) for proxy in range(4)]
@@ -554,48 +566,51 @@
         sent.clear()
         work(
             known.note(list_from(listing(*changed, rev=42 + n, whole=False)))[0],
-            *[events.Applied(p, last, 1) for p in range(4) if last],
+            *[events.Acknowledged(p, last, 1) for p in range(4) if last],
             events.ProxyLeft(gone),
             events.ProxyJoined(gone, 0, 9.0, False),
-            events.HostSums(known.ids[f"s-{n + 5}"], 0, 9, 0, 2e5, SECOND, None),
+            events.HostRequestStats(known.ids[f"s-{n + 5}"], 0, 9, 0, 2e5, SECOND, None),
         )
-        publisher, player = core.publisher, router.player
+        publisher, message_builder = core.publisher, router.message_builder
         sizes.append(
             [
                 len(each)
                 for each in (
                     known.hosts,
                     known.ids,
-                    core.fleet.ids,
-                    core.fleet.index,
+                    core.host_table.host_ids,
+                    core.host_table.index_of,
                     core.hosts,
                     publisher.withdrawn,
-                    publisher.tables[0].pushed,
+                    publisher.tables[0].published,
                     publisher.channel.sent,
-                    player.once_held,
-                    player.held_back,
-                    player.tables[0],
-                    *[stream.told for stream in player.streams.values()],
+                    message_builder.once_held,
+                    message_builder.held_back,
+                    message_builder.tables[0],
+                    *[stream.told for stream in message_builder.streams.values()],
                 )
             ]
         )
-    assert book.counts["core.failed"] == 0 and not publisher.unbound
-    assert set(player.tables[0]) == {known.ids[f"s-{n}"] for n in range(400, 412)}
+    assert telemetry.counts["core.failed"] == 0 and not publisher.unbound
+    assert set(message_builder.tables[0]) == {known.ids[f"s-{n}"] for n in range(400, 412)}
     assert all(late <= early for early, late in zip(map(max, *sizes[:200]), map(max, *sizes[200:])))
 
 
 def test_a_host_of_an_old_name_is_a_new_one():
-    known, player = named("s-1", "s-2"), Player(1)
+    known, message_builder = named("s-1", "s-2"), MessageBuilder(1)
     for proxy in (0, 1):
-        player.hear(events.ProxyJoined(proxy, 0, 9.0, True))
-    player.play([commands.SetLine(0, 1, 1.0), commands.Bind(0, 0), commands.Withdraw(0, True)])
+        message_builder.hear(events.ProxyJoined(proxy, 0, 9.0, True))
+    message_builder.play(
+        [commands.SetRoute(0, 1, 1.0), commands.BindProxy(0, 0), commands.WithdrawHost(0, True)]
+    )
     known.forget(0)
-    player.forget(0)
+    message_builder.forget(0)
     listed, refused = known.note(list_from(listing(member("s-1", boot_ms=5), rev=42, whole=False)))
-    player.hear(listed)
+    message_builder.hear(listed)
     assert [each.host for each in listed.entries] == [2] and not refused and known.uid(2) == "s-1"
     told = {
-        m.proxy: m.held for m in player.play([commands.SetLine(0, 2, 1.0), commands.Bind(0, 1)])
+        m.proxy: m.withdrawn
+        for m in message_builder.play([commands.SetRoute(0, 2, 1.0), commands.BindProxy(0, 1)])
     }
     assert told == {0: {}, 1: {2: False}}  # proxy 1 may hold it back yet
     listed, refused = known.note(list_from(listing(member("s-9", "DELETED"), rev=43, whole=False)))
@@ -606,17 +621,25 @@
     """Guards against a channel fuller than its cap: who came from elsewhere is let back what it may hold."""
     known, facts = (
         named(*[f"s-{n}" for n in range(40)]),
-        start_facts(lets_back=True, cold_us=SECOND),
+        start_facts(bind_reinstates_hosts=True, warmup_us=SECOND),
+    )
+    router = Router(
+        Controller(facts, 7), MessageBuilder(1), Clock(), Telemetry(EventLog("n", print)), 1000
     )
-    router = Router(Controller(facts, 7), Player(1), Clock(), Book(Log("n", print)), 1000)
     now, over = 10**15, []
-    channel = router.steward.publisher.channel
+    channel = router.controller.publisher.channel
 
     def send(message) -> None:
-        over.append(channel.sent[message.mark][message.proxy] - message.cost() - facts.head_lines)
+        over.append(
+            channel.sent[message.mark][message.proxy]
+            - message.cost()
+            - facts.message_overhead_lines
+        )
 
-    def work(*batch: events.Note) -> None:
-        router.work_on(now, [*batch, *map(events.TimerDue, (Controller.PULSE, Controller.TURN))])
+    def work(*batch: events.Event) -> None:
+        router.work_on(
+            now, [*batch, *map(events.TimerExpired, (Controller.PULSE, Controller.TURN))]
+        )
 
     router.send = send
     first = [member(f"s-{n}", boot_ms=5.0 * (n % 3)) for n in range(40)]
@@ -629,11 +652,11 @@
         gone = n % 6
         work(
             known.note(list_from(listing(*changed, rev=42 + n, whole=False)))[0],
-            *[events.Applied(p, channel.serial, 1) for p in range(6)],
+            *[events.Acknowledged(p, channel.sequence_number, 1) for p in range(6)],
             events.ProxyLeft(gone),
             events.ProxyJoined(gone, 0, 9.0, n % 4 == 0),
         )
-    assert len(over) > 100 and min(over) >= 0 and router.book.counts["core.failed"] == 0
+    assert len(over) > 100 and min(over) >= 0 and router.telemetry.counts["core.failed"] == 0
     assert sum(over) < 5 * len(over)  # they hold little more than that
 
 
@@ -666,7 +689,7 @@
             "fallMultiple": 3.0,
         },
     }
-    boot = read_boot(
+    configuration = parse_configuration(
         orjson.dumps(
             {
                 "name": name("n1"),
@@ -677,20 +700,33 @@
             }
         )
     )
-    known = Directory(Clock(lambda: 10**18, lambda: 10**18), boot.zones, boot.kinds, boot.products)
+    known = Directory(
+        Clock(lambda: 10**18, lambda: 10**18),
+        configuration.zones,
+        configuration.kinds,
+        configuration.products,
+    )
     admission = Admission(known, 60 * stewards, 8 * SECOND)
-    book = Book(Log("n", lambda line: None))
-    router = Router(Controller(boot.facts, boot.seed), Player(3), Clock(), book, 1000)
-    writer, out, now = wire.Writer(boot.products, known.uid), list[str](), 10**15
+    telemetry = Telemetry(EventLog("n", lambda line: None))
+    router = Router(
+        Controller(configuration.facts, configuration.seed),
+        MessageBuilder(3),
+        Clock(),
+        telemetry,
+        1000,
+    )
+    writer, out, now = wire.Writer(configuration.products, known.uid), list[str](), 10**15
     router.send = lambda message: out.append(f"{message.proxy} {writer.write(message).decode()}")
 
     def host(n: int, state: str = "SERVING", boot_ms: float = 0) -> dict:
         return member(name(f"h{n:03}"), state, zones[n * 7 % 3], boot_ms, model=kinds[n * 5 % 2])
 
-    def work(*batch: events.Note) -> None:
-        router.work_on(now, [*batch, *map(events.TimerDue, (Controller.PULSE, Controller.TURN))])
+    def work(*batch: events.Event) -> None:
+        router.work_on(
+            now, [*batch, *map(events.TimerExpired, (Controller.PULSE, Controller.TURN))]
+        )
 
-    def say(*lines: str) -> list[events.Note]:
+    def say(*lines: str) -> list[events.Event]:
         party, said = Party(), [wire.read_line(f"{line}\r".encode()) for line in lines]
         return [note for line in said if (note := admission.admit(party, line)) is not None]
 
@@ -707,9 +743,14 @@
             for n in range(turn, 200, 3)
         ]
         work(told, *say(f"agent locality={zones[0]}", *sums))
-        work(*(events.Applied(p, router.steward.publisher.channel.serial, 1) for p in range(60)))
-    assert router.book.counts["core.failed"] == 0
-    held = {host for table in router.steward.publisher.tables for host in table.pushed}
+        work(
+            *(
+                events.Acknowledged(p, router.controller.publisher.channel.sequence_number, 1)
+                for p in range(60)
+            )
+        )
+    assert router.telemetry.counts["core.failed"] == 0
+    held = {host for table in router.controller.publisher.tables for host in table.published}
     assert 24 <= len(held) < 150 if stewards > 1 else len(held) == 200  # else a part of the hosts
     return out
 
--- a/tests/test_ownfile.py
+++ b/tests/test_ownfile.py
@@ -7,7 +7,7 @@
 import orjson
 import pytest
 
-from plankroute.config.feature_file import SCHEMA, OwnFileError, read_own_file, schema_text
+from plankroute.config.feature_file import SCHEMA, FeatureFileError, read_feature_file, schema_text
 
 PART = {"group": "g", "listen": "10.0.0.4:3001"}
 EXAMPLE = Path("deploy/plankroute.example.json")
@@ -17,7 +17,7 @@
     assert SCHEMA.read_bytes() == schema_text(), (
         "python -m plankroute check --schema > deploy/plankroute.schema.json"
     )
-    own = read_own_file(EXAMPLE)
+    own = read_feature_file(EXAMPLE)
     assert own.membership and own.membership.patience_ms == 2600 and len(own.membership.seeds) == 3
 
 
@@ -49,8 +49,8 @@
 def test_a_mistake_is_one_line_with_the_path_of_its_key(tmp_path, told, line):
     path = tmp_path / "own.json"
     path.write_bytes(orjson.dumps(told))
-    with pytest.raises(OwnFileError) as caught:
-        read_own_file(path)
+    with pytest.raises(FeatureFileError) as caught:
+        read_feature_file(path)
     assert str(caught.value).startswith(f"{path}: {line}") and "\n" not in str(caught.value)
 
 
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -16,10 +16,10 @@
 import orjson
 import pytest
 
-from plankroute.net.process.configuration import read_boot
-from plankroute.net.process.resource_limits import room_for
+from plankroute.net.process.configuration import parse_configuration
+from plankroute.net.process.resource_limits import resource_limits_for
 from plankroute.net.process.service import Service
-from plankroute.net.process.telemetry import Book, Log
+from plankroute.net.process.telemetry import EventLog, Telemetry
 from plankroute.net.proxies import listener
 from plankroute.net.proxies.connection import Peer
 
@@ -138,7 +138,7 @@
 
     def __init__(self, service: Service, agent: Agent) -> None:
         self.service, self.agent = service, agent
-        self.counts = service.book.counts
+        self.counts = service.telemetry.counts
 
     async def dial(self, *lines: str) -> Caller:
         assert self.service.listener.server
@@ -159,15 +159,17 @@
             asyncio.timeout(20),
             await asyncio.start_server(agent.serve, "127.0.0.1", 0) as server,
         ):
-            boot = read_boot(config(server.sockets[0].getsockname()[1]))
-            service = Service(boot, Book(Log("n1", ([] if log is None else log).append)))
+            configuration = parse_configuration(config(server.sockets[0].getsockname()[1]))
+            service = Service(
+                configuration, Telemetry(EventLog("n1", ([] if log is None else log).append))
+            )
             running = asyncio.create_task(service.run())
             stage = Stage(service, agent)
             await stage.until(lambda: service.listener.server is not None)
             await scene(stage)
             os.kill(os.getpid(), signal.SIGTERM)
             await running
-            service.book.log.finish(
+            service.telemetry.log.finish(
                 5.0
             )  # its lines are passed on by a thread: the test may read them now
             return stage
@@ -198,7 +200,9 @@
             "probe",
         )
         assert await proxy.hear("alive") == "alive"
-        await stage.until(lambda: stage.service.router.steward.publisher.channel.waiting == 0)
+        await stage.until(
+            lambda: stage.service.router.controller.publisher.channel.unacknowledged == 0
+        )
         assert stage.counts["dropped.read"] == 1 and stage.counts["dropped.admit"] == 3
 
     play(scene)
@@ -272,7 +276,7 @@
             )
             assert "s-1:0" in await proxy.hear("rows")  # on the same stream
             await stage.until(lambda: old.write(b"1\r\n\n\r\n") or old.transport.is_closing())
-            assert stage.service.listener.room == room_for(192, 600)
+            assert stage.service.listener.room == resource_limits_for(192, 600)
             await reload(
                 stage, orjson.dumps(moved), "taken.configurations"
             )  # the same again: nothing moves
@@ -294,10 +298,10 @@
         await new.hear("replace=1")
         assert await old.is_ended()
         await stage.until(lambda: len(stage.service.listener.peers) == 1)
-        assert list(stage.service.router.steward.publisher.zone_of) == [3]
+        assert list(stage.service.router.controller.publisher.zone_of_proxy) == [3]
         assert 3 in stage.service.listener.streams.by_proxy
         new.writer.transport.abort()
-        await stage.until(lambda: not stage.service.router.steward.publisher.zone_of)
+        await stage.until(lambda: not stage.service.router.controller.publisher.zone_of_proxy)
 
     play(scene)
 
@@ -306,18 +310,21 @@
     async def scene(stage: Stage) -> None:
         proxy = await stage.dial(HELLO)
         bound = await proxy.hear("replace=1")
-        publisher, streams = stage.service.router.steward.publisher, stage.service.listener.streams
+        publisher, streams = (
+            stage.service.router.controller.publisher,
+            stage.service.listener.streams,
+        )
         stage.service.listener.sweep()
-        assert publisher.zone_of and publisher.channel.waiting
+        assert publisher.zone_of_proxy and publisher.channel.unacknowledged
         streams.silent_s = -1.0
         stage.service.listener.sweep()
-        await stage.until(lambda: not publisher.zone_of)
-        assert publisher.channel.waiting == 0 and not proxy.writer.transport.is_closing()
+        await stage.until(lambda: not publisher.zone_of_proxy)
+        assert publisher.channel.unacknowledged == 0 and not proxy.writer.transport.is_closing()
         stage.service.listener.sweep()
         streams.silent_s = 60.0
         proxy.say(f"ack node=3 nonce={bound.split('stamp=')[1]} latency=1")
         assert await proxy.hear("replace=1")
-        assert stage.counts["dropped.silent"] == 1 and list(publisher.zone_of) == [3]
+        assert stage.counts["dropped.silent"] == 1 and list(publisher.zone_of_proxy) == [3]
 
     play(scene)
 
@@ -404,7 +411,7 @@
 )
 def test_a_stream_that_goes_on_unreadable_ends_and_the_proxys_new_one_is_taken(torn):
     async def scene(stage: Stage) -> None:
-        publisher = stage.service.router.steward.publisher
+        publisher = stage.service.router.controller.publisher
         proxy, collector = await stage.dial(HELLO), await stage.dial("agent locality=a")
         await proxy.hear("replace=1")
         good = "demand node=3 route=lookup total=1 errors=0 interval=1000"
@@ -412,11 +419,11 @@
         await stage.until(
             lambda: stage.counts["taken.traffic"] == 1
         )  # what is spoilt costs itself alone
-        assert publisher.zone_of and stage.counts["dropped.read"] == 2
+        assert publisher.zone_of_proxy and stage.counts["dropped.read"] == 2
         for caller in (proxy, collector):
             caller.writer.write(torn)
             assert await caller.is_ended()
-        await stage.until(lambda: not publisher.zone_of)
+        await stage.until(lambda: not publisher.zone_of_proxy)
         again = await stage.dial(HELLO.replace("cold=1", "cold=0"))
         assert await again.hear("replace=1") and stage.counts["dropped.unreadable"] == 2
 
@@ -460,7 +467,7 @@
 
     async def scene(stage: Stage) -> None:
         router = stage.service.router
-        for part, name in ((router.steward, "deliver"), (router.player, "play")):
+        for part, name in ((router.controller, "deliver"), (router.message_builder, "play")):
             works = getattr(part, name)
             monkeypatch.setattr(part, name, lambda *_: 1 // 0)
             proxy = await stage.dial(HELLO)
@@ -502,12 +509,12 @@
         env={**os.environ, "GW_CONFIG": str(path)},
         stderr=subprocess.PIPE,
         **limits,
-    ) as steward:
-        assert steward.stderr
-        while b'"listening"' not in steward.stderr.readline():
-            assert steward.poll() is None
-        yield steward
-        steward.kill()
+    ) as controller:
+        assert controller.stderr
+        while b'"listening"' not in controller.stderr.readline():
+            assert controller.poll() is None
+        yield controller
+        controller.kill()
 
 
 def free_port() -> int:
@@ -524,13 +531,13 @@
 def test_sigterm_prints_the_counters_and_ends_cleanly(tmp_path):
     text = config(discovery=9, listen=(port := free_port()))
     with (
-        process(tmp_path / "config.json", text) as steward,
+        process(tmp_path / "config.json", text) as controller,
         socket.create_connection(("127.0.0.1", port)),
     ):
         assert ask(port) == b"alive\r\n"
-        steward.send_signal(signal.SIGTERM)
-        said = [json.loads(line) for line in steward.stderr.read().splitlines()]
-        assert steward.wait(60) == 0
+        controller.send_signal(signal.SIGTERM)
+        said = [json.loads(line) for line in controller.stderr.read().splitlines()]
+        assert controller.wait(60) == 0
     assert [line["event"] for line in said[-2:]] == ["counters", "ended"] and said[-2][
         "core.batches"
     ] >= 1
@@ -545,7 +552,7 @@
         prober.at_once = lambda: 1
         stage.service.directory.hosts[
             1
-        ].address = stage.service.boot.discovery  # it answers without an end
+        ].address = stage.service.configuration.discovery  # it answers without an end
         for host in (0, 1, 2, 2):
             prober.probe(host)
         assert (
@@ -571,9 +578,9 @@
 def test_no_descriptors_left_for_accepting_is_survived(tmp_path):
     text = config(discovery=9, listen=(port := free_port()))
     few = {"preexec_fn": lambda: resource.setrlimit(resource.RLIMIT_NOFILE, (24, 24))}
-    with process(tmp_path / "config.json", text, **few) as steward:
+    with process(tmp_path / "config.json", text, **few) as controller:
         silent = [socket.create_connection(("127.0.0.1", port)) for _ in range(40)]
-        while b'"loop_failed"' not in steward.stderr.readline():
+        while b'"loop_failed"' not in controller.stderr.readline():
             pass
         for stranger in silent:
             stranger.close()
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -25,7 +25,7 @@
 
 def decode(data: bytes) -> list:
     decoder = Decoder()
-    decoder.report_fields[3] = ("inflight",)
+    decoder.report_fields[3] = ("in_flight",)
     return list(decoder.decode(data))
 
 
@@ -49,16 +49,18 @@
     assert decode(stats) == [
         Delivered(
             3,
-            events.HostSums(HOST_A, 0, 14, 1, 48250.0, 1_000_000, events.LoadReport(inflight=7.0)),
+            events.HostRequestStats(
+                HOST_A, 0, 14, 1, 48250.0, 1_000_000, events.LoadReport(in_flight=7.0)
+            ),
         )
     ]
     traffic = row("0a 0300 0000000000409f40 00 00000000 2900 09000000")
-    assert decode(traffic) == [Delivered(3, events.ProxyTraffic(41, 0, 9, 0, 2_000_000))]
+    assert decode(traffic) == [Delivered(3, events.ProxyRequestStats(41, 0, 9, 0, 2_000_000))]
     assert decode(row("06 0300 2900 0000 0000d040 01")) == [
         Delivered(3, events.ProxyJoined(41, 0, 6.5, True))
     ]
     assert decode(row("02 0300 4d000000 07 0500 2900")) == [
-        Delivered(3, events.TimerDue(77)),
+        Delivered(3, events.TimerExpired(77)),
         Delivered(5, events.ProxyLeft(41)),
     ]
 
@@ -71,11 +73,13 @@
 
 def test_orders():
     expected = {
-        "4b 0300 7500 f211902c 0000403f": commands.SetLine(117, HOST_B, 0.75),
+        "4b 0300 7500 f211902c 0000403f": commands.SetRoute(117, HOST_B, 0.75),
         "41 0300 0000000000407f40 4d000000": commands.SetTimer(500_000, 77),
-        "43 0300 7500 2900 0000": commands.Bind(117, 41),
-        "44 0300 7500 01 0200 0000403f": commands.SetLevel(117, (1,), 0.75, commands.Retry.UNRUN),
-        "45 0300 ffff 0400 68692037": commands.Tell(commands.ALL_PEERS, b"hi 7"),
+        "43 0300 7500 2900 0000": commands.BindProxy(117, 41),
+        "44 0300 7500 01 0200 0000403f": commands.SetAdmissionLimit(
+            117, (1,), 0.75, commands.RetryPolicy.IF_NOT_EXECUTED
+        ),
+        "45 0300 ffff 0400 68692037": commands.SendToPeer(commands.ALL_PEERS, b"hi 7"),
     }
     for text, order in expected.items():
         assert encode_order(3, order) == row(text)
