--- a/plankroute/controller/controller.py
+++ b/plankroute/controller/controller.py
@@ -1,10 +1,10 @@
 """Entry point of a controller: events in by host id, orders out, and the ticks that wake its actors."""
 
-from plankroute.controller.scheduler import Scheduler, Tick
 from plankroute.events import commands, events
 from plankroute.events.events import HostState, ListKind
 from plankroute.events.facts import StartFacts
 from plankroute.policy.decide import ASK_AGAIN_US, Balancer, Host, HostTable, Levels, Publisher
+from plankroute.state.scheduler import Scheduler, Tick
 
 
 class Controller:
--- a/plankroute/net/process/router.py
+++ b/plankroute/net/process/router.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable
 
 from plankroute.controller.controller import Controller
-from plankroute.controller.messages import Message, MessageBuilder
+from plankroute.controller.message_builder import Message, MessageBuilder
 from plankroute.events import commands, events
 from plankroute.net.process.clock import Clock, Timers
 from plankroute.net.process.telemetry import Telemetry
--- a/plankroute/net/process/service.py
+++ b/plankroute/net/process/service.py
@@ -11,7 +11,7 @@
 from typing import TYPE_CHECKING, Any
 
 from plankroute.controller.controller import Controller
-from plankroute.controller.messages import MessageBuilder
+from plankroute.controller.message_builder import MessageBuilder
 from plankroute.events.settings import SettingsError
 from plankroute.net.discovery.directory import Directory
 from plankroute.net.discovery.watch import Discovery
--- a/plankroute/net/proxies/line_codec.py
+++ b/plankroute/net/proxies/line_codec.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable, Iterable, Iterator
 from dataclasses import dataclass
 
-from plankroute.controller.messages import Message, TableUpdate
+from plankroute.controller.message_builder import Message, TableUpdate
 from plankroute.events.events import LoadReport
 from plankroute.events.settings import REPORT_FIELDS as SETTINGS_FIELDS
 from plankroute.events.settings import load_report, microseconds
--- a/plankroute/net/proxies/sender.py
+++ b/plankroute/net/proxies/sender.py
@@ -1,6 +1,6 @@
 """Send: messages become bytes on their proxy's stream."""
 
-from plankroute.controller.messages import Message
+from plankroute.controller.message_builder import Message
 from plankroute.net.process.telemetry import Telemetry
 from plankroute.net.proxies.line_codec import Writer
 from plankroute.net.proxies.sessions import Streams
--- a/plankroute/policy/decide.py
+++ b/plankroute/policy/decide.py
@@ -15,19 +15,19 @@
 from statistics import fmean, median
 from typing import Any
 
-from plankroute.controller.channel import Channel
-from plankroute.controller.host_statistics import NO_CAP, HostStatistics, group_by
-from plankroute.controller.registry import (
+from plankroute.events import commands, events
+from plankroute.events.events import HealthCheckOutcome, HostState
+from plankroute.events.facts import AdmissionUnit, ReportSource, StartFacts
+from plankroute.state.channel import Channel
+from plankroute.state.host_statistics import NO_CAP, HostStatistics, group_by
+from plankroute.state.proxy_registry import (
     Change,
     ProxyRegistry,
     PublishedTable,
     even_rate_cap,
     round_preserving_sum,
 )
-from plankroute.controller.scheduler import Actor, Scheduler, Tick
-from plankroute.events import commands, events
-from plankroute.events.events import HealthCheckOutcome, HostState
-from plankroute.events.facts import AdmissionUnit, ReportSource, StartFacts
+from plankroute.state.scheduler import Actor, Scheduler, Tick
 
 SECOND_US = 1_000_000
 ASK_AGAIN_US = 2 * SECOND_US  # for a list that failed: well before it counts as known
--- a/plankroute/controller/registry.py
+++ b/plankroute/state/proxy_registry.py
@@ -4,10 +4,10 @@
 from dataclasses import dataclass, field
 from typing import Any, NamedTuple
 
-from plankroute.controller.channel import Channel
-from plankroute.controller.host_statistics import HostStatistics
-from plankroute.controller.scheduler import Actor, Scheduler
 from plankroute.events import commands, events
+from plankroute.state.channel import Channel
+from plankroute.state.host_statistics import HostStatistics
+from plankroute.state.scheduler import Actor, Scheduler
 
 
 @dataclass(eq=False, slots=True)
--- a/tests/test_channel.py
+++ b/tests/test_channel.py
@@ -1,6 +1,6 @@
 """The books of a controller's channel: what waits in it, as far as acknowledgements tell."""
 
-from plankroute.controller.channel import Channel
+from plankroute.state.channel import Channel
 
 SECOND = 1_000_000
 
--- a/tests/test_messages.py
+++ b/tests/test_messages.py
@@ -5,7 +5,7 @@
 import pytest
 from model import DRAINING, entry, full
 
-from plankroute.controller.messages import Message, MessageBuilder, TableUpdate
+from plankroute.controller.message_builder import Message, MessageBuilder, TableUpdate
 from plankroute.events import commands, events
 from plankroute.events.commands import RetryPolicy
 from plankroute.net.proxies.line_codec import MOST_PARTS, ROWS_A_PART, Writer
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -12,7 +12,7 @@
 from model import DRAINING, GONE, READY, SECOND, entry, full, start_facts
 
 from plankroute.controller.controller import Controller
-from plankroute.controller.messages import MessageBuilder
+from plankroute.controller.message_builder import MessageBuilder
 from plankroute.events import commands, events
 from plankroute.events.events import HealthCheckOutcome, ListKind, LoadReport
 from plankroute.events.settings import SettingsError
