--- /dev/null
+++ b/tests/support/__init__.py
@@ -0,0 +1,1 @@
+"""Helpers shared by the tests."""
--- /dev/null
+++ b/tests/support/controller_bench.py
@@ -0,0 +1,126 @@
+"""Benches that are ready to use, and events that feed them."""
+
+import math
+import random
+
+from plankroute.events import commands, events
+from plankroute.events.events import HealthCheckOutcome, ListKind
+from support.controller_model import (
+    DRAINING,
+    GONE,
+    READY,
+    SECOND,
+    Bench,
+    changes,
+    entry,
+    full,
+    start_facts,
+)
+
+
+def ready_bench(hosts: int = 6, proxies: int = 4, **facts) -> Bench:
+    bench = Bench(start_facts(**facts))
+    bench.give(full(*[entry(100 + i, zone=i % 3, kind=i % 2) for i in range(hosts)]))
+    asked = probes(bench.give(*[events.ProxyJoined(p, p % 3, 10.0, True) for p in range(proxies)]))
+    bench.give(
+        *[
+            events.HealthCheckResult(host, HealthCheckOutcome.ANSWERED, 10_000, None)
+            for host in asked
+        ]
+    )
+    bench.pass_time(SECOND // 10)
+    return bench
+
+
+def feed(
+    bench: Bench,
+    turns: int,
+    time_ms=lambda host: 200.0,
+    failed=lambda host: 0,
+    attempts: int = 8,
+    skip: tuple[int, ...] = (),
+    in_flight: float = 2.0,
+) -> None:
+    for _ in range(turns):
+        bench.give(
+            *[
+                events.HostRequestStats(
+                    host,
+                    0,
+                    attempts,
+                    failed(host),
+                    time_ms(host) * 1000,
+                    SECOND,
+                    events.LoadReport(in_flight=in_flight),
+                )
+                for host, item in bench.hosts.items()
+                if item.state is READY and host not in skip
+            ]
+        )
+        bench.pass_time(SECOND)
+
+
+def probes(out: list[commands.Command]) -> set[int]:
+    return {order.host for order in out if isinstance(order, commands.CheckHealth)}
+
+
+def odd_notes(rng: random.Random) -> list[events.Event]:
+    return [
+        events.HostRequestStats(9999, 0, 3, 1, 1.0, 0, None),
+        events.HostRequestStats(100, 2, 0, 5, 0.0, 0, None),
+        events.Acknowledged(77, 3, 0),
+        events.ProxyLeft(78),
+        events.TimerExpired(rng.randrange(9)),
+        events.PeerMessage(1, b"?"),
+        events.HealthCheckResult(9999, HealthCheckOutcome.TIMED_OUT, 1, None),
+        events.ProxyRequestStats(50, 0, 0, 0, 0),
+        events.HostRequestStats(101, 0, 1, 9, 1e12, 1, events.LoadReport()),
+        events.HostRequestStats(100, 0, 4, 0, math.nan, 1, events.LoadReport(in_flight=math.nan)),
+        events.HostRequestStats(100, 1, 4, 0, math.inf, 1, events.LoadReport(in_flight=math.inf)),
+    ]
+
+
+def generated_day(bench: Bench, rng: random.Random, steps: int) -> None:
+    """Hosts come, drain, go and restart; proxies join and leave; reports get lost."""
+    zones = {100 + i: rng.randrange(3) for i in range(rng.randint(1, 9))}
+    bench.give(events.HostList(ListKind.CACHED, tuple(entry(h, zone=z) for h, z in zones.items())))
+    for _ in range(steps):
+        host, proxy = rng.choice(list(zones)), rng.randrange(bench.facts.proxy_count)
+        match rng.randrange(9):
+            case 0:
+                bench.give(changes(entry(host, rng.choice([DRAINING, GONE]), zones[host])))
+            case 1:
+                bench.give(changes(entry(host, READY, zones[host], started_us=bench.now)))
+            case 2:
+                zones.setdefault(host + 10, rng.randrange(3))
+                bench.give(changes(entry(host + 10, READY, zones[host + 10], started_us=bench.now)))
+            case 3:
+                bench.give(
+                    *[
+                        events.ProxyJoined(p, p % 3, 1.0, False)
+                        for p in range(bench.facts.proxy_count)
+                    ]
+                )
+            case 4:
+                bench.give(events.ProxyJoined(proxy, proxy % 3, 1.0, True), events.ProxyLeft(proxy))
+            case 5:
+                kept = rng.sample(list(zones), rng.randrange(len(zones) + 1))
+                bench.give(full(*[entry(h, READY, zones[h]) for h in kept]))
+            case 6:
+                bench.give(*odd_notes(rng))
+            case _:
+                feed(
+                    bench,
+                    rng.randint(1, 3),
+                    time_ms=lambda _: math.exp(rng.gauss(5.5, 1.0)),
+                    failed=lambda _: rng.choice([0, 0, 0, 8]),
+                    in_flight=rng.uniform(0, 20),
+                )
+                bench.give(
+                    *[
+                        events.HealthCheckResult(
+                            h, rng.choice(list(HealthCheckOutcome)), 1000, None
+                        )
+                        for h in zones
+                    ]
+                )
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -12,7 +12,7 @@
 
 import orjson
 import pytest
-from test_service import HELLO, Agent, Caller, Stage, config, listing, play
+from support.service_stage import HELLO, Agent, Caller, Stage, config, listing, play
 
 from plankroute.events import events
 from plankroute.events.events import HealthCheckOutcome
@@ -144,12 +144,12 @@
             list(publisher.zone_of_proxy) == [3]
             and len(stage.service.listener.streams.by_proxy) == 1
         )
-        assert fleet.alarm_us == 0
+        assert fleet.disconnect_alarm_us == 0
         for proxy in range(4, 8):
             await (await stage.dial(HELLO.replace("=3", f"={proxy}"))).hear("replace=1")
         for peer in list(stage.service.listener.peers):
             peer.outlet.reset()
-        await stage.until(lambda: fleet.alarm_us > 0)  # that is what it is for
+        await stage.until(lambda: fleet.disconnect_alarm_us > 0)  # that is what it is for
 
     play(scene)
 
--- a/tests/test_learned.py
+++ b/tests/test_learned.py
@@ -12,8 +12,8 @@
 import pytest
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from model import GONE, READY, SECOND, Bench, changes, entry, full, start_facts
-from test_decide import feed, generated_day, probes, ready_bench
+from support.controller_bench import feed, generated_day, probes, ready_bench
+from support.controller_model import GONE, READY, SECOND, Bench, changes, entry, full, start_facts
 
 from plankroute.cold_start.link_codec import Begin, Part, ViewOf, write_frame
 from plankroute.config.feature_file import WarmStartSection
--- a/tests/test_messages.py
+++ b/tests/test_messages.py
@@ -3,7 +3,7 @@
 import random
 
 import pytest
-from model import DRAINING, entry, full
+from support.controller_model import DRAINING, entry, full
 
 from plankroute.controller.message_builder import Message, MessageBuilder, TableUpdate
 from plankroute.events import commands, events
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -9,7 +9,7 @@
 
 import orjson
 import pytest
-from model import DRAINING, GONE, READY, SECOND, entry, full, start_facts
+from support.controller_model import DRAINING, GONE, READY, SECOND, entry, full, start_facts
 
 from plankroute.controller.controller import Controller
 from plankroute.controller.message_builder import MessageBuilder
