--- a/plankroute/config/feature_file.py
+++ b/plankroute/config/feature_file.py
@@ -9,6 +9,7 @@
 
 import msgspec
 
+from plankroute.config.file_reader import FileReader, read_file
 from plankroute.events.settings import SettingsError
 from plankroute.net.process.address import host_and_port
 
@@ -197,11 +198,10 @@
     """What the file says can't be used: one line, with the path of the key."""
 
 
-def read_feature_file(path: str | Path) -> FeatureFile:
+def read_feature_file(path: str | Path, read: FileReader = read_file) -> FeatureFile:
     """Raises OwnFileError."""
     try:
-        with open(path, "rb") as file:
-            text = file.read(MOST_BYTES + 1)
+        text = read(path, MOST_BYTES + 1)
     except OSError as error:
         raise FeatureFileError(f"{path}: {error.strerror or error}") from error
     if len(text) > MOST_BYTES:
--- a/plankroute/net/process/service.py
+++ b/plankroute/net/process/service.py
@@ -10,6 +10,7 @@
 from dataclasses import replace
 from typing import TYPE_CHECKING, Any
 
+from plankroute.config.file_reader import FileReader, read_file
 from plankroute.controller.controller import Controller
 from plankroute.controller.message_builder import MessageBuilder
 from plankroute.events.settings import SettingsError
@@ -20,6 +21,7 @@
 from plankroute.net.process.clock import Clock
 from plankroute.net.process.configuration import Configuration, parse_configuration
 from plankroute.net.process.router import Router
+from plankroute.net.process.startup_file import read_startup_file
 from plankroute.net.process.telemetry import EventLog, Telemetry, to_stderr
 from plankroute.net.proxies.admission import Admission
 from plankroute.net.proxies.line_codec import Writer
@@ -218,18 +220,28 @@
             self.listener.sweep()
 
 
-def read_configuration() -> Configuration:
-    with open(os.environ["GW_CONFIG"], "rb") as file:
-        return parse_configuration(file.read())
+def read_configuration(read: FileReader = read_file) -> Configuration:
+    """The platform's configuration, from the file that ``GW_CONFIG`` names.
 
+    Raises:
+        KeyError: ``GW_CONFIG`` is not set.
+        OSError: The file cannot be read.
+        SettingsError: It cannot be used; the message is one line.
+    """
+    return parse_configuration(read(os.environ["GW_CONFIG"]))
 
-def own_file() -> "FeatureFile | None":
-    """Raises StartError, whose line says what is wrong."""
+
+def own_file(read: FileReader = read_file) -> "FeatureFile | None":
+    """The project's own JSON file, if ``PLANKROUTE_FILE`` names one.
+
+    Raises:
+        SettingsError: It cannot be used; the message is one line.
+    """
     if not (path := os.environ.get(OWN_FILE)):
         return None
     from plankroute.config.feature_file import read_feature_file
 
-    return read_feature_file(path)
+    return read_feature_file(path, read)
 
 
 async def run_to_its_end(service: Service) -> None:
@@ -246,14 +258,14 @@
     early.heed()
     early.hung_up()  # what is read from here is the newest
     try:
-        configuration = read_configuration()
+        configuration = read_configuration(read_startup_file)
     except UNUSABLE as error:
         print(
             f"plankroute: GW_CONFIG can't be used: {type(error).__name__}: {error}", file=sys.stderr
         )
         return 2
     try:
-        own = own_file()
+        own = own_file(read_startup_file)
     except SettingsError as error:
         print(f"plankroute: {OWN_FILE} can't be used: {error}", file=sys.stderr)
         return 2
--- /dev/null
+++ b/plankroute/net/process/startup_file.py
@@ -0,0 +1,74 @@
+"""Reads a file before the event loop runs, without missing a signal that arrives meanwhile.
+
+A handler installed with :func:`signal.signal` runs between two instructions of the interpreter. A
+signal that arrives after the interpreter's last check and before a blocking system call is only
+recorded: the call is not interrupted, and a process that reads a pipe nobody writes to never ends.
+Here the process blocks in ``poll`` on the file and on the interpreter's wakeup descriptor together.
+The C-level handler writes to that descriptor, so that ``poll`` returns whenever the signal came.
+"""
+
+import os
+import select
+import signal
+import stat
+from collections.abc import Iterator
+from contextlib import contextmanager
+from io import FileIO
+from pathlib import Path
+
+CHUNK_BYTES = 1 << 16
+
+
+def read_startup_file(path: str | Path, max_bytes: int | None = None) -> bytes:
+    """Reads a file to its end, or its first ``max_bytes`` bytes. For the main thread, before the loop.
+
+    Raises:
+        OSError: The file cannot be opened or read.
+        BaseException: Whatever a signal handler raises while this waits.
+    """
+    with FileIO(path, "rb", opener=_open_without_waiting) as file:
+        if stat.S_ISREG(os.fstat(file.fileno()).st_mode):
+            return file.read() if max_bytes is None else file.read(max_bytes) or b""
+        with _signal_wakeup() as wakeup:
+            return _read_when_ready(file, wakeup, max_bytes)
+
+
+def _open_without_waiting(path: str, flags: int) -> int:
+    """Opens a pipe whether or not anybody has opened its other end."""
+    return os.open(path, flags | os.O_NONBLOCK)
+
+
+@contextmanager
+def _signal_wakeup() -> Iterator[int]:
+    """A descriptor that becomes readable with each signal that has a handler."""
+    reader, writer = os.pipe2(os.O_NONBLOCK | os.O_CLOEXEC)
+    previous = signal.set_wakeup_fd(writer, warn_on_full_buffer=False)
+    try:
+        yield reader
+    finally:
+        signal.set_wakeup_fd(previous)
+        os.close(writer)
+        os.close(reader)
+
+
+def _read_when_ready(file: FileIO, wakeup: int, max_bytes: int | None) -> bytes:
+    poller = select.poll()
+    poller.register(file, select.POLLIN)
+    poller.register(wakeup, select.POLLIN)
+    chunks: list[bytes] = []
+    missing = max_bytes
+    while missing is None or missing > 0:
+        ready = {descriptor for descriptor, _ in poller.poll()}
+        if wakeup in ready:
+            os.read(wakeup, CHUNK_BYTES)  # the handler has run by now, and raised nothing
+        if file.fileno() not in ready:
+            continue
+        chunk = file.read(CHUNK_BYTES if missing is None else min(missing, CHUNK_BYTES))
+        if chunk is None:
+            continue  # another reader was faster
+        if not chunk:
+            break
+        chunks.append(chunk)
+        if missing is not None:
+            missing -= len(chunk)
+    return b"".join(chunks)
--- a/tests/support/service_stage.py
+++ b/tests/support/service_stage.py
@@ -183,11 +183,13 @@
         stderr=subprocess.PIPE,
         **limits,
     ) as controller:
-        assert controller.stderr
-        while b'"listening"' not in controller.stderr.readline():
-            assert controller.poll() is None
-        yield controller
-        controller.kill()
+        try:
+            assert controller.stderr
+            while b'"listening"' not in controller.stderr.readline():
+                assert controller.poll() is None
+            yield controller
+        finally:
+            controller.kill()
 
 
 def free_port() -> int:
--- a/tests/test_process_signals.py
+++ b/tests/test_process_signals.py
@@ -18,13 +18,15 @@
 
 
 @contextmanager
-def started(path: Path, **more: object) -> Iterator[subprocess.Popen]:
-    env = {**os.environ, "GW_CONFIG": str(path)}
-    with subprocess.Popen(
-        [sys.executable, "-m", "plankroute"], env=env, stderr=subprocess.PIPE, **more
-    ) as controller:  # type: ignore[call-overload]
-        yield controller
-        controller.kill()
+def started(path: Path, **more: str) -> Iterator[subprocess.Popen]:
+    """A controller process; it is killed whatever becomes of the test."""
+    env = {**os.environ, "GW_CONFIG": str(path), **more}
+    command = [sys.executable, "-m", "plankroute"]
+    with subprocess.Popen(command, env=env, stderr=subprocess.PIPE) as controller:
+        try:
+            yield controller
+        finally:
+            controller.kill()
 
 
 def lines_until(controller: subprocess.Popen, event: str) -> list[dict]:
@@ -76,6 +78,17 @@
         os.close(reading)
 
 
+def test_sigterm_before_the_feature_file_is_read(tmp_path):
+    """Guards against a start that never ends where the second file is a pipe that nobody writes."""
+    os.mkfifo(path := tmp_path / "features.json")
+    (tmp_path / "c.json").write_bytes(config(discovery=9))
+    with started(tmp_path / "c.json", PLANKROUTE_FILE=str(path)) as controller:
+        reading = open_fifo(path)
+        controller.send_signal(signal.SIGTERM)
+        assert controller.wait(20) == 0 and controller.stderr and controller.stderr.read() == b""
+        os.close(reading)
+
+
 def test_a_new_configuration_while_the_old_one_is_being_read_is_not_missed(tmp_path):
     """Guards against a SIGHUP during a start, which left the steward with the old discovery for good."""
     port, path, pipes = free_port(), tmp_path / "c.json", [tmp_path / "first", tmp_path / "second"]
