--- /dev/null
+++ b/tests/membership/test_membership_golden.py
@@ -0,0 +1,162 @@
+"""Bytes of each membership message, and the actions of whole groups, as recorded from version 1.
+
+Guards against a rename that moves a field on the wire, and against a change of order in draws or
+iteration.
+"""
+
+from hashlib import blake2b
+
+import msgspec
+import pytest
+
+from plankroute.membership.codec import Codec
+from plankroute.membership.messages import (
+    Action,
+    Answer,
+    Counted,
+    Errand,
+    Finished,
+    Handed,
+    Heard,
+    Line,
+    News,
+    Piece,
+    Ping,
+    Rest,
+    Said,
+    Send,
+    Told,
+    ViewAsked,
+    ViewPiece,
+)
+from plankroute.membership.records import Record, Standing
+from plankroute.testbed.faults import SECOND, Act, Rule, Script, Step, pauses
+from plankroute.testbed.simulated_members import (
+    CODEC,
+    Core,
+    Group,
+    address_of,
+    plankroute_member,
+)
+
+ALIVE = Record("n1", "127.0.0.1:7946", "z1", 7, 1000)
+SUSPECTED = Record("n2", "127.0.0.2:7946", "z2", 8, 2000, Standing.SUSPECTED, (3, 5), 9)
+MESSAGES: dict[str, tuple[Said, str]] = {
+    "ping": (
+        Ping(1, 2, ALIVE, (SUSPECTED,)),
+        "016dc044c57ac0f24e9501010298a26e31ae3132372e302e302e313a37393436a27a3107cd03e80090009198a26e32ae3132372e302e302e323a37393436a27a3208cd07d00192030509",
+    ),
+    "ack": (
+        Answer(1, ALIVE, (SUSPECTED,), b"sums"),
+        "016dc044c5a6423ca795020198a26e31ae3132372e302e302e313a37393436a27a3107cd03e80090009198a26e32ae3132372e302e302e323a37393436a27a3208cd07d00192030509c40473756d73",
+    ),
+    "indirect ping request": (
+        Errand(1, "127.0.0.9:1", ALIVE, (SUSPECTED,)),
+        "016dc044c5238fb98e950301ab3132372e302e302e393a3198a26e31ae3132372e302e302e313a37393436a27a3107cd03e80090009198a26e32ae3132372e302e302e323a37393436a27a3208cd07d00192030509",
+    ),
+    "indirect ack": (
+        Handed(1, ALIVE, (SUSPECTED,)),
+        "016dc044c537c1267e94040198a26e31ae3132372e302e302e313a37393436a27a3107cd03e80090009198a26e32ae3132372e302e302e323a37393436a27a3208cd07d00192030509",
+    ),
+    "gossip": (
+        News((ALIVE, SUSPECTED)),
+        "016dc044c5a308ab9892059298a26e31ae3132372e302e302e313a37393436a27a3107cd03e800900098a26e32ae3132372e302e302e323a37393436a27a3208cd07d00192030509",
+    ),
+    "view chunk": (
+        Piece((ALIVE,), b"\x01\x1f"),
+        "016dc044c571eb229a93069198a26e31ae3132372e302e302e313a37393436a27a3107cd03e8009000c402011f",
+    ),
+    "view request": (ViewAsked(3), "016dc044c54f8b6e86920703"),
+    "view response": (
+        ViewPiece(9, 3, (Line(SUSPECTED, 1, 5000),)),
+        "016dc044c573a7bc9994080903919398a26e32ae3132372e302e302e323a37393436a27a3208cd07d0019203050901cd1388",
+    ),
+}
+
+
+@pytest.mark.parametrize("kind", MESSAGES)
+def test_bytes_of_each_message_stay(kind: str) -> None:
+    message, recorded = MESSAGES[kind]
+    codec = Codec("group")
+    assert codec.write(message).hex() == recorded
+    assert codec.read(bytes.fromhex(recorded)) == message
+
+
+class DigestingGroup(Group):
+    """Digests each action of each member with its time."""
+
+    def __init__(self, *arguments: object, **options: object) -> None:
+        self.digest = blake2b(digest_size=16)
+        super().__init__(*arguments, **options)  # type: ignore[arg-type]
+
+    def carry_out(self, member: int, action: Action) -> None:
+        match action:
+            case Send(address, message):
+                words: tuple[object, ...] = ("send", address, CODEC.write(message))
+            case Told(change, record, confirmations):
+                words = "told", change.value, msgspec.msgpack.encode(record), confirmations
+            case Rest(until_us):
+                words = "rest", until_us
+            case Counted(_, amount):
+                words = "counted", amount
+            case Finished():
+                words = ("finished",)
+        self.digest.update(repr((self.now, member, *words)).encode())
+        super().carry_out(member, action)
+
+
+def one_name_twice(member: int, life: int, seed: int, seeds: tuple[str, ...]) -> Core:
+    """Member 5 starts under the name of member 4, at an address of its own."""
+    core = plankroute_member(member, life, seed, seeds)
+    if member == 5:
+        core = plankroute_member(4, 99, seed + 7, seeds)
+        core.view.put(0, msgspec.structs.replace(core.view.own(), address=address_of(5)))
+    return core
+
+
+def lossy_group() -> DigestingGroup:
+    steps = (
+        *pauses(tuple(range(2, 15)), 15, 40, seed=3),
+        Step(20, Act.KILL, 15),
+        Step(30, Act.START, 15),
+        Step(45, Act.LEAVE, 6),
+    )
+    rules = Rule(loss=0.2, twice=0.1, spread_ms=20), Rule(20, 35, (3,), None, cut=True)
+    script = Script(3, rules, tuple(sorted(steps, key=lambda step: step.at_s)))
+    return DigestingGroup(16, script, seed=3).run(60)
+
+
+def operators_question(group: DigestingGroup) -> None:
+    group.deliver(0, Heard("127.0.0.1:1", ViewAsked(0)))
+
+
+GROUPS = {
+    "faults of all kinds": (lossy_group, "27ad5572dfdcb3a25f32b586a4a403b8"),
+    "half killed at once": (
+        lambda: DigestingGroup(
+            12, Script(1, (), tuple(Step(20, Act.KILL, member) for member in range(6, 12))), seed=1
+        ).run(40),
+        "0e5357725c7b3f5b8480f4e85f41f999",
+    ),
+    "one name twice": (
+        lambda: DigestingGroup(6, Script(1, (), ()), make=one_name_twice, seed=1, start_s=12).run(
+            40
+        ),
+        "045b3b0ecfaac1aff749148bdf78dc4b",
+    ),
+    "known from the start": (
+        lambda: DigestingGroup(
+            80, Script(5, (Rule(loss=0.3),), (Step(5, Act.KILL, 79),)), seed=5, known=True
+        ).run(12),
+        "d963037f019d6c2c984fcf7ba1040d31",
+    ),
+}
+
+
+@pytest.mark.parametrize("name", GROUPS)
+def test_the_same_seed_gives_the_same_actions(name: str) -> None:
+    make, recorded = GROUPS[name]
+    group = make()
+    operators_question(group)
+    assert group.now % SECOND == 0
+    assert group.digest.hexdigest() == recorded
