--- a/plankroute/cli/members.py
+++ b/plankroute/cli/members.py
@@ -9,17 +9,17 @@
 import orjson
 
 from plankroute.membership.codec import Codec
-from plankroute.membership.facts import MOST_DATAGRAM
-from plankroute.membership.messages import Line, ViewAsked, ViewPiece
-from plankroute.membership.records import Standing
+from plankroute.membership.facts import MAX_DATAGRAM_BYTES
+from plankroute.membership.messages import ViewLine, ViewRequest, ViewResponse
+from plankroute.membership.records import MemberState
 from plankroute.net.process.address import host_and_port
 
 TRIES = 3  # for each part: a datagram may be lost, also on one machine
 
 
-def ask(address: str, group: str, wait_s: float) -> list[Line] | None:
+def ask(address: str, group: str, wait_s: float) -> list[ViewLine] | None:
     """All lines, the steward's own first; None where nobody answers. Raises ValueError for no address."""
-    where, codec, lines = host_and_port(address), Codec(group), list[Line]()
+    where, codec, lines = host_and_port(address), Codec(group), list[ViewLine]()
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as asking:
         asking.settimeout(wait_s)
         while True:
@@ -33,24 +33,24 @@
 
 def ask_piece(
     asking: socket.socket, where: tuple[str, int], codec: Codec, first: int
-) -> ViewPiece | None:
+) -> ViewResponse | None:
     for _ in range(TRIES):
         try:
-            asking.sendto(codec.write(ViewAsked(first)), where)
+            asking.sendto(codec.write(ViewRequest(first)), where)
             while True:
-                said = codec.read(asking.recv(MOST_DATAGRAM + 1))
-                if isinstance(said, ViewPiece) and said.first == first:
+                said = codec.read(asking.recv(MAX_DATAGRAM_BYTES + 1))
+                if isinstance(said, ViewResponse) and said.first == first:
                     return said
         except OSError:
             continue
     return None
 
 
-def state_of(line: Line) -> str:
-    return Standing(line.told).name.lower()
+def state_of(line: ViewLine) -> str:
+    return MemberState(line.told).name.lower()
 
 
-def as_json_text(lines: list[Line]) -> str:
+def as_json_text(lines: list[ViewLine]) -> str:
     return orjson.dumps(
         {
             "steward": lines[0].record.name if lines else None,
@@ -71,7 +71,7 @@
     ).decode()
 
 
-def as_table(lines: list[Line]) -> str:
+def as_table(lines: list[ViewLine]) -> str:
     rows = [("name", "state", "for", "zone", "address", "incarnation")]
     rows += [
         (
--- a/plankroute/membership/anti_entropy.py
+++ b/plankroute/membership/anti_entropy.py
@@ -3,9 +3,9 @@
 
 from collections.abc import Callable, Iterable, Iterator
 
-from plankroute.membership.facts import MOST_DATAGRAM
-from plankroute.membership.messages import Piece
-from plankroute.membership.records import Record
+from plankroute.membership.facts import MAX_DATAGRAM_BYTES
+from plankroute.membership.messages import ViewExchange
+from plankroute.membership.records import MemberRecord
 
 RATE, BURST = (
     1.0,
@@ -16,16 +16,21 @@
 
 
 def pieces(
-    records: Iterable[Record], want: list[int], size: Callable[[Record], int]
-) -> Iterator[Piece]:
+    records: Iterable[MemberRecord], want: list[int], size: Callable[[MemberRecord], int]
+) -> Iterator[ViewExchange]:
     """The first one says what is wanted in return; there is one even where there is no record."""
-    room, chunk, wanted, given = MOST_DATAGRAM - HEAD_BYTES, list[Record](), bytes(want), 0
+    room, chunk, wanted, given = (
+        MAX_DATAGRAM_BYTES - HEAD_BYTES,
+        list[MemberRecord](),
+        bytes(want),
+        0,
+    )
     for record in records:
         needs = size(record)
         if needs > room and given < MOST_PIECES:
-            yield Piece(tuple(chunk), wanted)
-            room, chunk, wanted, given = MOST_DATAGRAM - HEAD_BYTES, [], b"", given + 1
+            yield ViewExchange(tuple(chunk), wanted)
+            room, chunk, wanted, given = MAX_DATAGRAM_BYTES - HEAD_BYTES, [], b"", given + 1
         chunk.append(record)
         room -= needs
     if (chunk or wanted) and given < MOST_PIECES:
-        yield Piece(tuple(chunk), wanted)
+        yield ViewExchange(tuple(chunk), wanted)
--- a/plankroute/membership/codec.py
+++ b/plankroute/membership/codec.py
@@ -6,19 +6,19 @@
 
 import msgspec
 
-from plankroute.membership.facts import MOST_DATAGRAM
+from plankroute.membership.facts import MAX_DATAGRAM_BYTES
 from plankroute.membership.messages import (
-    Answer,
-    Errand,
-    Handed,
-    News,
-    Piece,
+    Ack,
+    Gossip,
+    IndirectAck,
+    IndirectPingRequest,
+    Message,
     Ping,
-    Said,
-    ViewAsked,
-    ViewPiece,
+    ViewExchange,
+    ViewRequest,
+    ViewResponse,
 )
-from plankroute.membership.records import Record
+from plankroute.membership.records import MemberRecord
 
 VERSION = 1
 HEADER = struct.Struct("!BII")  # version, group, check of what follows
@@ -26,7 +26,7 @@
 MOST_NUMBER = 1 << 63  # of lives and incarnations: MessagePack holds no more
 
 
-class Unread(Enum):
+class Rejection(Enum):
     """Why a datagram goes no further."""
 
     SIZE = "size"
@@ -41,51 +41,51 @@
 
     def __init__(self, group: str) -> None:
         self.group = crc32(group.encode())
-        self.encoder, self.decoder = msgspec.msgpack.Encoder(), msgspec.msgpack.Decoder(Said)
+        self.encoder, self.decoder = msgspec.msgpack.Encoder(), msgspec.msgpack.Decoder(Message)
 
-    def write(self, said: Said) -> bytes:
+    def write(self, said: Message) -> bytes:
         body = self.encoder.encode(said)
         return HEADER.pack(VERSION, self.group, crc32(body, self.group)) + body
 
-    def read(self, data: bytes) -> Said | Unread:
-        if not HEADER.size < len(data) <= MOST_DATAGRAM:
-            return Unread.SIZE
+    def read(self, data: bytes) -> Message | Rejection:
+        if not HEADER.size < len(data) <= MAX_DATAGRAM_BYTES:
+            return Rejection.SIZE
         version, group, check = HEADER.unpack_from(data)
         body = data[HEADER.size :]
         if version != VERSION:
-            return Unread.VERSION
+            return Rejection.VERSION
         if group != self.group:
-            return Unread.GROUP
+            return Rejection.GROUP
         if check != crc32(body, group):
-            return Unread.CHECK
+            return Rejection.CHECK
         try:
             said = self.decoder.decode(body)
         except (msgspec.MsgspecError, RecursionError):
-            return Unread.FORM
-        return said if all(can_be(record) for record in records_of(said)) else Unread.FORM
+            return Rejection.FORM
+        return said if all(can_be(record) for record in records_of(said)) else Rejection.FORM
 
-    def size(self, record: Record) -> int:
+    def size(self, record: MemberRecord) -> int:
         """Bytes that it takes within a datagram."""
         return len(self.encoder.encode(record))
 
 
-def records_of(said: Said) -> tuple[Record, ...]:
+def records_of(said: Message) -> tuple[MemberRecord, ...]:
     match said:
-        case Ping() | Answer() | Errand():
+        case Ping() | Ack() | IndirectPingRequest():
             return (said.me, *said.rumours)
-        case Handed():
+        case IndirectAck():
             return (said.record, *said.rumours)
-        case News():
+        case Gossip():
             return said.rumours
-        case Piece():
+        case ViewExchange():
             return said.records
-        case ViewPiece():
+        case ViewResponse():
             return tuple(line.record for line in said.lines)
-        case ViewAsked():
+        case ViewRequest():
             return ()
 
 
-def can_be(record: Record) -> bool:
+def can_be(record: MemberRecord) -> bool:
     """Guards against records that nobody writes: they would stand for good, or fill what is kept."""
     texts = (record.name, MOST_NAME), (record.address, MOST_ADDRESS), (record.zone, MOST_ZONE)
     numbers = record.life, record.incarnation, record.rival
--- a/plankroute/membership/core.py
+++ b/plankroute/membership/core.py
@@ -7,37 +7,37 @@
 
 from plankroute.membership import anti_entropy as exchange
 from plankroute.membership import gossip as spreading
-from plankroute.membership.detector import Ask, Detector
-from plankroute.membership.facts import MOST_DATAGRAM, MemberFacts
-from plankroute.membership.local_health import Awake, OwnDoubt
-from plankroute.membership.member_table import NEVER, View
+from plankroute.membership.detector import FailureDetector, PingTask
+from plankroute.membership.facts import MAX_DATAGRAM_BYTES, MemberFacts
+from plankroute.membership.local_health import LocalHealth, PauseAwareClock
+from plankroute.membership.member_table import NEVER, MemberTable
 from plankroute.membership.messages import (
-    Action,
-    Answer,
-    BeatDue,
-    Change,
-    Counted,
-    Errand,
+    Ack,
+    Command,
+    CountMetric,
     Event,
-    Finished,
-    Handed,
-    Heard,
-    LeaveAsked,
-    Line,
-    News,
-    Piece,
+    Gossip,
+    IndirectAck,
+    IndirectPingRequest,
+    LeaveCompleted,
+    LeaveRequested,
+    Message,
+    MessageReceived,
+    NotifyStatus,
     Ping,
-    Rest,
-    Said,
     SeedsChanged,
-    Send,
-    Told,
-    ViewAsked,
-    ViewPiece,
+    SendMessage,
+    StatusChange,
+    TickDue,
+    ViewExchange,
+    ViewLine,
+    ViewRequest,
+    ViewResponse,
+    WakeAt,
 )
-from plankroute.membership.name_claim import Claim, Reply
-from plankroute.membership.records import Record, Standing
-from plankroute.membership.status import Verdicts
+from plankroute.membership.name_claim import ClaimOutcome, NameClaim
+from plankroute.membership.records import MemberRecord, MemberState
+from plankroute.membership.status import StatusTracker
 from plankroute.seeded_random import SeededRandom
 from plankroute.token_bucket import TokenBucket
 
@@ -64,14 +64,21 @@
     incarnation counts up, so that a new life most often overrules an old one at once; nothing rests on it."""
 
     def __init__(
-        self, facts: MemberFacts, seed: int, life: int, wall_us: int, size: Callable[[Record], int]
+        self,
+        facts: MemberFacts,
+        seed: int,
+        life: int,
+        wall_us: int,
+        size: Callable[[MemberRecord], int],
     ) -> None:
         self.facts, self.size, self.chance = facts, size, SeededRandom(seed)
-        self.view = View(Record(facts.name, facts.address, facts.zone, life, max(1, wall_us)))
-        self.awake, self.doubt = Awake(), OwnDoubt()
-        self.verdicts = Verdicts(self.view, self.doubt, facts.patience_us)
-        self.detector = Detector(facts.probe_us, facts.patience_us, self.chance)
-        self.rumours = spreading.Rumours()
+        self.view = MemberTable(
+            MemberRecord(facts.name, facts.address, facts.zone, life, max(1, wall_us))
+        )
+        self.awake, self.doubt = PauseAwareClock(), LocalHealth()
+        self.verdicts = StatusTracker(self.view, self.doubt, facts.patience_us)
+        self.detector = FailureDetector(facts.probe_us, facts.patience_us, self.chance)
+        self.rumours = spreading.GossipQueue()
         self.at_once = TokenBucket(spreading.RATE, spreading.BURST)
         self.compared = TokenBucket(exchange.RATE, exchange.BURST)
         self.served = TokenBucket(exchange.RATE, exchange.BURST)
@@ -80,19 +87,19 @@
         ] = {}  # by own number: for whom, under which of theirs
         self.fresh: dict[str, None] = {}
         self.seed_places: dict[str, int] = {}
-        self.claim: Claim | None = None
+        self.claim: NameClaim | None = None
         self.now = self.beat_us = self.recall_us = self.forget_us = 0
         self.spread_us = NEVER
         self.heard_any_us, self.is_alone = NEVER, False
         self.leaving = self.yielding = -1  # beats left to say so; -1: neither
         self.is_silent = False
-        self.out: list[Action] = []
+        self.out: list[Command] = []
 
-    def deliver(self, now_us: int, events: list[Event]) -> list[Action]:
+    def deliver(self, now_us: int, events: list[Event]) -> list[Command]:
         """`now_us`: steady time. The last action says when to come back though nothing happened."""
         self.now = self.awake.read(now_us)
         if self.claim is None:
-            self.claim, self.heard_any_us = Claim(self.now), self.now
+            self.claim, self.heard_any_us = NameClaim(self.now), self.now
             self.recall_us, self.forget_us = self.now, self.now + FORGET_EVERY_US
             self.beat_us = now_us + int(BEAT_US * self.chance.draw())
         for event in events:
@@ -104,51 +111,54 @@
         self.out += self.verdicts.out
         self.verdicts.out = []
         self.awake.due_us = self.beat_us
-        self.out.append(Rest(self.beat_us))
+        self.out.append(WakeAt(self.beat_us))
         out, self.out = self.out, []
         return out
 
     def handle(self, event: Event) -> None:
         match event:
-            case Heard(source, ViewAsked(first)):
+            case MessageReceived(source, ViewRequest(first)):
                 self.send(source, self.view_piece(first))
-            case Heard() if self.is_silent:
+            case MessageReceived() if self.is_silent:
                 self.count("silent")
-            case Heard(source, said):
+            case MessageReceived(source, said):
                 self.hear(source, said)
             case SeedsChanged(seeds):
                 self.facts = self.facts.with_seeds(seeds)
                 self.recall_us = self.now
-            case LeaveAsked() if self.leaving < 0:
+            case LeaveRequested() if self.leaving < 0:
                 self.leave()
-            case BeatDue():
+            case TickDue():
                 pass
 
     # What others say
 
-    def hear(self, source: str, said: Said) -> None:
+    def hear(self, source: str, said: Message) -> None:
         match said:
             case Ping():
                 self.take_all((said.me, *said.rumours), said.me)
                 self.answer(source, said)
-            case Answer():
+            case Ack():
                 self.take_all((said.me, *said.rumours), said.me)
                 self.on_answer(source, said)
-            case Errand():
+            case IndirectPingRequest():
                 self.take_all((said.me, *said.rumours), said.me)
                 self.run_errand(source, said)
-            case Handed():
+            case IndirectAck():
                 self.take_all((said.record, *said.rumours))
                 self.settle(said.number)
-            case News():
+            case Gossip():
                 self.take_all(said.rumours)
-            case Piece():
+            case ViewExchange():
                 self.take_all(said.records, rides=False)
                 if said.want and self.served.take(self.now):
                     self.give(source, set(said.want), [])
 
     def take_all(
-        self, records: tuple[Record, ...], sender: Record | None = None, rides: bool = True
+        self,
+        records: tuple[MemberRecord, ...],
+        sender: MemberRecord | None = None,
+        rides: bool = True,
     ) -> None:
         """The sender's own record counts as word from it, whatever stands in it. `rides`: what is new is
         passed on; what came by an exchange reaches others by theirs."""
@@ -162,7 +172,7 @@
                 self.heard_any_us = self.now
                 self.doubt.hear(place, self.now)
 
-    def take(self, record: Record, rides: bool = True) -> None:
+    def take(self, record: MemberRecord, rides: bool = True) -> None:
         if (merged := self.view.merge(record, self.now)) is None:
             self.count("full")
             return
@@ -175,9 +185,9 @@
             self.verdicts.follow(place, before, after, self.now)
             if place in self.verdicts.contested:
                 self.send(
-                    after.address, News((after,))
+                    after.address, Gossip((after,))
                 )  # whoever it is of shall hear of it, and deny it
-            if after.standing is Standing.SUSPECTED is not before.standing:
+            if after.standing is MemberState.SUSPECTED is not before.standing:
                 self.detector.hear_suspected(place, len(self.view.living_places))
         else:
             return
@@ -188,29 +198,29 @@
         self.rumours.add(name)
         self.fresh[name] = None
 
-    def hear_of_self(self, record: Record) -> None:
+    def hear_of_self(self, record: MemberRecord) -> None:
         own = self.view.own()
         if record == own or self.leaving >= 0:
             return
         assert self.claim
         reply, now_own = self.claim.hear(own, record, self.now)
-        if reply is not Reply.NOTHING:
+        if reply is not ClaimOutcome.NOTHING:
             self.count(reply.value)
-        if reply is Reply.DISPLACED:
+        if reply is ClaimOutcome.DISPLACED:
             self.yield_to(record)
         elif now_own != own:
             self.view.put(0, now_own)
             self.pass_on(now_own.name)
             if now_own.rival > own.rival:
-                self.out.append(Told(Change.DOUBLED, now_own))
-        if reply is Reply.CALLED_GONE:
-            self.out.append(Told(Change.CALLED_GONE, now_own))
+                self.out.append(NotifyStatus(StatusChange.DOUBLED, now_own))
+        if reply is ClaimOutcome.CALLED_GONE:
+            self.out.append(NotifyStatus(StatusChange.CALLED_GONE, now_own))
 
-    def yield_to(self, record: Record) -> None:
+    def yield_to(self, record: MemberRecord) -> None:
         """The other process keeps the name; that there were two is said to all."""
         rival = self.view.own().life
         self.view.put(0, msgspec.structs.replace(record, rival=max(record.rival, rival)))
-        self.out.append(Told(Change.DISPLACED, self.view.own()))
+        self.out.append(NotifyStatus(StatusChange.DISPLACED, self.view.own()))
         self.yielding, self.is_silent = YIELD_BEATS, True
 
     # Probes, answers, errands
@@ -221,27 +231,27 @@
         if ping.digest != self.view.digest() and self.compared.take(self.now):
             sums = self.view.bucket_sums()
         rumours = self.riding(self.known_otherwise(ping.me), len(sums))
-        self.send(source, Answer(ping.number, self.view.own(), rumours, sums))
+        self.send(source, Ack(ping.number, self.view.own(), rumours, sums))
 
-    def known_otherwise(self, me: Record) -> Record | None:
+    def known_otherwise(self, me: MemberRecord) -> MemberRecord | None:
         place = self.view.index.get(me.name)
         return None if place is None or self.view.at(place) == me else self.view.at(place)
 
-    def riding(self, first: Record | None, taken: int = 0) -> tuple[Record, ...]:
+    def riding(self, first: MemberRecord | None, taken: int = 0) -> tuple[MemberRecord, ...]:
         """Rumours for one datagram, led by the one that its reader has to know."""
-        room = MOST_DATAGRAM - FIXED_BYTES - taken - self.size(self.view.own())
+        room = MAX_DATAGRAM_BYTES - FIXED_BYTES - taken - self.size(self.view.own())
         room -= self.size(first) if first else 0
         more = self.rumours.take(len(self.view), room, self.record_of, self.size)
         return (first, *more) if first else tuple(more)
 
-    def record_of(self, name: str) -> Record | None:
+    def record_of(self, name: str) -> MemberRecord | None:
         place = self.view.index.get(name)
         return None if place is None else self.view.at(place)
 
-    def on_answer(self, source: str, answer: Answer) -> None:
+    def on_answer(self, source: str, answer: Ack) -> None:
         if (errand := self.errands.pop(answer.number, None)) is not None:
             whom, number = errand
-            self.send(whom, Handed(number, answer.me, self.riding(None)))
+            self.send(whom, IndirectAck(number, answer.me, self.riding(None)))
         self.settle(answer.number)
         if answer.sums and (differing := self.view.differing(answer.sums)):
             self.give(source, set(differing), differing)
@@ -251,14 +261,14 @@
         if (place := self.detector.answered(number)) is not None:
             self.doubt.drop(place)
 
-    def run_errand(self, source: str, errand: Errand) -> None:
+    def run_errand(self, source: str, errand: IndirectPingRequest) -> None:
         self.detector.number += 1
         if len(self.errands) >= ERRANDS:
             del self.errands[next(iter(self.errands))]
         self.errands[self.detector.number] = source, errand.number
         self.send(errand.target, self.ping(self.detector.number, None))
 
-    def ping(self, number: int, about: Record | None) -> Ping:
+    def ping(self, number: int, about: MemberRecord | None) -> Ping:
         return Ping(number, self.view.digest(), self.view.own(), self.riding(about))
 
     def give(self, to: str, buckets: set[int], want: list[int]) -> None:
@@ -266,16 +276,16 @@
         for piece in exchange.pieces(self.view.in_buckets(buckets), want, self.size):
             self.send(to, piece)
 
-    def ask(self, ask: Ask) -> None:
+    def ask(self, ask: PingTask) -> None:
         """A suspect is told of the suspicion with each ping."""
         record = self.view.at(ask.place)
-        about = record if record.standing is not Standing.ALIVE else None
+        about = record if record.standing is not MemberState.ALIVE else None
         self.send(record.address, self.ping(ask.number, about))
         for place in self.drawn(ask.helpers, ask.place):
             rumours = self.riding(None, len(record.address))
             self.send(
                 self.view.at(place).address,
-                Errand(ask.number, record.address, self.view.own(), rumours),
+                IndirectPingRequest(ask.number, record.address, self.view.own(), rumours),
             )
 
     def drawn(self, number: int, without: int = 0) -> list[int]:
@@ -335,7 +345,7 @@
         self.doubt.raise_against(place, self.now)
         self.take(
             msgspec.structs.replace(
-                record, standing=Standing.SUSPECTED, voters=(self.verdicts.mark,)
+                record, standing=MemberState.SUSPECTED, voters=(self.verdicts.mark,)
             )
         )
 
@@ -366,7 +376,11 @@
         alone = self.now - self.heard_any_us > ALONE_US
         if alone is not self.is_alone:
             self.is_alone = alone
-            self.out.append(Told(Change.ALONE if alone else Change.IN_COMPANY, self.view.own()))
+            self.out.append(
+                NotifyStatus(
+                    StatusChange.ALONE if alone else StatusChange.IN_COMPANY, self.view.own()
+                )
+            )
 
     def spread_fresh(self) -> None:
         """News go to a few at once, as many records as fit; the rest ride."""
@@ -374,24 +388,24 @@
             return
         self.spread_us = self.now
         names, self.fresh = list(self.fresh), {}
-        room, records = MOST_DATAGRAM - FIXED_BYTES, list[Record]()
+        room, records = MAX_DATAGRAM_BYTES - FIXED_BYTES, list[MemberRecord]()
         for name in names:
             if (record := self.record_of(name)) is not None and (
                 room := room - self.size(record)
             ) >= 0:
                 records.append(record)
         for place in self.drawn(self.at_once.take(self.now, spreading.AT_ONCE)):
-            self.send(self.view.at(place).address, News(tuple(records)))
+            self.send(self.view.at(place).address, Gossip(tuple(records)))
 
     # Ends
 
     def leave(self) -> None:
         if self.is_silent:
-            self.out.append(Finished())
+            self.out.append(LeaveCompleted())
             return
         self.leaving = LEAVE_BEATS
         self.view.put(
-            0, msgspec.structs.replace(self.view.own(), standing=Standing.LEFT, voters=())
+            0, msgspec.structs.replace(self.view.own(), standing=MemberState.LEFT, voters=())
         )
         self.beat_us = 0  # the first word goes out at once
 
@@ -401,33 +415,35 @@
             return
         self.say_own(LEAVE_MOST)
         if self.leaving == 0:
-            self.out.append(Finished())
+            self.out.append(LeaveCompleted())
 
     def go_on_yielding(self) -> None:
         self.yielding -= 1
         if self.yielding >= 0:
             self.say_own(YIELD_MOST)
-            self.send(self.view.own().address, News((self.view.own(),)))
+            self.send(self.view.own().address, Gossip((self.view.own(),)))
 
     def say_own(self, most: int) -> None:
         for place in self.drawn(most):
-            self.send(self.view.at(place).address, News((self.view.own(),)))
+            self.send(self.view.at(place).address, Gossip((self.view.own(),)))
 
     # For operators
 
-    def view_piece(self, first: int) -> ViewPiece:
+    def view_piece(self, first: int) -> ViewResponse:
         """As many lines as fit, by name, the steward's own first of all."""
         places = [0, *(place for _, place in sorted(self.view.index.items()) if place)]
-        room, lines = MOST_DATAGRAM - FIXED_BYTES, list[Line]()
+        room, lines = MAX_DATAGRAM_BYTES - FIXED_BYTES, list[ViewLine]()
         for place in places[first:]:
             record = self.view.at(place)
             if (room := room - self.size(record) - LINE_BYTES) < 0:
                 break
-            lines.append(Line(record, self.view.told[place], self.now - self.view.since_us[place]))
-        return ViewPiece(len(places), first, tuple(lines))
+            lines.append(
+                ViewLine(record, self.view.told[place], self.now - self.view.since_us[place])
+            )
+        return ViewResponse(len(places), first, tuple(lines))
 
-    def send(self, address: str, said: Said) -> None:
-        self.out.append(Send(address, said))
+    def send(self, address: str, said: Message) -> None:
+        self.out.append(SendMessage(address, said))
 
     def count(self, name: str) -> None:
-        self.out.append(Counted(name))
+        self.out.append(CountMetric(name))
--- a/plankroute/membership/detector.py
+++ b/plankroute/membership/detector.py
@@ -20,7 +20,7 @@
 
 
 @dataclass(slots=True)
-class Probe:
+class PendingPing:
     """One member that is to answer; all tries bear the same number, and one answer to any of them ends it."""
 
     place: int
@@ -31,7 +31,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Ask:
+class PingTask:
     """Ping the place under that number; `helpers`: how many others are sent there as well."""
 
     place: int
@@ -39,15 +39,15 @@
     helpers: int
 
 
-class Detector:
+class FailureDetector:
     """Each member in turn, in an order that is drawn anew each round: the time to a first probe is
     bounded."""
 
     def __init__(self, probe_us: int, patience_us: int, chance: SeededRandom) -> None:
         self.probe_us, self.patience_us, self.chance = probe_us, patience_us, chance
         self.order: list[int] = []
-        self.by_place: dict[int, Probe] = {}
-        self.by_number: dict[int, Probe] = {}
+        self.by_place: dict[int, PendingPing] = {}
+        self.by_number: dict[int, PendingPing] = {}
         self.next_us = self.number = 0
         self.urgent: list[int] = []
 
@@ -66,7 +66,9 @@
     def between_us(self, living: int) -> int:
         return max(self.probe_us, 1_000_000 // max(1, living)) if living < SMALL else self.probe_us
 
-    def due(self, now_us: int, living: set[int], slowness: float) -> tuple[list[Ask], list[int]]:
+    def due(
+        self, now_us: int, living: set[int], slowness: float
+    ) -> tuple[list[PingTask], list[int]]:
         """What to ask now, and the places whose patience has just run out."""
         for place in [place for place in self.by_place if place not in living]:
             self.end(place)
@@ -83,8 +85,8 @@
                 asks.append(self.begin(place, now_us))
         return asks, silent
 
-    def try_again(self, now_us: int, slowness: float) -> tuple[list[Ask], list[int]]:
-        asks, silent = list[Ask](), list[int]()
+    def try_again(self, now_us: int, slowness: float) -> tuple[list[PingTask], list[int]]:
+        asks, silent = list[PingTask](), list[int]()
         for probe in self.by_place.values():
             if not probe.is_over and now_us - probe.since_us >= self.patience_us * slowness:
                 probe.is_over = True
@@ -92,7 +94,7 @@
             if now_us >= probe.again_us:
                 probe.again_us = now_us + (WATCH_US if probe.is_over else TRY_AGAIN_US)
                 is_errand = not probe.is_over and now_us - probe.since_us >= ERRANDS_US
-                asks.append(Ask(probe.place, probe.number, HELPERS if is_errand else 0))
+                asks.append(PingTask(probe.place, probe.number, HELPERS if is_errand else 0))
         return asks, silent
 
     def next_place(self, living: set[int]) -> int | None:
@@ -110,11 +112,11 @@
             places[at], places[other] = places[other], places[at]
         return places
 
-    def begin(self, place: int, now_us: int) -> Ask:
+    def begin(self, place: int, now_us: int) -> PingTask:
         self.number += 1
-        probe = Probe(place, self.number, now_us, now_us + TRY_AGAIN_US)
+        probe = PendingPing(place, self.number, now_us, now_us + TRY_AGAIN_US)
         self.by_place[place] = self.by_number[probe.number] = probe
-        return Ask(place, probe.number, 0)
+        return PingTask(place, probe.number, 0)
 
     def answered(self, number: int) -> int | None:
         """The place that the answer is of; None where nobody was asked under that number."""
--- a/plankroute/membership/facts.py
+++ b/plankroute/membership/facts.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass, replace
 
-MOST_DATAGRAM = (
+MAX_DATAGRAM_BYTES = (
     1200  # bytes: below every path's usual limit, so that none is cut in pieces on its way
 )
 
--- a/plankroute/membership/gossip.py
+++ b/plankroute/membership/gossip.py
@@ -4,7 +4,7 @@
 import math
 from collections.abc import Callable
 
-from plankroute.membership.records import Record
+from plankroute.membership.records import MemberRecord
 
 TIMES = 1  # each rumour rides that often a doubling of the group; views that differ after it are compared
 MOST_RIDING = 16  # rumours on a datagram: what fits of the usual length; fewer make a storm last
@@ -16,7 +16,7 @@
 )
 
 
-class Rumours:
+class GossipQueue:
     """By name, how often the newest record of it has ridden; those that rode least go first."""
 
     def __init__(self) -> None:
@@ -32,13 +32,13 @@
         self,
         members: int,
         room: int,
-        record: Callable[[str], Record | None],
-        size: Callable[[Record], int],
-    ) -> list[Record]:
+        record: Callable[[str], MemberRecord | None],
+        size: Callable[[MemberRecord], int],
+    ) -> list[MemberRecord]:
         """Records that fit into `room` bytes; each is let go when it rode often enough."""
         if not self.rode:
             return []
-        most, out = TIMES * math.ceil(math.log2(members + 2)), list[Record]()
+        most, out = TIMES * math.ceil(math.log2(members + 2)), list[MemberRecord]()
         for name in sorted(self.rode, key=self.rode.__getitem__)[:MOST_RIDING]:
             if (known := record(name)) is None:
                 del self.rode[name]
--- a/plankroute/membership/local_health.py
+++ b/plankroute/membership/local_health.py
@@ -4,7 +4,7 @@
 
 from plankroute.membership.member_table import NEVER
 
-LATE_US = 200_000  # a wake later than that was slept through: twice a beat, some times a busy loop's delay
+LATE_WAKE_US = 200_000  # a wake later than that was slept through: twice a beat, some times a busy loop's delay
 SETTLE_US = 200_000  # after it: the datagrams that wait are read first, and answers to them come
 SHARE_US = 2_000_000  # within it others come to the same complaint, if it is true
 LONELY_STEP, LONELY_MOST = (
@@ -13,7 +13,7 @@
 )  # each lonely complaint stretches time-outs by a quarter, to twice at most
 
 
-class Awake:
+class PauseAwareClock:
     """A clock that stands still while the process did: a pause of its own must not count as others' silence.
 
     Guards against a member that is stopped for two seconds and takes everybody for gone when it goes on.
@@ -25,13 +25,13 @@
 
     def read(self, now_us: int) -> int:
         """Microseconds on this clock; steps back a little after each pause, which delays what is due."""
-        if self.due_us is not None and (late := now_us - self.due_us) > LATE_US:
+        if self.due_us is not None and (late := now_us - self.due_us) > LATE_WAKE_US:
             self.slept_us += late + SETTLE_US
             self.due_us = now_us
         return now_us - self.slept_us
 
 
-class OwnDoubt:
+class LocalHealth:
     """Complaints of this member by place, and whether others share them."""
 
     def __init__(self) -> None:
--- a/plankroute/membership/member_table.py
+++ b/plankroute/membership/member_table.py
@@ -5,9 +5,9 @@
 from collections.abc import Iterator
 from zlib import crc32
 
-from plankroute.membership.records import Record, Standing, canonical, join
+from plankroute.membership.records import MemberRecord, MemberState, canonical, merge_records
 
-MOST_MEMBERS = (
+MAX_MEMBERS = (
     4096  # four times the largest group that was measured; a liar can make a view no longer
 )
 BUCKETS = 32  # of the sums by which views are compared: at 1,000 members one fills about a datagram
@@ -15,14 +15,14 @@
 NEVER = -(1 << 60)
 
 
-class View:
+class MemberTable:
     """Place 0 is the steward itself. `told` is what the program was told, which may lag behind the record."""
 
-    def __init__(self, own: Record) -> None:
+    def __init__(self, own: MemberRecord) -> None:
         self.index: dict[str, int] = {}
         self.free: list[int] = []
-        self.records: list[Record | None] = []
-        self.told: list[Standing] = []
+        self.records: list[MemberRecord | None] = []
+        self.told: list[MemberState] = []
         self.since_us: list[int] = []  # when it was told so
         self.suspected_us: list[int] = []  # when the standing suspicion was first known
         self.contested_us: list[int] = []  # until when an unforeseen verdict waits for its denial
@@ -37,18 +37,18 @@
     def __len__(self) -> int:
         return len(self.index)
 
-    def own(self) -> Record:
+    def own(self) -> MemberRecord:
         return self.at(0)
 
-    def at(self, place: int) -> Record:
+    def at(self, place: int) -> MemberRecord:
         record = self.records[place]
         assert record is not None, "a place that nobody has"
         return record
 
     def is_full(self) -> bool:
-        return len(self.index) >= MOST_MEMBERS
+        return len(self.index) >= MAX_MEMBERS
 
-    def add(self, record: Record, now_us: int) -> int:
+    def add(self, record: MemberRecord, now_us: int) -> int:
         """A name not seen before; told as what its record says."""
         place = self.index[record.name] = self.free.pop() if self.free else len(self.records)
         for array, value in (
@@ -63,7 +63,7 @@
         self.tell(place, record.standing, now_us)
         return place
 
-    def put(self, place: int, record: Record) -> None:
+    def put(self, place: int, record: MemberRecord) -> None:
         """The record of a place, and what follows from it for the sums."""
         bucket = bucket_of(record.name)
         for known, sign in ((self.records[place], -1), (record, 1)):
@@ -72,16 +72,18 @@
                 self.sums[bucket] = (self.sums[bucket] + change) % (1 << 8 * SUM_BYTES)
                 self.total = (self.total + change) % (1 << 8 * SUM_BYTES)
         self.records[place] = record
-        if place and record.standing is Standing.SUSPECTED:
+        if place and record.standing is MemberState.SUSPECTED:
             self.suspected_places.add(place)
         else:
             self.suspected_places.discard(place)
 
-    def tell(self, place: int, standing: Standing, now_us: int) -> None:
+    def tell(self, place: int, standing: MemberState, now_us: int) -> None:
         self.told[place], self.since_us[place] = standing, now_us
-        (self.gone_places.add if standing is Standing.GONE else self.gone_places.discard)(place)
+        (self.gone_places.add if standing is MemberState.GONE else self.gone_places.discard)(place)
         self.contested_us[place] = NEVER
-        if (place in self.living_places) is (is_living := place > 0 and standing < Standing.GONE):
+        if (place in self.living_places) is (
+            is_living := place > 0 and standing < MemberState.GONE
+        ):
             return
         self.drawable = None
         self.version += 1
@@ -93,21 +95,23 @@
             self.drawable = sorted(self.living_places)
         return self.drawable
 
-    def merge(self, record: Record, now_us: int) -> tuple[int, Record | None, Record] | None:
+    def merge(
+        self, record: MemberRecord, now_us: int
+    ) -> tuple[int, MemberRecord | None, MemberRecord] | None:
         """Place, record before and record now; None where there is no room for one more name."""
         record = canonical(record)
         place = self.index.get(record.name)
         if place is None:
             return None if self.is_full() else (self.add(record, now_us), None, record)
         before = self.at(place)
-        after = join(before, record)
+        after = merge_records(before, record)
         if after != before:
             self.put(place, after)
         return place, before, after
 
     def forget(self, place: int) -> None:
         name = self.at(place).name
-        self.tell(place, Standing.LEFT, 0)
+        self.tell(place, MemberState.LEFT, 0)
         self.suspected_places.discard(place)
         self.records[place] = None
         self.free.append(place)
@@ -118,7 +122,7 @@
         return [
             place
             for place in self.index.values()
-            if place and self.told[place] >= Standing.GONE and self.since_us[place] < before_us
+            if place and self.told[place] >= MemberState.GONE and self.since_us[place] < before_us
         ]
 
     def digest(self) -> int:
@@ -140,7 +144,7 @@
             if mine[(at := bucket * SUM_BYTES) : at + SUM_BYTES] != sums[at : at + SUM_BYTES]
         ]
 
-    def in_buckets(self, buckets: set[int]) -> Iterator[Record]:
+    def in_buckets(self, buckets: set[int]) -> Iterator[MemberRecord]:
         """Those gone or left come too: they keep old rumours from bringing anybody back."""
         return (self.at(place) for name, place in self.index.items() if bucket_of(name) in buckets)
 
@@ -149,6 +153,6 @@
     return crc32(name.encode()) % BUCKETS
 
 
-def mark_of(name: str) -> int:
+def observer_id(name: str) -> int:
     """A voter's mark: names that share one are one voter, which makes a verdict later, never sooner."""
     return crc32(name.encode())
--- a/plankroute/membership/messages.py
+++ b/plankroute/membership/messages.py
@@ -5,7 +5,7 @@
 
 import msgspec
 
-from plankroute.membership.records import Record
+from plankroute.membership.records import MemberRecord
 
 # Between members. `rumours`: records that ride along.
 
@@ -15,83 +15,92 @@
 
     number: int
     digest: int
-    me: Record
-    rumours: tuple[Record, ...] = ()
+    me: MemberRecord
+    rumours: tuple[MemberRecord, ...] = ()
 
 
-class Answer(msgspec.Struct, frozen=True, array_like=True, tag=2):
+class Ack(msgspec.Struct, frozen=True, array_like=True, tag=2):
     """To a ping; `sums`: by bucket, where the views differ and may be compared now."""
 
     number: int
-    me: Record
-    rumours: tuple[Record, ...] = ()
+    me: MemberRecord
+    rumours: tuple[MemberRecord, ...] = ()
     sums: bytes = b""
 
 
-class Errand(msgspec.Struct, frozen=True, array_like=True, tag=3):
+class IndirectPingRequest(msgspec.Struct, frozen=True, array_like=True, tag=3):
     """Asks a third member to ping `target`, an address, and to hand on its answer."""
 
     number: int
     target: str
-    me: Record
-    rumours: tuple[Record, ...] = ()
+    me: MemberRecord
+    rumours: tuple[MemberRecord, ...] = ()
 
 
-class Handed(msgspec.Struct, frozen=True, array_like=True, tag=4):
+class IndirectAck(msgspec.Struct, frozen=True, array_like=True, tag=4):
     """The answer that an errand brought: `record` is the target's own."""
 
     number: int
-    record: Record
-    rumours: tuple[Record, ...] = ()
+    record: MemberRecord
+    rumours: tuple[MemberRecord, ...] = ()
 
 
-class News(msgspec.Struct, frozen=True, array_like=True, tag=5):
-    rumours: tuple[Record, ...]
+class Gossip(msgspec.Struct, frozen=True, array_like=True, tag=5):
+    rumours: tuple[MemberRecord, ...]
 
 
-class Piece(msgspec.Struct, frozen=True, array_like=True, tag=6):
+class ViewExchange(msgspec.Struct, frozen=True, array_like=True, tag=6):
     """A part of a view; `want`: the numbers of the buckets that the sender wants in return."""
 
-    records: tuple[Record, ...]
+    records: tuple[MemberRecord, ...]
     want: bytes = b""
 
 
-class ViewAsked(msgspec.Struct, frozen=True, array_like=True, tag=7):
+class ViewRequest(msgspec.Struct, frozen=True, array_like=True, tag=7):
     """An operator's question: who is there, from that line on?"""
 
     first: int
 
 
-class Line(msgspec.Struct, frozen=True, array_like=True):
+class ViewLine(msgspec.Struct, frozen=True, array_like=True):
     """One member as the program was told; `for_us`: how long it has stood so."""
 
-    record: Record
+    record: MemberRecord
     told: int
     for_us: int
 
 
-class ViewPiece(msgspec.Struct, frozen=True, array_like=True, tag=8):
+class ViewResponse(msgspec.Struct, frozen=True, array_like=True, tag=8):
     """A part of the answer: `total` lines there are in all, the steward's own first."""
 
     total: int
     first: int
-    lines: tuple[Line, ...]
+    lines: tuple[ViewLine, ...]
 
 
-Said = Ping | Answer | Errand | Handed | News | Piece | ViewAsked | ViewPiece
+Message = (
+    Ping
+    | Ack
+    | IndirectPingRequest
+    | IndirectAck
+    | Gossip
+    | ViewExchange
+    | ViewRequest
+    | ViewResponse
+)
 
 
 # Into the core.
 
 
 @dataclass(frozen=True, slots=True)
-class Heard:
+class MessageReceived:
     source: str
-    said: Said
+    said: Message
 
 
 @dataclass(frozen=True, slots=True)
-class BeatDue:
+class TickDue:
     pass
 
 
@@ -101,17 +110,17 @@
 
 
 @dataclass(frozen=True, slots=True)
-class LeaveAsked:
+class LeaveRequested:
     pass
 
 
-Event = Heard | BeatDue | SeedsChanged | LeaveAsked
+Event = MessageReceived | TickDue | SeedsChanged | LeaveRequested
 
 
 # Out of the core.
 
 
-class Change(Enum):
+class StatusChange(Enum):
     JOINED = "joined"
     SUSPECTED = "suspected"
     GONE = "gone"
@@ -126,36 +135,36 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Told:
+class NotifyStatus:
     """For the rest of the program. `voters`: how many had no answer, where that was the reason."""
 
-    change: Change
-    record: Record
+    change: StatusChange
+    record: MemberRecord
     voters: int = 0
 
 
 @dataclass(frozen=True, slots=True)
-class Send:
+class SendMessage:
     address: str
-    said: Said
+    said: Message
 
 
 @dataclass(frozen=True, slots=True)
-class Rest:
+class WakeAt:
     """Nothing is due before that time."""
 
     until_us: int
 
 
 @dataclass(frozen=True, slots=True)
-class Counted:
+class CountMetric:
     name: str
     by: int = 1
 
 
 @dataclass(frozen=True, slots=True)
-class Finished:
+class LeaveCompleted:
     """The leave is said; the socket may go."""
 
 
-Action = Told | Send | Rest | Counted | Finished
+Command = NotifyStatus | SendMessage | WakeAt | CountMetric | LeaveCompleted
--- a/plankroute/membership/records.py
+++ b/plankroute/membership/records.py
@@ -6,10 +6,10 @@
 
 import msgspec
 
-MOST_VOTERS = 4  # kept of a suspicion: as many as a verdict ever needs (`suspicion.py`)
+MAX_CONFIRMATIONS = 4  # kept of a suspicion: as many as a verdict ever needs (`suspicion.py`)
 
 
-class Standing(IntEnum):
+class MemberState(IntEnum):
     """A later one overrules an earlier one of the same life and incarnation."""
 
     ALIVE = 0
@@ -18,7 +18,7 @@
     LEFT = 3
 
 
-class Record(msgspec.Struct, frozen=True, array_like=True):
+class MemberRecord(msgspec.Struct, frozen=True, array_like=True):
     """One steward as somebody has it.
 
     `address`: "host:port" at which it takes datagrams. `life`: drawn by each process at its start.
@@ -32,7 +32,7 @@
     zone: str
     life: int
     incarnation: int
-    standing: Standing = Standing.ALIVE
+    standing: MemberState = MemberState.ALIVE
     voters: tuple[int, ...] = ()
     rival: int = 0
 
@@ -41,7 +41,7 @@
         return self.incarnation, self.life
 
     def is_final(self) -> bool:
-        return self.standing >= Standing.GONE
+        return self.standing >= MemberState.GONE
 
     def digest(self) -> int:
         """64 bits that tell this record from any other one of the name."""
@@ -49,15 +49,15 @@
         return int.from_bytes(blake2b(said.encode(), digest_size=8).digest())
 
 
-def canonical(record: Record) -> Record:
+def canonical(record: MemberRecord) -> MemberRecord:
     """Voters belong to a suspicion alone: sorted, each once, no more than are kept."""
     voters: tuple[int, ...] = ()
-    if record.standing is Standing.SUSPECTED:
-        voters = tuple(sorted(set(record.voters))[:MOST_VOTERS])
+    if record.standing is MemberState.SUSPECTED:
+        voters = tuple(sorted(set(record.voters))[:MAX_CONFIRMATIONS])
     return record if voters == record.voters else msgspec.structs.replace(record, voters=voters)
 
 
-def join(one: Record, other: Record) -> Record:
+def merge_records(one: MemberRecord, other: MemberRecord) -> MemberRecord:
     """The record that stands when both were said of a name: commutative, associative, idempotent.
 
     The higher incarnation (then life) stands alone; within one life and incarnation each part takes its own
@@ -69,9 +69,9 @@
         return one
     standing = max(one.standing, other.standing)
     voters: tuple[int, ...] = ()
-    if standing is Standing.SUSPECTED:
-        voters = tuple(sorted({*one.voters, *other.voters})[:MOST_VOTERS])
-    return Record(
+    if standing is MemberState.SUSPECTED:
+        voters = tuple(sorted({*one.voters, *other.voters})[:MAX_CONFIRMATIONS])
+    return MemberRecord(
         one.name,
         max(one.address, other.address),
         max(one.zone, other.zone),
--- a/plankroute/membership/suspicion.py
+++ b/plankroute/membership/suspicion.py
@@ -12,7 +12,7 @@
 CONTEST_PART = 0.7  # of the patience: a verdict out of the blue waits that long for its denial
 
 
-def votes_needed(unsuspected: int) -> int:
+def confirmations_needed(unsuspected: int) -> int:
     """Of `unsuspected` members that nobody complains of, this one among them, half have to agree, four at
     most.
 
@@ -22,11 +22,11 @@
     return max(1, min(MOST_VOTES, (unsuspected + 1) // 2))
 
 
-def shown_from(needed: int) -> int:
+def confirmations_to_notify(needed: int) -> int:
     return min(LOW_VOTES, needed)
 
 
-def wait_us(needed: int, unsuspected: int, members: int, patience_us: int) -> int:
+def suspicion_timeout_us(needed: int, unsuspected: int, members: int, patience_us: int) -> int:
     """How long a suspicion stands at least before it may become a verdict.
 
     Nothing where four agree; the fewer have to, the longer a denial is waited for (one alone: the whole
@@ -37,7 +37,7 @@
     return few + (patience_us if unsuspected < SMALL_PART * members else 0)
 
 
-def is_verdict(
+def is_confirmed_failure(
     voters: int, mine: bool, hears_accused: bool, needed: int, stood_us: int, least_us: int
 ) -> bool:
     """`mine`: this member is among the voters. `hears_accused`: one that it complains of still speaks to it.
--- a/plankroute/net/peers/membership.py
+++ b/plankroute/net/peers/membership.py
@@ -16,24 +16,24 @@
 
 from plankroute.config.feature_file import MembershipSection
 from plankroute.events import events
-from plankroute.membership.codec import Codec, Unread
+from plankroute.membership.codec import Codec, Rejection
 from plankroute.membership.core import Membership
-from plankroute.membership.facts import MOST_DATAGRAM, MemberFacts
-from plankroute.membership.member_table import MOST_MEMBERS, mark_of
+from plankroute.membership.facts import MAX_DATAGRAM_BYTES, MemberFacts
+from plankroute.membership.member_table import MAX_MEMBERS, observer_id
 from plankroute.membership.messages import (
-    Action,
-    BeatDue,
-    Change,
-    Counted,
+    Command,
+    CountMetric,
     Event,
-    Finished,
-    Heard,
-    LeaveAsked,
-    Rest,
+    LeaveCompleted,
+    LeaveRequested,
+    MessageReceived,
+    NotifyStatus,
     SeedsChanged,
-    Send,
-    Told,
-    ViewAsked,
+    SendMessage,
+    StatusChange,
+    TickDue,
+    ViewRequest,
+    WakeAt,
 )
 from plankroute.net.process.address import host_and_port
 from plankroute.net.process.clock import monotonic_us
@@ -48,16 +48,24 @@
 )  # datagrams looked at a second: far above a large group's worst
 OPEN_EVERY_S = 1.0  # between tries for an address that is held
 LEAVE_S = 0.4  # for the last words: two beats, well within what operators leave after SIGTERM
-SELF = frozenset({Change.CALLED_GONE, Change.DISPLACED, Change.ALONE, Change.IN_COMPANY})
+SELF = frozenset(
+    {StatusChange.CALLED_GONE, StatusChange.DISPLACED, StatusChange.ALONE, StatusChange.IN_COMPANY}
+)
 WARNINGS = frozenset(
-    {Change.SUSPECTED, Change.GONE, Change.DOUBLED, Change.CALLED_GONE, Change.ALONE}
+    {
+        StatusChange.SUSPECTED,
+        StatusChange.GONE,
+        StatusChange.DOUBLED,
+        StatusChange.CALLED_GONE,
+        StatusChange.ALONE,
+    }
 )
 STATES = {
-    Change.JOINED: events.ControllerState.ALIVE,
-    Change.BACK: events.ControllerState.ALIVE,
-    Change.SUSPECTED: events.ControllerState.SUSPECTED,
-    Change.GONE: events.ControllerState.GONE,
-    Change.LEFT: events.ControllerState.LEFT,
+    StatusChange.JOINED: events.ControllerState.ALIVE,
+    StatusChange.BACK: events.ControllerState.ALIVE,
+    StatusChange.SUSPECTED: events.ControllerState.SUSPECTED,
+    StatusChange.GONE: events.ControllerState.GONE,
+    StatusChange.LEFT: events.ControllerState.LEFT,
 }
 
 
@@ -130,7 +138,7 @@
             advertised=self.core.facts.address,
             life=self.core.view.own().life,
         )
-        self.work([BeatDue()])
+        self.work([TickDue()])
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.DatagramTransport, transport)
@@ -141,12 +149,12 @@
             self.telemetry.count("members.dropped.flood")
             return
         said = self.codec.read(data)
-        if isinstance(said, Unread):
+        if isinstance(said, Rejection):
             self.telemetry.count(f"members.dropped.{said.value}")
-        elif isinstance(said, ViewAsked) and not self.is_here(addr[0]):
+        elif isinstance(said, ViewRequest) and not self.is_here(addr[0]):
             self.telemetry.count("members.dropped.asked")
         else:
-            self.work([Heard(f"{addr[0]}:{addr[1]}", said)])
+            self.work([MessageReceived(f"{addr[0]}:{addr[1]}", said)])
 
     def is_here(self, host: str) -> bool:
         """Views are told on this machine alone: a short question must not send long answers to third
@@ -166,23 +174,23 @@
             self.telemetry.failed("members", error)
             self.rest(now_us + 1_000_000)  # it is woken all the same
 
-    def carry_out(self, action: Action) -> None:
+    def carry_out(self, action: Command) -> None:
         match action:
-            case Send(address, said):
+            case SendMessage(address, said):
                 self.send(address, self.codec.write(said))
-            case Told():
+            case NotifyStatus():
                 self.tell(action)
-            case Counted(name, by):
+            case CountMetric(name, by):
                 self.telemetry.count(f"members.{name}", by)
-            case Rest(until_us):
+            case WakeAt(until_us):
                 self.rest(until_us)
-            case Finished():
+            case LeaveCompleted():
                 self.finished.set()
 
     def send(self, address: str, data: bytes) -> None:
         if self.transport is None or self.transport.is_closing():
             return
-        if len(data) > MOST_DATAGRAM or self.transport.get_write_buffer_size() > UNSENT_BYTES:
+        if len(data) > MAX_DATAGRAM_BYTES or self.transport.get_write_buffer_size() > UNSENT_BYTES:
             self.telemetry.count("members.dropped.unsent")
             return
         try:
@@ -193,14 +201,18 @@
         self.telemetry.count("members.sent")
         self.telemetry.count("members.sent_bytes", len(data))
 
-    def tell(self, told: Told) -> None:
+    def tell(self, told: NotifyStatus) -> None:
         """Log line, counter and gauge; then the core's note, on which no rule rests."""
         change, record, view = told.change, told.record, self.core.view
         self.telemetry.count(f"members.told.{change.value}")
         self.telemetry.counts["members.living"] = 1 + len(view.living_places)
         name = f"members_{change.value}" if change in SELF else f"member_{change.value}"
         level = (
-            "error" if change is Change.DISPLACED else "warning" if change in WARNINGS else "info"
+            "error"
+            if change is StatusChange.DISPLACED
+            else "warning"
+            if change in WARNINGS
+            else "info"
         )
         self.telemetry.log.event(
             level,
@@ -214,7 +226,7 @@
             living=1 + len(view.living_places),
         )
         if (state := STATES.get(change)) is not None:
-            self.put(events.ControllerStatus(mark_of(record.name), state))
+            self.put(events.ControllerStatus(observer_id(record.name), state))
 
     def rest(self, until_us: int) -> None:
         if self.wake and self.wake_us == until_us:
@@ -227,7 +239,7 @@
 
     def on_wake(self) -> None:
         self.wake = None
-        self.work([BeatDue()])
+        self.work([TickDue()])
 
     def reload(self, part: MembershipSection) -> list[str]:
         """A changed seed list is taken; the names of what else differs, which holds until a restart."""
@@ -246,7 +258,7 @@
         if self.opening:
             self.opening.cancel()
         if self.transport:
-            self.work([LeaveAsked()])
+            self.work([LeaveRequested()])
             try:
                 async with asyncio.timeout(LEAVE_S):
                     await self.finished.wait()
@@ -257,7 +269,7 @@
             self.wake.cancel()
 
 
-@lru_cache(maxsize=MOST_MEMBERS)
+@lru_cache(maxsize=MAX_MEMBERS)
 def endpoint(address: str) -> tuple[str, int]:
     """Guards against a record that names a host instead of an address: looking it up would hold up the loop.
 
--- a/plankroute/testbed/baselines.py
+++ b/plankroute/testbed/baselines.py
@@ -8,24 +8,24 @@
 
 import msgspec
 
-from plankroute.membership.gossip import Rumours
-from plankroute.membership.member_table import View, mark_of
+from plankroute.membership.gossip import GossipQueue
+from plankroute.membership.member_table import MemberTable, observer_id
 from plankroute.membership.messages import (
-    Action,
-    Answer,
-    Change,
-    Errand,
+    Ack,
+    Command,
     Event,
-    Handed,
-    Heard,
-    News,
+    Gossip,
+    IndirectAck,
+    IndirectPingRequest,
+    Message,
+    MessageReceived,
+    NotifyStatus,
     Ping,
-    Rest,
-    Said,
-    Send,
-    Told,
+    SendMessage,
+    StatusChange,
+    WakeAt,
 )
-from plankroute.membership.records import Record, Standing
+from plankroute.membership.records import MemberRecord, MemberState
 from plankroute.seeded_random import SeededRandom
 from plankroute.testbed.simulated_members import CODEC, WALL_US, address_of, name_of
 
@@ -43,9 +43,9 @@
 RUMOUR_ROOM = 800  # bytes of a datagram
 
 
-def records(members: int) -> list[Record]:
+def records(members: int) -> list[MemberRecord]:
     return [
-        Record(name_of(member), address_of(member), f"z{member % 3}", 1, WALL_US)
+        MemberRecord(name_of(member), address_of(member), f"z{member % 3}", 1, WALL_US)
         for member in range(members)
     ]
 
@@ -61,22 +61,22 @@
         self.gone = set[int]()
         self.next_us = self.look_us = 0
 
-    def deliver(self, now_us: int, events: list[Event]) -> list[Action]:
-        out = list[Action]()
+    def deliver(self, now_us: int, events: list[Event]) -> list[Command]:
+        out = list[Command]()
         if self.heard_us is None:
             self.heard_us = [now_us] * len(self.all)
             self.next_us = now_us + HEARTBEAT_US * self.me // len(self.all)
         for event in events:
-            if isinstance(event, Heard) and isinstance(event.said, News):
+            if isinstance(event, MessageReceived) and isinstance(event.said, Gossip):
                 place = self.places[event.said.rumours[0].name]
                 self.heard_us[place] = now_us
                 if place in self.gone:
                     self.gone.discard(place)
-                    out.append(Told(Change.BACK, self.all[place]))
+                    out.append(NotifyStatus(StatusChange.BACK, self.all[place]))
         if now_us >= self.next_us:
             self.next_us += HEARTBEAT_US
             out += [
-                Send(record.address, News((self.own,)))
+                SendMessage(record.address, Gossip((self.own,)))
                 for place, record in enumerate(self.all)
                 if place != self.me
             ]
@@ -85,8 +85,8 @@
             for place, heard in enumerate(self.heard_us):
                 if place != self.me and place not in self.gone and now_us - heard > TIMEOUT_US:
                     self.gone.add(place)
-                    out.append(Told(Change.GONE, self.all[place]))
-        out.append(Rest(min(self.next_us, self.look_us)))
+                    out.append(NotifyStatus(StatusChange.GONE, self.all[place]))
+        out.append(WakeAt(min(self.next_us, self.look_us)))
         return out
 
 
@@ -106,7 +106,7 @@
 
     def __init__(self, member: int, members: int, life: int, seed: int, lifeguard: bool) -> None:
         everybody = records(members)
-        self.view = View(
+        self.view = MemberTable(
             msgspec.structs.replace(everybody[member], life=life, incarnation=WALL_US + life - 1)
         )
         for record in everybody[:member] + everybody[member + 1 :]:
@@ -114,30 +114,30 @@
         self.lifeguard, self.chance, self.rumours = (
             lifeguard,
             SeededRandom(seed * 7919 + member),
-            Rumours(),
+            GossipQueue(),
         )
-        self.mark = mark_of(name_of(member))
+        self.mark = observer_id(name_of(member))
         self.order: list[int] = []
         self.round: Round | None = None
         self.number, self.health, self.beat_us = 0, 0, 0
         self.errands: dict[int, tuple[str, int]] = {}
         self.since_us: dict[int, int] = {}
-        self.out: list[Action] = []
+        self.out: list[Command] = []
 
-    def deliver(self, now_us: int, events: list[Event]) -> list[Action]:
+    def deliver(self, now_us: int, events: list[Event]) -> list[Command]:
         for event in events:
-            if isinstance(event, Heard):
+            if isinstance(event, MessageReceived):
                 self.hear(event.source, event.said, now_us)
         if now_us >= self.beat_us:
             self.beat_us = now_us + BEAT_US
             self.beat(now_us)
-        out, self.out = [*self.out, Rest(self.beat_us)], []
+        out, self.out = [*self.out, WakeAt(self.beat_us)], []
         return out
 
-    def send(self, address: str, said: Said) -> None:
-        self.out.append(Send(address, said))
+    def send(self, address: str, said: Message) -> None:
+        self.out.append(SendMessage(address, said))
 
-    def riding(self, first: Record | None = None) -> tuple[Record, ...]:
+    def riding(self, first: MemberRecord | None = None) -> tuple[MemberRecord, ...]:
         more = self.rumours.take(
             len(self.view),
             RUMOUR_ROOM,
@@ -148,25 +148,25 @@
 
     def ping(self, place: int, number: int) -> None:
         record = self.view.at(place)
-        buddy = record if self.lifeguard and record.standing is not Standing.ALIVE else None
+        buddy = record if self.lifeguard and record.standing is not MemberState.ALIVE else None
         self.send(record.address, Ping(number, 0, self.view.own(), self.riding(buddy)))
 
-    def hear(self, source: str, said: Said, now_us: int) -> None:
+    def hear(self, source: str, said: Message, now_us: int) -> None:
         match said:
             case Ping():
                 self.take_all((said.me, *said.rumours), now_us)
-                self.send(source, Answer(said.number, self.view.own(), self.riding()))
-            case Answer():
+                self.send(source, Ack(said.number, self.view.own(), self.riding()))
+            case Ack():
                 self.take_all((said.me, *said.rumours), now_us)
                 if errand := self.errands.pop(said.number, None):
-                    self.send(errand[0], Handed(errand[1], said.me, self.riding()))
+                    self.send(errand[0], IndirectAck(errand[1], said.me, self.riding()))
                 self.settle(said.number)
-            case Errand():
+            case IndirectPingRequest():
                 self.take_all((said.me, *said.rumours), now_us)
                 self.number += 1
                 self.errands[self.number] = source, said.number
                 self.send(said.target, Ping(self.number, 0, self.view.own(), self.riding()))
-            case Handed():
+            case IndirectAck():
                 self.take_all((said.record, *said.rumours), now_us)
                 self.settle(said.number)
 
@@ -175,40 +175,40 @@
             self.round.answered = True
             self.health = max(0, self.health - 1)
 
-    def take_all(self, said: tuple[Record, ...], now_us: int) -> None:
+    def take_all(self, said: tuple[MemberRecord, ...], now_us: int) -> None:
         for record in said:
             if record.name == self.view.own().name:
                 self.deny(record)
             else:
                 self.take(record, now_us)
 
-    def deny(self, record: Record) -> None:
+    def deny(self, record: MemberRecord) -> None:
         own = self.view.own()
-        if record.standing is not Standing.ALIVE and record.incarnation >= own.incarnation:
+        if record.standing is not MemberState.ALIVE and record.incarnation >= own.incarnation:
             self.health = min(MOST_HEALTH, self.health + 1)
             self.view.put(0, msgspec.structs.replace(own, incarnation=record.incarnation + 1))
             self.rumours.add(own.name)
 
-    def take(self, record: Record, now_us: int) -> None:
+    def take(self, record: MemberRecord, now_us: int) -> None:
         merged = self.view.merge(record, now_us)
         if merged is None or merged[1] == merged[2]:
             return
         place, _, after = merged
         self.rumours.add(after.name)
         match after.standing:
-            case Standing.SUSPECTED:
+            case MemberState.SUSPECTED:
                 self.since_us.setdefault(place, now_us)
-            case Standing.ALIVE:
+            case MemberState.ALIVE:
                 self.since_us.pop(place, None)
-                if self.view.told[place] is Standing.GONE:
-                    self.tell(place, Change.BACK, Standing.ALIVE, now_us)
-            case Standing.GONE if self.view.told[place] is not Standing.GONE:
+                if self.view.told[place] is MemberState.GONE:
+                    self.tell(place, StatusChange.BACK, MemberState.ALIVE, now_us)
+            case MemberState.GONE if self.view.told[place] is not MemberState.GONE:
                 self.since_us.pop(place, None)
-                self.tell(place, Change.GONE, Standing.GONE, now_us)
+                self.tell(place, StatusChange.GONE, MemberState.GONE, now_us)
 
-    def tell(self, place: int, change: Change, standing: Standing, now_us: int) -> None:
+    def tell(self, place: int, change: StatusChange, standing: MemberState, now_us: int) -> None:
         self.view.tell(place, standing, now_us)
-        self.out.append(Told(change, self.view.at(place)))
+        self.out.append(NotifyStatus(change, self.view.at(place)))
 
     def beat(self, now_us: int) -> None:
         slow = 1 + self.health if self.lifeguard else 1
@@ -219,7 +219,7 @@
             for place in self.drawn(HELPERS, probe.place):
                 self.send(
                     self.view.at(place).address,
-                    Errand(
+                    IndirectPingRequest(
                         probe.number,
                         self.view.at(probe.place).address,
                         self.view.own(),
@@ -234,11 +234,11 @@
             if now_us - since >= self.timeout_us(place):
                 del self.since_us[place]
                 gone = msgspec.structs.replace(
-                    self.view.at(place), standing=Standing.GONE, voters=()
+                    self.view.at(place), standing=MemberState.GONE, voters=()
                 )
                 self.view.put(place, gone)
                 self.rumours.add(gone.name)
-                self.tell(place, Change.GONE, Standing.GONE, now_us)
+                self.tell(place, StatusChange.GONE, MemberState.GONE, now_us)
 
     def timeout_us(self, place: int) -> float:
         if not self.lifeguard:
@@ -252,7 +252,9 @@
         record = self.view.at(place)
         if not record.is_final():
             self.take(
-                msgspec.structs.replace(record, standing=Standing.SUSPECTED, voters=(self.mark,)),
+                msgspec.structs.replace(
+                    record, standing=MemberState.SUSPECTED, voters=(self.mark,)
+                ),
                 now_us,
             )
 
--- a/plankroute/testbed/membership_benchmark.py
+++ b/plankroute/testbed/membership_benchmark.py
@@ -12,8 +12,15 @@
 
 import msgspec
 
-from plankroute.membership.messages import Answer, BeatDue, Heard, Piece, Ping, Send
-from plankroute.membership.records import Record
+from plankroute.membership.messages import (
+    Ack,
+    MessageReceived,
+    Ping,
+    SendMessage,
+    TickDue,
+    ViewExchange,
+)
+from plankroute.membership.records import MemberRecord
 from plankroute.testbed import checkers
 from plankroute.testbed.baselines import Heartbeats, Swim
 from plankroute.testbed.faults import SECOND, Act, Rule, Script, Step, partition, pauses
@@ -194,14 +201,14 @@
     before = tracemalloc.get_traced_memory()[0]
     core = plankroute_member(0, 1, 1, ())
     for member in range(1, members):
-        record = Record(
+        record = MemberRecord(
             f"steward-{member:05d}",
             f"10.0.{member // 250}.{member % 250}:3001",
             "zone-a",
             member,
             1_800_000_000_000_000 + member,
         )
-        core.deliver(SECOND + member, [Heard("10.0.0.1:3001", Piece((record,)))])
+        core.deliver(SECOND + member, [MessageReceived("10.0.0.1:3001", ViewExchange((record,)))])
     used = tracemalloc.get_traced_memory()[0] - before
     tracemalloc.stop()
     return used / MB
@@ -212,27 +219,30 @@
     its caches among them all, which is none of a member's own cost."""
     core, busy_s, now_us = plankroute_member(0, 1, 1, ()), 0.0, SECOND
     others = {
-        address_of(member): Record(
+        address_of(member): MemberRecord(
             name_of(member), address_of(member), "z", (member << 16) + 1, WALL_US
         )
         for member in range(1, members)
     }
     addresses = list(others)
-    core.deliver(now_us, [Heard(addresses[0], Piece(tuple(others.values())))])
+    core.deliver(now_us, [MessageReceived(addresses[0], ViewExchange(tuple(others.values())))])
     for beat in range(seconds * 10):
         now_us += SECOND // 10
         asked = addresses[beat % len(addresses)]
         ping = Ping(beat, core.view.digest(), others[asked])
-        events: list[Any] = [BeatDue()] + [Heard(asked, ping)] * (beat % 2)
+        events: list[Any] = [TickDue()] + [MessageReceived(asked, ping)] * (beat % 2)
         began = time.perf_counter()
         pings = [
             action
             for action in core.deliver(now_us, events)
-            if isinstance(action, Send) and isinstance(action.said, Ping)
+            if isinstance(action, SendMessage) and isinstance(action.said, Ping)
         ]
         core.deliver(
             now_us + 300,
-            [Heard(ping.address, Answer(ping.said.number, others[ping.address])) for ping in pings],
+            [
+                MessageReceived(ping.address, Ack(ping.said.number, others[ping.address]))
+                for ping in pings
+            ],
         )
         busy_s += time.perf_counter() - began
     return busy_s / seconds * 100
--- a/plankroute/testbed/scenarios.py
+++ b/plankroute/testbed/scenarios.py
@@ -10,8 +10,8 @@
 import orjson
 
 from plankroute.membership.codec import Codec
-from plankroute.membership.messages import News
-from plankroute.membership.records import Record
+from plankroute.membership.messages import Gossip
+from plankroute.membership.records import MemberRecord
 from plankroute.testbed import checkers
 from plankroute.testbed.faults import SECOND, Act, Rule, Script, Step, partition, pauses
 from plankroute.testbed.links import sender_socket
@@ -350,14 +350,14 @@
     """Drawn by seed; a bounded number, in small bursts, from one socket."""
     chance = random.Random(trial.fleet.plan.script.seed)
     ours, theirs = Codec("lab"), Codec("another")
-    good = ours.write(News((Record("n9999", "127.9.9.9:1", "z", 1, 1),)))
+    good = ours.write(Gossip((MemberRecord("n9999", "127.9.9.9:1", "z", 1, 1),)))
     kinds: list[Callable[[], bytes]] = [
         lambda: chance.randbytes(chance.randrange(1, 1200)),
         lambda: good[: chance.randrange(1, len(good))],
         lambda: bytes([9]) + good[1:],
-        lambda: theirs.write(News(())),
+        lambda: theirs.write(Gossip(())),
         lambda: bytes(60_000),
-        lambda: ours.write(News((Record("x" * 300, "a", "z", 1, 1),))),
+        lambda: ours.write(Gossip((MemberRecord("x" * 300, "a", "z", 1, 1),))),
     ]
     with sender_socket() as sending:
         sending.setblocking(False)
--- a/plankroute/testbed/simulated_members.py
+++ b/plankroute/testbed/simulated_members.py
@@ -12,17 +12,17 @@
 from plankroute.membership.core import Membership
 from plankroute.membership.facts import MemberFacts
 from plankroute.membership.messages import (
-    BeatDue,
-    Counted,
-    Finished,
-    Heard,
-    LeaveAsked,
-    Piece,
-    Rest,
-    Send,
-    Told,
+    CountMetric,
+    LeaveCompleted,
+    LeaveRequested,
+    MessageReceived,
+    NotifyStatus,
+    SendMessage,
+    TickDue,
+    ViewExchange,
+    WakeAt,
 )
-from plankroute.membership.records import Record
+from plankroute.membership.records import MemberRecord
 from plankroute.testbed.faults import SECOND, Act, Script, Step
 from plankroute.testbed.history import Done, Entry, History
 
@@ -96,7 +96,7 @@
         self.cores: list[Core | None] = [None] * members
         self.lives = [0] * members
         self.paused = [False] * members
-        self.waiting: list[list[Heard]] = [[] for _ in range(members)]
+        self.waiting: list[list[MessageReceived]] = [[] for _ in range(members)]
         self.beat_us = [0] * members
         self.places = {address_of(member): member for member in range(members)}
         self.sent: Counter[tuple[int, int]] = Counter()
@@ -130,7 +130,7 @@
         self.waiting[member], self.paused[member], self.beat_us[member] = [], False, 0
         if self.known and self.lives[member] == 1:
             everybody = tuple(
-                Record(
+                MemberRecord(
                     name_of(other),
                     address_of(other),
                     f"z{other % 3}",
@@ -140,8 +140,8 @@
                 for other in range(len(self.cores))
                 if other != member
             )
-            self.deliver(member, Heard(address_of(member), Piece(everybody)))
-        self.deliver(member, BeatDue())
+            self.deliver(member, MessageReceived(address_of(member), ViewExchange(everybody)))
+        self.deliver(member, TickDue())
 
     def do(self, step: Step) -> None:
         member = step.member
@@ -156,22 +156,22 @@
             case Act.RESUME if self.paused[member]:
                 self.resume(member)
             case Act.LEAVE:
-                self.deliver(member, LeaveAsked())
+                self.deliver(member, LeaveRequested())
 
     def resume(self, member: int) -> None:
         """The harder order: what is due comes before what has arrived meanwhile."""
         self.paused[member] = False
         waiting, self.waiting[member] = self.waiting[member], []
         if self.cores[member] and self.beat_us[member] <= self.now:
-            self.deliver(member, BeatDue())
+            self.deliver(member, TickDue())
         for heard in waiting:
             self.deliver(member, heard)
 
     def beat(self, member: int, due_us: int) -> None:
         if self.beat_us[member] == due_us and self.cores[member] and not self.paused[member]:
-            self.deliver(member, BeatDue())
+            self.deliver(member, TickDue())
 
-    def arrive(self, member: int, heard: Heard) -> None:
+    def arrive(self, member: int, heard: MessageReceived) -> None:
         if self.cores[member] is None:
             return
         if self.paused[member]:
@@ -191,15 +191,15 @@
 
     def carry_out(self, member: int, action: Any) -> None:
         match action:
-            case Send(address, said):
+            case SendMessage(address, said):
                 self.send(member, address, said)
-            case Rest(until_us):
+            case WakeAt(until_us):
                 if until_us - FIRST_US != self.beat_us[member]:
                     self.beat_us[member] = until_us - FIRST_US
                     self.at(
                         max(self.now, self.beat_us[member]), self.beat, member, self.beat_us[member]
                     )
-            case Told(change, record):
+            case NotifyStatus(change, record):
                 self.history.entries.append(
                     Entry(
                         self.now,
@@ -210,9 +210,9 @@
                         record.incarnation,
                     )
                 )
-            case Counted(name, by):
+            case CountMetric(name, by):
                 self.counts[name] += by
-            case Finished():
+            case LeaveCompleted():
                 self.cores[member] = None
 
     def send(self, member: int, address: str, said: Any) -> None:
@@ -224,5 +224,8 @@
         number = self.sent[member, other] = self.sent[member, other] + 1
         for delay_us in self.script.fate(self.now, member, other, number):
             self.at(
-                self.now + WAY_US + delay_us, self.arrive, other, Heard(address_of(member), said)
+                self.now + WAY_US + delay_us,
+                self.arrive,
+                other,
+                MessageReceived(address_of(member), said),
             )
--- a/tests/membership/test_membership_golden.py
+++ b/tests/membership/test_membership_golden.py
@@ -11,25 +11,25 @@
 
 from plankroute.membership.codec import Codec
 from plankroute.membership.messages import (
-    Action,
-    Answer,
-    Counted,
-    Errand,
-    Finished,
-    Handed,
-    Heard,
-    Line,
-    News,
-    Piece,
+    Ack,
+    Command,
+    CountMetric,
+    Gossip,
+    IndirectAck,
+    IndirectPingRequest,
+    LeaveCompleted,
+    Message,
+    MessageReceived,
+    NotifyStatus,
     Ping,
-    Rest,
-    Said,
-    Send,
-    Told,
-    ViewAsked,
-    ViewPiece,
+    SendMessage,
+    ViewExchange,
+    ViewLine,
+    ViewRequest,
+    ViewResponse,
+    WakeAt,
 )
-from plankroute.membership.records import Record, Standing
+from plankroute.membership.records import MemberRecord, MemberState
 from plankroute.testbed.faults import SECOND, Act, Rule, Script, Step, pauses
 from plankroute.testbed.simulated_members import (
     CODEC,
@@ -39,36 +39,36 @@
     plankroute_member,
 )
 
-ALIVE = Record("n1", "127.0.0.1:7946", "z1", 7, 1000)
-SUSPECTED = Record("n2", "127.0.0.2:7946", "z2", 8, 2000, Standing.SUSPECTED, (3, 5), 9)
-MESSAGES: dict[str, tuple[Said, str]] = {
+ALIVE = MemberRecord("n1", "127.0.0.1:7946", "z1", 7, 1000)
+SUSPECTED = MemberRecord("n2", "127.0.0.2:7946", "z2", 8, 2000, MemberState.SUSPECTED, (3, 5), 9)
+MESSAGES: dict[str, tuple[Message, str]] = {
     "ping": (
         Ping(1, 2, ALIVE, (SUSPECTED,)),
         "016dc044c57ac0f24e9501010298a26e31ae3132372e302e302e313a37393436a27a3107cd03e80090009198a26e32ae3132372e302e302e323a37393436a27a3208cd07d00192030509",
     ),
     "ack": (
-        Answer(1, ALIVE, (SUSPECTED,), b"sums"),
+        Ack(1, ALIVE, (SUSPECTED,), b"sums"),
         "016dc044c5a6423ca795020198a26e31ae3132372e302e302e313a37393436a27a3107cd03e80090009198a26e32ae3132372e302e302e323a37393436a27a3208cd07d00192030509c40473756d73",
     ),
     "indirect ping request": (
-        Errand(1, "127.0.0.9:1", ALIVE, (SUSPECTED,)),
+        IndirectPingRequest(1, "127.0.0.9:1", ALIVE, (SUSPECTED,)),
         "016dc044c5238fb98e950301ab3132372e302e302e393a3198a26e31ae3132372e302e302e313a37393436a27a3107cd03e80090009198a26e32ae3132372e302e302e323a37393436a27a3208cd07d00192030509",
     ),
     "indirect ack": (
-        Handed(1, ALIVE, (SUSPECTED,)),
+        IndirectAck(1, ALIVE, (SUSPECTED,)),
         "016dc044c537c1267e94040198a26e31ae3132372e302e302e313a37393436a27a3107cd03e80090009198a26e32ae3132372e302e302e323a37393436a27a3208cd07d00192030509",
     ),
     "gossip": (
-        News((ALIVE, SUSPECTED)),
+        Gossip((ALIVE, SUSPECTED)),
         "016dc044c5a308ab9892059298a26e31ae3132372e302e302e313a37393436a27a3107cd03e800900098a26e32ae3132372e302e302e323a37393436a27a3208cd07d00192030509",
     ),
     "view chunk": (
-        Piece((ALIVE,), b"\x01\x1f"),
+        ViewExchange((ALIVE,), b"\x01\x1f"),
         "016dc044c571eb229a93069198a26e31ae3132372e302e302e313a37393436a27a3107cd03e8009000c402011f",
     ),
-    "view request": (ViewAsked(3), "016dc044c54f8b6e86920703"),
+    "view request": (ViewRequest(3), "016dc044c54f8b6e86920703"),
     "view response": (
-        ViewPiece(9, 3, (Line(SUSPECTED, 1, 5000),)),
+        ViewResponse(9, 3, (ViewLine(SUSPECTED, 1, 5000),)),
         "016dc044c573a7bc9994080903919398a26e32ae3132372e302e302e323a37393436a27a3208cd07d0019203050901cd1388",
     ),
 }
@@ -89,17 +89,17 @@
         self.digest = blake2b(digest_size=16)
         super().__init__(*arguments, **options)  # type: ignore[arg-type]
 
-    def carry_out(self, member: int, action: Action) -> None:
+    def carry_out(self, member: int, action: Command) -> None:
         match action:
-            case Send(address, message):
+            case SendMessage(address, message):
                 words: tuple[object, ...] = ("send", address, CODEC.write(message))
-            case Told(change, record, confirmations):
+            case NotifyStatus(change, record, confirmations):
                 words = "told", change.value, msgspec.msgpack.encode(record), confirmations
-            case Rest(until_us):
+            case WakeAt(until_us):
                 words = "rest", until_us
-            case Counted(_, amount):
+            case CountMetric(_, amount):
                 words = "counted", amount
-            case Finished():
+            case LeaveCompleted():
                 words = ("finished",)
         self.digest.update(repr((self.now, member, *words)).encode())
         super().carry_out(member, action)
@@ -127,7 +127,7 @@
 
 
 def operators_question(group: DigestingGroup) -> None:
-    group.deliver(0, Heard("127.0.0.1:1", ViewAsked(0)))
+    group.deliver(0, MessageReceived("127.0.0.1:1", ViewRequest(0)))
 
 
 GROUPS = {
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -7,23 +7,23 @@
 from hypothesis import strategies as st
 
 from plankroute.membership import suspicion
-from plankroute.membership.codec import HEADER, Codec, Unread
-from plankroute.membership.facts import MOST_DATAGRAM
-from plankroute.membership.local_health import LATE_US, SETTLE_US, Awake, OwnDoubt
-from plankroute.membership.member_table import MOST_MEMBERS, View
+from plankroute.membership.codec import HEADER, Codec, Rejection
+from plankroute.membership.facts import MAX_DATAGRAM_BYTES
+from plankroute.membership.local_health import LATE_WAKE_US, SETTLE_US, LocalHealth, PauseAwareClock
+from plankroute.membership.member_table import MAX_MEMBERS, MemberTable
 from plankroute.membership.messages import (
-    Change,
-    Heard,
-    News,
-    Piece,
+    Gossip,
+    MessageReceived,
+    NotifyStatus,
     Ping,
-    Rest,
-    Send,
-    Told,
-    ViewAsked,
+    SendMessage,
+    StatusChange,
+    ViewExchange,
+    ViewRequest,
+    WakeAt,
 )
-from plankroute.membership.name_claim import Claim, Reply
-from plankroute.membership.records import Record, Standing, canonical, join
+from plankroute.membership.name_claim import ClaimOutcome, NameClaim
+from plankroute.membership.records import MemberRecord, MemberState, canonical, merge_records
 from plankroute.testbed import checkers
 from plankroute.testbed.faults import SECOND, Act, Rule, Script, Step, partition, pauses
 from plankroute.testbed.simulated_members import (
@@ -35,13 +35,13 @@
 )
 
 RECORDS = st.builds(
-    Record,
+    MemberRecord,
     st.just("n1"),
     st.sampled_from(["127.0.0.1:1", "127.0.0.1:2"]),
     st.sampled_from(["a", "b"]),
     st.integers(0, 2),
     st.integers(0, 2),
-    st.sampled_from(Standing),
+    st.sampled_from(MemberState),
     st.lists(st.integers(0, 7), max_size=6).map(tuple),
     st.integers(0, 2),
 ).map(canonical)
@@ -49,10 +49,14 @@
 
 @given(RECORDS, RECORDS, RECORDS)
 def test_two_views_merge_the_same_way_in_any_order_and_number(one, other, third):
-    assert join(one, other) == join(other, one)
-    assert join(join(one, other), third) == join(one, join(other, third))
-    assert join(one, one) == one and join(one, join(one, other)) == join(one, other)
-    assert canonical(join(one, other)) == join(one, other)
+    assert merge_records(one, other) == merge_records(other, one)
+    assert merge_records(merge_records(one, other), third) == merge_records(
+        one, merge_records(other, third)
+    )
+    assert merge_records(one, one) == one and merge_records(
+        one, merge_records(one, other)
+    ) == merge_records(one, other)
+    assert canonical(merge_records(one, other)) == merge_records(one, other)
 
 
 @settings(max_examples=50)
@@ -64,7 +68,7 @@
     named = [msgspec.structs.replace(record, name=f"m{number}") for number, record in said]
     shuffled = named + named[:5]
     chance.shuffle(shuffled)
-    views = [View(Record("own", "a:1", "z", 1, 1)) for _ in range(2)]
+    views = [MemberTable(MemberRecord("own", "a:1", "z", 1, 1)) for _ in range(2)]
     for view, records in zip(views, (named, shuffled), strict=True):
         for record in records:
             view.merge(record, 0)
@@ -74,7 +78,7 @@
     assert (
         views[0].bucket_sums() == views[1].bucket_sums() and views[0].digest() == views[1].digest()
     )
-    fresh = View(Record("own", "a:1", "z", 1, 1))
+    fresh = MemberTable(MemberRecord("own", "a:1", "z", 1, 1))
     for place in views[0].index.values():
         fresh.merge(views[0].at(place), 0)
     assert fresh.bucket_sums() == views[0].bucket_sums()
@@ -202,28 +206,31 @@
 
 def test_the_clock_of_the_day_of_a_new_life_does_not_matter():
     """An hour back at a restart: its first record is below the old one's, and is raised above it."""
-    claim = Claim(0)
-    own, old = Record("n", "a:1", "z", 7, 1000), Record("n", "a:1", "z", 3, 4600)
+    claim = NameClaim(0)
+    own, old = MemberRecord("n", "a:1", "z", 7, 1000), MemberRecord("n", "a:1", "z", 3, 4600)
     reply, raised = claim.hear(own, old, SECOND)
-    assert reply is Reply.CLAIMED and raised.incarnation == 4601 and raised.life == 7
+    assert reply is ClaimOutcome.CLAIMED and raised.incarnation == 4601 and raised.life == 7
     assert (
         claim.hear(raised, msgspec.structs.replace(old, life=9, incarnation=9000), SECOND)[0]
-        is Reply.DISPLACED
+        is ClaimOutcome.DISPLACED
     )
-    assert claim.hear(raised, old, SECOND)[0] is Reply.OLD_LIFE
+    assert claim.hear(raised, old, SECOND)[0] is ClaimOutcome.OLD_LIFE
 
 
 def test_a_pause_of_its_own_passes_no_time():
-    awake = Awake()
+    awake = PauseAwareClock()
     before = awake.read(SECOND)
     awake.due_us = SECOND + 100_000
     assert awake.read(3 * SECOND) == before + 100_000 - SETTLE_US
     awake.due_us = 3 * SECOND + 100_000
-    assert awake.read(3 * SECOND + 100_000 + LATE_US) == before + 200_000 + LATE_US - SETTLE_US
+    assert (
+        awake.read(3 * SECOND + 100_000 + LATE_WAKE_US)
+        == before + 200_000 + LATE_WAKE_US - SETTLE_US
+    )
 
 
 def test_complaints_that_nobody_shares_stretch_time_outs_up_to_twice():
-    doubt = OwnDoubt()
+    doubt = LocalHealth()
     for place in range(1, 10):
         doubt.raise_against(place, 0)
     assert doubt.slowness(set(), SECOND) == 1.0 and doubt.slowness(set(), 3 * SECOND) == 2.0
@@ -233,50 +240,61 @@
 
 
 def test_fewer_votes_are_needed_where_fewer_can_vote_and_they_take_longer():
-    assert [suspicion.votes_needed(left) for left in (1, 2, 3, 5, 7, 300)] == [1, 1, 2, 3, 4, 4]
-    waits = [suspicion.wait_us(needed, 10, 12, 3 * SECOND) for needed in (4, 3, 2, 1)]
+    assert [suspicion.confirmations_needed(left) for left in (1, 2, 3, 5, 7, 300)] == [
+        1,
+        1,
+        2,
+        3,
+        4,
+        4,
+    ]
+    waits = [suspicion.suspicion_timeout_us(needed, 10, 12, 3 * SECOND) for needed in (4, 3, 2, 1)]
     assert waits == [0, SECOND, 2 * SECOND, 3 * SECOND]
-    assert suspicion.wait_us(4, 4, 12, 3 * SECOND) == 3 * SECOND  # a small part
-    assert not suspicion.is_verdict(4, True, True, 4, SECOND, 0) and suspicion.is_verdict(
-        5, True, True, 4, SECOND, 0
-    )
+    assert suspicion.suspicion_timeout_us(4, 4, 12, 3 * SECOND) == 3 * SECOND  # a small part
+    assert not suspicion.is_confirmed_failure(
+        4, True, True, 4, SECOND, 0
+    ) and suspicion.is_confirmed_failure(5, True, True, 4, SECOND, 0)
 
 
 def test_noise_is_told_apart_and_goes_no_further():
     codec, other = Codec("g"), Codec("h")
-    good = codec.write(News((Record("n", "a:1", "z", 1, 1),)))
-    forged = codec.write(News((Record("n" * 65, "a:1", "z", 1, 1),)))
-    assert codec.read(good) == News((Record("n", "a:1", "z", 1, 1),))
-    assert codec.read(other.write(News(()))) is Unread.GROUP
-    assert codec.read(bytes([2]) + good[1:]) is Unread.VERSION
-    assert codec.read(good[:-1]) is Unread.CHECK and codec.read(good[: HEADER.size]) is Unread.SIZE
-    assert codec.read(b"\0" * 65507) is Unread.SIZE and codec.read(b"") is Unread.SIZE
-    assert codec.read(forged) is Unread.FORM
+    good = codec.write(Gossip((MemberRecord("n", "a:1", "z", 1, 1),)))
+    forged = codec.write(Gossip((MemberRecord("n" * 65, "a:1", "z", 1, 1),)))
+    assert codec.read(good) == Gossip((MemberRecord("n", "a:1", "z", 1, 1),))
+    assert codec.read(other.write(Gossip(()))) is Rejection.GROUP
+    assert codec.read(bytes([2]) + good[1:]) is Rejection.VERSION
+    assert (
+        codec.read(good[:-1]) is Rejection.CHECK
+        and codec.read(good[: HEADER.size]) is Rejection.SIZE
+    )
+    assert codec.read(b"\0" * 65507) is Rejection.SIZE and codec.read(b"") is Rejection.SIZE
+    assert codec.read(forged) is Rejection.FORM
     for at in range(len(good)):
-        assert isinstance(codec.read(good[:at] + bytes([good[at] ^ 1]) + good[at + 1 :]), Unread)
+        assert isinstance(codec.read(good[:at] + bytes([good[at] ^ 1]) + good[at + 1 :]), Rejection)
 
 
 def test_a_million_members_claimed_fill_no_more_than_the_view():
     core = plankroute_member(0, 1, 1, ())
-    for start in range(0, 2 * MOST_MEMBERS, 10):
+    for start in range(0, 2 * MAX_MEMBERS, 10):
         records = tuple(
-            Record(f"x{number}", "127.9.0.1:1", "z", 1, 1) for number in range(start, start + 10)
+            MemberRecord(f"x{number}", "127.9.0.1:1", "z", 1, 1)
+            for number in range(start, start + 10)
         )
-        core.deliver(SECOND, [Heard("127.9.0.1:1", News(records))])
-    assert len(core.view) == MOST_MEMBERS and len(core.rumours.rode) <= 1024
+        core.deliver(SECOND, [MessageReceived("127.9.0.1:1", Gossip(records))])
+    assert len(core.view) == MAX_MEMBERS and len(core.rumours.rode) <= 1024
 
 
 def test_every_datagram_fits_and_sends_at_once_are_bounded():
     """Also after an exchange of whole views with an operator's question beside it."""
     core = plankroute_member(0, 1, 1, ())
     records = tuple(
-        Record(
+        MemberRecord(
             f"member-{n:03d}" + "y" * 50,
             "127.100.200.100:65535",
             "z" * 40,
             1 << 61,
             1 << 61,
-            Standing.SUSPECTED,
+            MemberState.SUSPECTED,
             (1, 2, 3, 4),
             1 << 61,
         )
@@ -284,16 +302,21 @@
     )
     out = []
     for at in range(0, 60, 5):
-        out += core.deliver(SECOND + at, [Heard("127.0.0.9:1", News(records[at : at + 5]))])
+        out += core.deliver(
+            SECOND + at, [MessageReceived("127.0.0.9:1", Gossip(records[at : at + 5]))]
+        )
     out += core.deliver(
         2 * SECOND,
         [
-            Heard("127.0.0.9:1", Ping(7, 1, records[0], records[1:4])),
-            Heard("127.0.0.9:1", Piece(records[:1], bytes(range(32)))),
-            Heard("127.0.0.9:1", ViewAsked(0)),
+            MessageReceived("127.0.0.9:1", Ping(7, 1, records[0], records[1:4])),
+            MessageReceived("127.0.0.9:1", ViewExchange(records[:1], bytes(range(32)))),
+            MessageReceived("127.0.0.9:1", ViewRequest(0)),
         ],
     )
-    sent = [action for action in out if isinstance(action, Send)]
-    assert sent and all(len(CODEC.write(action.said)) <= MOST_DATAGRAM for action in sent)
-    assert len(sent) < 80 and isinstance(out[-1], Rest)
-    assert len([a for a in out if isinstance(a, Told) and a.change is Change.JOINED]) == 60
+    sent = [action for action in out if isinstance(action, SendMessage)]
+    assert sent and all(len(CODEC.write(action.said)) <= MAX_DATAGRAM_BYTES for action in sent)
+    assert len(sent) < 80 and isinstance(out[-1], WakeAt)
+    assert (
+        len([a for a in out if isinstance(a, NotifyStatus) and a.change is StatusChange.JOINED])
+        == 60
+    )
