--- a/plankroute/cli/state.py
+++ b/plankroute/cli/state.py
@@ -7,7 +7,12 @@
 
 import msgspec
 
-from plankroute.cold_start.link_codec import VERSION, Ask, FrameCutter, write_frame
+from plankroute.cold_start.link_codec import (
+    LINK_VERSION,
+    FrameDecoder,
+    WarmStartRequest,
+    encode_frame,
+)
 from plankroute.net.peers.links import read_views
 from plankroute.net.process.address import host_and_port
 from plankroute.net.process.file_store import Disk
@@ -58,8 +63,8 @@
         async with asyncio.timeout(WAIT_S):
             reader, writer = await asyncio.open_connection(*host_and_port(where))
             try:
-                writer.write(write_frame(Ask(VERSION, group, ASKER)))
-                async for _, age_us, data in read_views(reader, FrameCutter(), MOST_BYTES):
+                writer.write(encode_frame(WarmStartRequest(LINK_VERSION, group, ASKER)))
+                async for _, age_us, data in read_views(reader, FrameDecoder(), MOST_BYTES):
                     if (view := read_view(data)) is not None:
                         found.append(Found(view, age_us))
             finally:
--- a/plankroute/cold_start/backoff.py
+++ b/plankroute/cold_start/backoff.py
@@ -19,7 +19,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class CallFacts:
+class BackoffFacts:
     """What is stated: times are microseconds."""
 
     rank: int
@@ -36,12 +36,12 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Began:
+class Started:
     """The steward has started."""
 
 
 @dataclass(frozen=True, slots=True)
-class Refused:
+class RequestFailed:
     """A call brought no list: refused, broken, cut short or silent. `retry_after_us`: how long it asks to
     wait."""
 
@@ -49,21 +49,21 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Broke:
+class WatchEnded:
     """A watch that had brought a list has ended after that long."""
 
     lasted_us: int
 
 
-Event = Began | Refused | Broke
+Event = Started | RequestFailed | WatchEnded
 
 
 @dataclass(frozen=True, slots=True)
-class CallAt:
+class RequestAt:
     due_us: int
 
 
-class Caller:
+class RequestScheduler:
     """Time is cut into rounds, in each of which this steward has one place by its rank, with some jitter.
 
     Guards against hundreds that call at once, at the start and again when the service is back: each has a
@@ -71,21 +71,21 @@
     answers. Harm: a watch that breaks for one steward alone is renewed up to a round later.
     """
 
-    def __init__(self, facts: CallFacts, seed: int) -> None:
+    def __init__(self, facts: BackoffFacts, seed: int) -> None:
         self.facts, self.chance = facts, SeededRandom(seed)
         self.window_us = facts.window_us()
         self.round_us, self.length_us, self.rounds = 0, self.window_us, 0
         self.repeats = TokenBucket(SECOND_US / self.window_us, BURST)
 
-    def deliver(self, now_us: int, event: Event) -> CallAt:
+    def deliver(self, now_us: int, event: Event) -> RequestAt:
         match event:
-            case Began():
-                return CallAt(self.begin(now_us))
-            case Refused(retry_after_us):
+            case Started():
+                return RequestAt(self.begin(now_us))
+            case RequestFailed(retry_after_us):
                 self.rounds += 1
                 asked_us = min(retry_after_us or 0, self.facts.retry_after_most_us)
                 return self.repeat(now_us, now_us + asked_us)
-            case Broke(lasted_us):
+            case WatchEnded(lasted_us):
                 if (
                     lasted_us < self.window_us
                 ):  # a service that takes calls and drops them is in trouble too
@@ -105,7 +105,7 @@
         place = (facts.rank % facts.controller_count + self.chance.draw()) / facts.controller_count
         return self.round_us + int(place * self.length_us)
 
-    def repeat(self, now_us: int, not_before_us: int, due_us: int = 0) -> CallAt:
+    def repeat(self, now_us: int, not_before_us: int, due_us: int = 0) -> RequestAt:
         """In a round to come, as late as was asked for, and only as the budget of repeats allows."""
         not_before_us = max(not_before_us, now_us + self.repeats.wait_us(now_us))
         while due_us <= now_us or due_us < not_before_us:
@@ -113,7 +113,7 @@
             self.length_us = self.next_length_us()
             due_us = self.moment()
         self.repeats.take(now_us)
-        return CallAt(due_us)
+        return RequestAt(due_us)
 
     def next_length_us(self) -> int:
         grown = self.window_us * GROWTH ** max(0, self.rounds - STEADY_ROUNDS + 1)
--- a/plankroute/cold_start/drain_notices.py
+++ b/plankroute/cold_start/drain_notices.py
@@ -17,7 +17,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Told:
+class DrainNotice:
     """One host, closed at a revision; `by`: the steward, or the file, that said so."""
 
     state: HostState
@@ -34,7 +34,7 @@
     """
 
     def __init__(self) -> None:
-        self.told: dict[str, Told] = {}
+        self.told: dict[str, DrainNotice] = {}
         self.refused = 0  # beyond what is believed ahead of a list: they come with it
 
     def hear(
@@ -55,7 +55,7 @@
             if known is None and len(self.told) + 1 > MOST_PART * listed:
                 self.refused += 1
             elif known is None or known.revision < revision:
-                self.told[uid] = Told(state, revision, name, now_us)
+                self.told[uid] = DrainNotice(state, revision, name, now_us)
                 taken.append(uid)
         return taken
 
--- a/plankroute/cold_start/endpoint_list.py
+++ b/plankroute/cold_start/endpoint_list.py
@@ -14,7 +14,7 @@
 CLOSED = frozenset({"DRAINING", DELETED})
 
 
-class HeldList:
+class EndpointList:
     """Entries as the list service wrote them, by name; a whole list has the same bytes wherever it is
     held."""
 
@@ -74,7 +74,7 @@
         return [item for item in newest.values() if item.get("state") in CLOSED]
 
 
-class Incoming:
+class ListReceiver:
     """A list that comes in parts; where its link broke it goes on at the next one that has the same."""
 
     def __init__(self, most: int) -> None:
--- a/plankroute/cold_start/link_codec.py
+++ b/plankroute/cold_start/link_codec.py
@@ -5,7 +5,7 @@
 
 import msgspec
 
-VERSION = 2  # of the frames and of what they mean: others are not heard
+LINK_VERSION = 2  # of the frames and of what they mean: others are not heard
 LENGTH = struct.Struct("!I")
 MOST_FRAME = 65536  # bytes: a part of a list and little else
 PART_BYTES = 16384  # of a list in one frame: on a link of 50 KB/s one comes each third of a second
@@ -23,7 +23,7 @@
     partial: tuple[int, int, int] | None = None
 
 
-class Begin(msgspec.Struct, frozen=True, array_like=True, tag=2):
+class ListStart(msgspec.Struct, frozen=True, array_like=True, tag=2):
     """A list of `size` bytes follows, from `offset` on; `check`: of the whole."""
 
     revision: int
@@ -33,7 +33,7 @@
     offset: int = 0
 
 
-class Part(msgspec.Struct, frozen=True, array_like=True, tag=3):
+class ListPart(msgspec.Struct, frozen=True, array_like=True, tag=3):
     data: bytes
 
 
@@ -44,20 +44,20 @@
     age_us: int
 
 
-class Probed(msgspec.Struct, frozen=True, array_like=True, tag=5):
+class HealthCheckResults(msgspec.Struct, frozen=True, array_like=True, tag=5):
     """What probes of hosts have told: name, outcome, time taken, age, start of the host (`probers.py`)."""
 
     results: tuple[tuple[str, str, int, int, float], ...]
 
 
-class Drains(msgspec.Struct, frozen=True, array_like=True, tag=6):
+class DrainNoticeFrame(msgspec.Struct, frozen=True, array_like=True, tag=6):
     """Hosts that are closed at a revision, ahead of the list that holds it: a JSON array of its entries."""
 
     revision: int
     targets: bytes
 
 
-class Ask(msgspec.Struct, frozen=True, array_like=True, tag=7):
+class WarmStartRequest(msgspec.Struct, frozen=True, array_like=True, tag=7):
     """The first frame of who wants to know what is known of the hosts, and what was left here for `name`."""
 
     version: int
@@ -65,7 +65,7 @@
     name: str
 
 
-class Keep(msgspec.Struct, frozen=True, array_like=True, tag=8):
+class WarmStartHandover(msgspec.Struct, frozen=True, array_like=True, tag=8):
     """The first frame of who is about to end, and leaves what it knows for its successor of that name."""
 
     version: int
@@ -73,23 +73,33 @@
     name: str
 
 
-class ViewOf(msgspec.Struct, frozen=True, array_like=True, tag=9):
+class WarmStartView(msgspec.Struct, frozen=True, array_like=True, tag=9):
     """A view follows, as a list does (`Begin`, `Part`): whose, and how long ago it was written down."""
 
     name: str
     age_us: int
 
 
-Frame = Hello | Begin | Part | Heartbeat | Probed | Drains | Ask | Keep | ViewOf
+Frame = (
+    Hello
+    | ListStart
+    | ListPart
+    | Heartbeat
+    | HealthCheckResults
+    | DrainNoticeFrame
+    | WarmStartRequest
+    | WarmStartHandover
+    | WarmStartView
+)
 ENCODER, DECODER = msgspec.msgpack.Encoder(), msgspec.msgpack.Decoder(Frame)
 
 
-def write_frame(frame: Frame) -> bytes:
+def encode_frame(frame: Frame) -> bytes:
     body = ENCODER.encode(frame)
     return LENGTH.pack(len(body)) + body
 
 
-class FrameCutter:
+class FrameDecoder:
     """Bytes as they come to frames; None in their place where they can't be any, after which nothing is
     read."""
 
--- a/plankroute/cold_start/watcher_election.py
+++ b/plankroute/cold_start/watcher_election.py
@@ -18,7 +18,7 @@
 )  # who was left: two patiences of membership, which tells by then if it is gone
 LIAR_US = 60 * SECOND_US  # who claimed a revision that the service does not know
 FRESH_US = 3 * SECOND_US  # the service's word is no older: signs of life come each 2 s
-NO_WORD_US = 1 << 40  # the age of a word that never came
+NEVER_HEARD_US = 1 << 40  # the age of a word that never came
 OLD_US = 5 * SECOND_US  # behind the others' word: it is cut off from the service
 STALE_US = 10 * SECOND_US  # all that are followed may be cut off from the service: it is asked then
 DIFFER_US = (
@@ -29,13 +29,13 @@
 LATER_US = (
     2 * SECOND_US
 )  # a watcher that is none any more goes on for so long: the next one comes up
-BEAT_US = SECOND_US // 10
+TICK_US = SECOND_US // 10
 MOST_BEAT_US = (
-    3 * BEAT_US
+    3 * TICK_US
 )  # of a time in which this steward itself stood still, what counts against others
 
 
-def ranked(names: Iterable[str], key: str) -> list[str]:
+def rendezvous_order(names: Iterable[str], key: str) -> list[str]:
     """Rendezvous hashing (Thaler and Ravishankar 1998): each name has a figure for the key, the highest
     first.
 
@@ -55,7 +55,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class FollowFacts:
+class ElectionFacts:
     name: str
     group: str
     controller_count: int  # as stated
@@ -67,21 +67,21 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Living:
+class LiveControllersChanged:
     """All other stewards that are there, as membership has it."""
 
     names: frozenset[str]
 
 
 @dataclass(frozen=True, slots=True)
-class Moved:
+class FrameReceived:
     """A frame came from one that is followed."""
 
     name: str
 
 
 @dataclass(frozen=True, slots=True)
-class Said:
+class HeartbeatReceived:
     """One that is followed says which revision it holds, and how old its word from the service is."""
 
     name: str
@@ -90,12 +90,12 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Ended:
+class LinkClosed:
     name: str
 
 
 @dataclass(frozen=True, slots=True)
-class Holds:
+class ListUpdated:
     """The revision that this steward itself holds now; `by_service`: the service's own word."""
 
     revision: int
@@ -103,18 +103,20 @@
 
 
 @dataclass(frozen=True, slots=True)
-class BeatDue:
+class TickDue:
     pass
 
 
-Event = Living | Moved | Said | Ended | Holds | BeatDue
+Event = (
+    LiveControllersChanged | FrameReceived | HeartbeatReceived | LinkClosed | ListUpdated | TickDue
+)
 
 
 # Out
 
 
 @dataclass(frozen=True, slots=True)
-class Dial:
+class Connect:
     """`light`: only what it says is wanted, no lists. `anew`: the whole list, whatever is held."""
 
     name: str
@@ -123,12 +125,12 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Hang:
+class Disconnect:
     name: str
 
 
 @dataclass(frozen=True, slots=True)
-class Watch:
+class SetWatch:
     """Call the list service, or leave it. `place`: among the watchers; None: by the stated rank, in
     rounds."""
 
@@ -137,18 +139,18 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Noted:
+class ReportTransition:
     """For the log and the counters."""
 
     what: str
     name: str = ""
 
 
-Action = Dial | Hang | Watch | Noted
+Command = Connect | Disconnect | SetWatch | ReportTransition
 
 
 @dataclass(slots=True)
-class Link:
+class FollowedLink:
     """One steward that is followed."""
 
     light: bool
@@ -163,12 +165,12 @@
 
 @dataclass(slots=True)
 class State:
-    links: dict[str, Link] = field(default_factory=dict)
+    links: dict[str, FollowedLink] = field(default_factory=dict)
     avoided_us: dict[str, int] = field(default_factory=dict)
 
 
-class Follow:
-    def __init__(self, facts: FollowFacts) -> None:
+class WatcherElection:
+    def __init__(self, facts: ElectionFacts) -> None:
         self.facts, self.role, self.state = facts, Role.WAITING, State()
         self.names: frozenset[str] = frozenset()
         self.watchers: list[str] = []
@@ -180,7 +182,7 @@
         self.revision = -1
         self.read_us: int | None = None
         self.slept_us = 0  # time that others need not answer for
-        self.out: list[Action] = []
+        self.out: list[Command] = []
 
     def awake_us(self, now_us: int) -> int:
         """Guards against a steward that was paused, or starved of its core, and finds all others late."""
@@ -189,7 +191,7 @@
         self.read_us = now_us
         return now_us - self.slept_us
 
-    def deliver(self, now_us: int, events: list[Event]) -> list[Action]:
+    def deliver(self, now_us: int, events: list[Event]) -> list[Command]:
         now_us = self.awake_us(now_us)
         if self.began_us is None:
             self.began_us = self.changed_us = self.without_us = now_us
@@ -202,19 +204,21 @@
     def handle(self, now_us: int, event: Event) -> None:
         links = self.state.links
         match event:
-            case Living(names) if names != self.names:
+            case LiveControllersChanged(names) if names != self.names:
                 self.names, self.changed_us = names, now_us
                 group = self.facts.group
-                self.watchers = ranked({*names, self.facts.name}, group)[: self.facts.watchers]
-            case Moved(name) if name in links:
+                self.watchers = rendezvous_order({*names, self.facts.name}, group)[
+                    : self.facts.watchers
+                ]
+            case FrameReceived(name) if name in links:
                 links[name].moved_us, links[name].is_moving = now_us, True
-            case Said(name, revision, age_us) if name in links:
+            case HeartbeatReceived(name, revision, age_us) if name in links:
                 link = links[name]
                 link.moved_us = link.said_us = now_us
                 link.revision, link.age_us = revision, age_us
-            case Ended(name) if name in links:
+            case LinkClosed(name) if name in links:
                 self.leave(now_us, name, "ended", hang=False)
-            case Holds(revision, by_service):
+            case ListUpdated(revision, by_service):
                 self.on_holds(now_us, revision, by_service)
 
     def on_holds(self, now_us: int, revision: int, by_service: bool) -> None:
@@ -260,12 +264,12 @@
 
     def become(self, role: Role) -> None:
         self.role = role
-        self.out.append(Noted(role.value))
+        self.out.append(ReportTransition(role.value))
 
     def watch(self, on: bool, place: int | None = None) -> None:
         if on is not self.is_watching:
             self.is_watching = on
-            self.out.append(Watch(on, place))
+            self.out.append(SetWatch(on, place))
 
     def be_follower(self, now_us: int) -> None:
         if self.role in (Role.WAITING, Role.WATCHER):
@@ -288,15 +292,15 @@
         """Two are followed, one for its lists, one as a witness of what it says."""
         mine = [
             name
-            for name in ranked(self.watchers, self.facts.name)
+            for name in rendezvous_order(self.watchers, self.facts.name)
             if self.state.avoided_us.get(name, 0) <= now_us
         ]
         links = self.state.links
         for light in (False, True):
             free = [name for name in mine if name not in links]
             if free and not any(link.light is light for link in links.values()):
-                links[free[0]] = Link(light, now_us, now_us)
-                self.out.append(Dial(free[0], light))
+                links[free[0]] = FollowedLink(light, now_us, now_us)
+                self.out.append(Connect(free[0], light))
         if not any(not link.light for link in links.values()):
             for name, link in list(links.items())[
                 :1
@@ -305,8 +309,8 @@
 
     def dial_anew(self, now_us: int, name: str, anew: bool) -> None:
         self.drop(name)
-        self.state.links[name] = Link(False, now_us, now_us, anew=anew)
-        self.out.append(Dial(name, False, anew))
+        self.state.links[name] = FollowedLink(False, now_us, now_us, anew=anew)
+        self.out.append(Connect(name, False, anew))
 
     def compare(self, now_us: int) -> None:
         """Whom to leave, where two that are followed say different things, or both less than what is held."""
@@ -329,7 +333,7 @@
                 if other is None:
                     self.is_asking = True
                 else:
-                    self.out.append(Noted("began_anew", main))
+                    self.out.append(ReportTransition("began_anew", main))
                     self.dial_anew(now_us, main, True)
         elif other and one.revision != other.revision and max(one.age_us, other.age_us) < OLD_US:
             if self.lasts(now_us):
@@ -346,15 +350,15 @@
         else:
             self.differs_us = None
 
-    def is_blank(self, link: Link) -> bool:
+    def is_blank(self, link: FollowedLink) -> bool:
         """It has no list, or but the one that it was handed at its start."""
-        return link.revision == -1 or link.age_us >= NO_WORD_US
+        return link.revision == -1 or link.age_us >= NEVER_HEARD_US
 
-    def is_old(self, now_us: int, one: Link, other: Link) -> bool:
+    def is_old(self, now_us: int, one: FollowedLink, other: FollowedLink) -> bool:
         """Guards also against a watcher left for its first call, which the service is yet to answer."""
         return one.age_us > other.age_us + OLD_US and now_us - one.since_us > OLD_US
 
-    def is_lower(self, link: Link) -> bool:
+    def is_lower(self, link: FollowedLink) -> bool:
         return (
             link.revision is not None
             and 0 <= link.revision < self.revision
@@ -381,7 +385,7 @@
         if wants or self.demoted_us is None:
             self.watch(wants)
 
-    def has_word(self, link: Link) -> bool:
+    def has_word(self, link: FollowedLink) -> bool:
         """Guards against watchers that all have lost the service, while others could reach it."""
         if link.revision is None:
             return link.is_moving
@@ -390,7 +394,7 @@
     def leave(
         self, now_us: int, name: str, why: str, avoid_us: int = AVOID_US, hang: bool = True
     ) -> None:
-        self.out.append(Noted(f"left_{why}", name))
+        self.out.append(ReportTransition(f"left_{why}", name))
         self.state.avoided_us[name] = now_us + avoid_us
         if len(self.state.avoided_us) > 4 * self.facts.watchers:
             self.state.avoided_us = {
@@ -404,4 +408,4 @@
 
     def drop(self, name: str) -> None:
         if self.state.links.pop(name, None):
-            self.out.append(Hang(name))
+            self.out.append(Disconnect(name))
--- a/plankroute/net/discovery/backoff_watch.py
+++ b/plankroute/net/discovery/backoff_watch.py
@@ -8,12 +8,12 @@
 from typing import Any
 
 from plankroute.cold_start.backoff import (
-    Began,
-    Broke,
-    Caller,
-    CallFacts,
+    BackoffFacts,
     Event,
-    Refused,
+    RequestFailed,
+    RequestScheduler,
+    Started,
+    WatchEnded,
     retry_after_us,
 )
 from plankroute.net.discovery.http_client import Call
@@ -23,11 +23,11 @@
 LOOK_S = 0.5  # between looks at how old the list is
 
 
-class CarefulDiscovery(Discovery):
+class BackoffDiscovery(Discovery):
     """`list_old_us`: without a word for so long, what is listed is said to be old."""
 
-    def prepare(self, facts: CallFacts, list_old_us: int, seed: int) -> None:
-        self.caller, self.list_old_us = Caller(facts, seed), list_old_us
+    def prepare(self, facts: BackoffFacts, list_old_us: int, seed: int) -> None:
+        self.caller, self.list_old_us = RequestScheduler(facts, seed), list_old_us
         self.heard_us, self.is_old, self.times_heard = now_us(), False, 0
         self.looking: asyncio.Task[None] | None = None
 
@@ -41,9 +41,9 @@
                 task.cancel()
 
     async def watch_always(self) -> None:
-        await self.call_on(self.caller, Began())
+        await self.call_on(self.caller, Started())
 
-    async def call_on(self, caller: Caller, event: Event) -> None:
+    async def call_on(self, caller: RequestScheduler, event: Event) -> None:
         """Call after call, each when the caller says after how the one before ended."""
         while True:
             due_us = caller.deliver(now_us(), event).due_us
@@ -62,9 +62,9 @@
                 "error", "discovery_failed", why=f"{type(error).__name__}: {error}"
             )
         if self.times_heard > before:
-            return Broke(now_us() - began_us)
+            return WatchEnded(now_us() - began_us)
         self.telemetry.count("refused.calls")
-        return Refused(self.asked_to_wait(call))
+        return RequestFailed(self.asked_to_wait(call))
 
     def asked_to_wait(self, call: Call | None) -> int | None:
         text = call.retry_after if call else None
--- a/plankroute/net/peers/links.py
+++ b/plankroute/net/peers/links.py
@@ -11,22 +11,22 @@
 
 import orjson
 
-from plankroute.cold_start.endpoint_list import HeldList, Incoming
+from plankroute.cold_start.endpoint_list import EndpointList, ListReceiver
 from plankroute.cold_start.link_codec import (
+    LINK_VERSION,
     PART_BYTES,
-    VERSION,
-    Ask,
-    Begin,
-    Drains,
+    DrainNoticeFrame,
     Frame,
-    FrameCutter,
+    FrameDecoder,
+    HealthCheckResults,
     Heartbeat,
     Hello,
-    Keep,
-    Part,
-    Probed,
-    ViewOf,
-    write_frame,
+    ListPart,
+    ListStart,
+    WarmStartHandover,
+    WarmStartRequest,
+    WarmStartView,
+    encode_frame,
 )
 from plankroute.net.process.address import host_and_port
 from plankroute.net.process.telemetry import Telemetry
@@ -61,10 +61,10 @@
     group: str
     name: str
     telemetry: Telemetry
-    held: HeldList
+    held: EndpointList
 
     def age_us(self) -> int: ...
-    def heard_results(self, frame: Probed) -> None: ...
+    def heard_results(self, frame: HealthCheckResults) -> None: ...
 
 
 class Served:
@@ -121,7 +121,7 @@
             if self.taken > MOST_LINKS:
                 telemetry.count("links.dropped.full")
                 return
-            cutter = FrameCutter()
+            cutter = FrameDecoder()
             if (hello := await self.hello(reader, cutter)) is None:
                 telemetry.count("links.dropped.hello")
                 return
@@ -154,28 +154,28 @@
 
     async def serve_views(
         self,
-        first: Ask | Keep,
+        first: WarmStartRequest | WarmStartHandover,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
-        cutter: FrameCutter,
+        cutter: FrameDecoder,
     ) -> None:
         """What is learned of hosts, asked for or left here; in `STUCK_S`, whole or not at all."""
         assert self.views
         async with asyncio.timeout(STUCK_S):
-            if isinstance(first, Keep):
+            if isinstance(first, WarmStartHandover):
                 async for _, _, data in read_views(reader, cutter, self.views.most):
                     self.views.keep(first.name, data)
                 return
             for name, age_us, data in self.views.for_another(first.name):
-                for frame in frames_of_view(name, age_us, data):
+                for frame in view_frames(name, age_us, data):
                     writer.write(frame)
                     await writer.drain()
             writer.close()
             await writer.wait_closed()
 
     async def hello(
-        self, reader: asyncio.StreamReader, cutter: FrameCutter
-    ) -> Hello | Ask | Keep | None:
+        self, reader: asyncio.StreamReader, cutter: FrameDecoder
+    ) -> Hello | WarmStartRequest | WarmStartHandover | None:
         """Guards against strangers, other versions and other groups: they have said nothing of use by
         then."""
         async with asyncio.timeout(HELLO_S):
@@ -187,16 +187,18 @@
         first = frames[0]
         cutter.waiting += frames[1:]
         is_one = isinstance(first, Hello) or (
-            self.views is not None and isinstance(first, Ask | Keep)
+            self.views is not None and isinstance(first, WarmStartRequest | WarmStartHandover)
         )
-        good = is_one and first.version == VERSION and first.group == self.owner.group
+        good = is_one and first.version == LINK_VERSION and first.group == self.owner.group
         return first if good else None  # type: ignore[return-value]
 
-    async def read(self, reader: asyncio.StreamReader, cutter: FrameCutter, served: Served) -> None:
+    async def read(
+        self, reader: asyncio.StreamReader, cutter: FrameDecoder, served: Served
+    ) -> None:
         frames, cutter.waiting = cutter.waiting, []
         while True:
             for frame in frames:
-                if not isinstance(frame, Probed):
+                if not isinstance(frame, HealthCheckResults):
                     return
                 self.owner.heard_results(frame)
                 self.share(list(frame.results[:MOST_RESULTS]), served)
@@ -214,7 +216,7 @@
                 await self.give_list(served, held)
             if served.results:
                 results, served.results = served.results, []
-                await self.write(served, Probed(tuple(results)))
+                await self.write(served, HealthCheckResults(tuple(results)))
             await self.write(served, Heartbeat(held.revision, self.owner.age_us()))
             try:
                 async with asyncio.timeout(BEAT_S):
@@ -222,7 +224,7 @@
             except TimeoutError:
                 pass
 
-    async def give_list(self, served: Served, held: HeldList) -> None:
+    async def give_list(self, served: Served, held: EndpointList) -> None:
         """Changes, if they are all known; else the whole list, from where it had broken off."""
         data, is_whole = held.since(served.revision), False
         if data is None:
@@ -233,13 +235,13 @@
             self.owner.telemetry.count("links.resumed")
         self.owner.telemetry.count("links.lists" if is_whole else "links.changes")
         served.partial = None
-        await self.write(served, Begin(revision, is_whole, len(data), check, offset))
+        await self.write(served, ListStart(revision, is_whole, len(data), check, offset))
         for at in range(offset, len(data), PART_BYTES):
-            await self.write(served, Part(data[at : at + PART_BYTES]))
+            await self.write(served, ListPart(data[at : at + PART_BYTES]))
             await self.tell_drains(served, held)
         served.revision = revision
 
-    async def tell_drains(self, served: Served, held: HeldList) -> None:
+    async def tell_drains(self, served: Served, held: EndpointList) -> None:
         """Guards against a drain that waits behind a large list on a slow link: it goes between its parts,
         and over the links of witnesses, which carry no lists."""
         if held.revision == served.told or held.revision < 0:
@@ -248,43 +250,47 @@
         served.told = revision
         if not items or (not served.hello.light and held.since(served.revision) is not None):
             return  # the changes themselves come next, and are as short
-        for targets in in_pieces([orjson.dumps(item) for item in items], MOST_DRAINS):
+        for targets in json_array_chunks([orjson.dumps(item) for item in items], MOST_DRAINS):
             self.owner.telemetry.count("links.drains")
-            await self.write(served, Drains(revision, targets))
+            await self.write(served, DrainNoticeFrame(revision, targets))
 
     async def write(self, served: Served, frame: Frame) -> None:
         """Raises TimeoutError where the other end takes nothing any more."""
-        data = write_frame(frame)
+        data = encode_frame(frame)
         self.owner.telemetry.count("links.sent_bytes", len(data))
         served.writer.write(data)
         async with asyncio.timeout(STUCK_S):
             await served.writer.drain()
 
 
-def frames_of_view(name: str, age_us: int, data: bytes) -> list[bytes]:
+def view_frames(name: str, age_us: int, data: bytes) -> list[bytes]:
     """A view as frames; in parts, so that no frame is longer than any other."""
-    parts = [Part(data[at : at + PART_BYTES]) for at in range(0, len(data), PART_BYTES)]
+    parts = [ListPart(data[at : at + PART_BYTES]) for at in range(0, len(data), PART_BYTES)]
     return [
-        write_frame(frame)
-        for frame in (ViewOf(name, age_us), Begin(0, True, len(data), crc32(data)), *parts)
+        encode_frame(frame)
+        for frame in (
+            WarmStartView(name, age_us),
+            ListStart(0, True, len(data), crc32(data)),
+            *parts,
+        )
     ]
 
 
 async def read_views(
-    reader: asyncio.StreamReader, cutter: FrameCutter, most: int
+    reader: asyncio.StreamReader, cutter: FrameDecoder, most: int
 ) -> AsyncIterator[tuple[str, int, bytes]]:
     """Whole views alone: what breaks off, is too large or spoilt ends it. Bounded in time by its callers."""
-    incoming, of = Incoming(most), ViewOf("", 0)
+    incoming, of = ListReceiver(most), WarmStartView("", 0)
     frames, cutter.waiting = cutter.waiting, []
     while True:
         for frame in frames:
             match frame:
-                case ViewOf():
+                case WarmStartView():
                     of = frame
-                case Begin(revision, whole, size, check, 0):
+                case ListStart(revision, whole, size, check, 0):
                     if incoming.begin(revision, whole, size, check, 0):
                         return
-                case Part(data):
+                case ListPart(data):
                     view, objection = incoming.add(data)
                     if objection:
                         return
@@ -297,7 +303,7 @@
         frames = cutter.feed(data)
 
 
-def in_pieces(items: list[bytes], most: int) -> list[bytes]:
+def json_array_chunks(items: list[bytes], most: int) -> list[bytes]:
     """JSON arrays of them, none longer than that; an item that is, by itself, comes with the list."""
     pieces, piece, size = [], list[bytes](), 2
     for item in items:
@@ -338,8 +344,8 @@
                     *self.address, local_addr=(self.own_host, 0)
                 )
             self.writer.transport.set_write_buffer_limits(high=WAITING_BYTES)
-            self.writer.write(write_frame(self.hello))
-            cutter = FrameCutter()
+            self.writer.write(encode_frame(self.hello))
+            cutter = FrameDecoder()
             while data := await reader.read(READ_AT_ONCE):
                 for frame in cutter.feed(data):
                     if objection := self.hear(self.name, frame) if frame else "unreadable":
@@ -362,7 +368,7 @@
             and not self.writer.is_closing()
             and (self.writer.transport.get_write_buffer_size() < WAITING_BYTES)
         ):
-            self.writer.write(write_frame(frame))
+            self.writer.write(encode_frame(frame))
 
     def hang(self) -> None:
         self.task.cancel()
--- a/plankroute/net/peers/shared_discovery.py
+++ b/plankroute/net/peers/shared_discovery.py
@@ -9,37 +9,37 @@
 import msgspec
 import orjson
 
-from plankroute.cold_start.backoff import Began, Caller, CallFacts, Event
-from plankroute.cold_start.endpoint_list import HeldList, Incoming
+from plankroute.cold_start.backoff import BackoffFacts, Event, RequestScheduler, Started
+from plankroute.cold_start.endpoint_list import EndpointList, ListReceiver
 from plankroute.cold_start.link_codec import (
-    VERSION,
-    Begin,
-    Drains,
+    LINK_VERSION,
+    DrainNoticeFrame,
     Frame,
+    HealthCheckResults,
     Heartbeat,
     Hello,
-    Part,
-    Probed,
+    ListPart,
+    ListStart,
 )
 from plankroute.cold_start.watcher_election import (
-    BEAT_US,
-    NO_WORD_US,
-    Action,
-    BeatDue,
-    Dial,
-    Ended,
-    Follow,
-    FollowFacts,
-    Hang,
-    Holds,
-    Living,
-    Moved,
-    Noted,
-    Said,
-    Watch,
+    NEVER_HEARD_US,
+    TICK_US,
+    Command,
+    Connect,
+    Disconnect,
+    ElectionFacts,
+    FrameReceived,
+    HeartbeatReceived,
+    LinkClosed,
+    ListUpdated,
+    LiveControllersChanged,
+    ReportTransition,
+    SetWatch,
+    TickDue,
+    WatcherElection,
 )
 from plankroute.cold_start.watcher_election import Event as FollowEvent
-from plankroute.net.discovery.backoff_watch import CarefulDiscovery
+from plankroute.net.discovery.backoff_watch import BackoffDiscovery
 from plankroute.net.discovery.catalogue import STATES
 from plankroute.net.discovery.watch import Discovery
 from plankroute.net.peers.drain_notices import DrainNoticeOverlay
@@ -62,38 +62,45 @@
     state: Literal["DRAINING", "DELETED"]
 
 
-class SharedDiscovery(CarefulDiscovery):
+class SharedDiscovery(BackoffDiscovery):
     """Needs membership; `prepare_links` before `start`."""
 
     def prepare_links(
         self,
         members: MembershipService,
-        facts: FollowFacts,
+        facts: ElectionFacts,
         listen: str,
         port: int,
-        call: CallFacts,
+        call: BackoffFacts,
         seed: int,
     ) -> None:
-        self.members, self.roles, self.listen, self.port = members, Follow(facts), listen, port
+        self.members, self.roles, self.listen, self.port = (
+            members,
+            WatcherElection(facts),
+            listen,
+            port,
+        )
         self.name, self.group, self.call_facts, self.seed = facts.name, facts.group, call, seed
-        self.held, self.server = HeldList(), LinkServer(self)
+        self.held, self.server = EndpointList(), LinkServer(self)
         self.ahead = DrainNoticeOverlay(self.directory, self.telemetry, self.put)
         self.over = self.ahead.over
         self.clients: dict[str, LinkClient] = {}
-        self.incoming: dict[str, Incoming] = {}
-        self.partial: Incoming | None = None  # what has come of a whole list, wherever it goes on
+        self.incoming: dict[str, ListReceiver] = {}
+        self.partial: ListReceiver | None = (
+            None  # what has come of a whole list, wherever it goes on
+        )
         self.anew = set[str]()
         self.calling: asyncio.Task[None] | None = None
         self.serving: asyncio.Task[None] | None = None
         self.version = -1
-        self.on_results: Callable[[Probed], None] = lambda frame: None
+        self.on_results: Callable[[HealthCheckResults], None] = lambda frame: None
 
     def start(self, known: Any) -> None:
         """Guards against changes since the list handed over that are taken for a whole one, and handed on."""
         super().start(known)
         if self.revision is not None:
             self.held.take(known)
-            self.work([Holds(self.held.revision, False)])
+            self.work([ListUpdated(self.held.revision, False)])
         self.serving = asyncio.create_task(self.serve())
 
     def close(self) -> None:
@@ -119,14 +126,18 @@
     async def watch_always(self) -> None:
         """The beats of who follows whom; calls to the service are a task of their own."""
         while True:
-            events: list[FollowEvent] = [BeatDue()]
+            events: list[FollowEvent] = [TickDue()]
             view = self.members.core.view
             if view.version != self.version:
                 self.version = view.version
-                events.append(Living(frozenset(view.at(place).name for place in view.living())))
+                events.append(
+                    LiveControllersChanged(
+                        frozenset(view.at(place).name for place in view.living())
+                    )
+                )
             self.work(events)
             self.ahead.reopen(self.ahead.core.expire(now_us()))
-            await asyncio.sleep(BEAT_US / 1e6)
+            await asyncio.sleep(TICK_US / 1e6)
 
     def work(self, events: list[FollowEvent]) -> None:
         """An error of ours is logged with its place, and must not leave the steward without beats."""
@@ -136,17 +147,17 @@
         except Exception as error:
             self.telemetry.failed("follow", error)
 
-    def carry_out(self, action: Action) -> None:
+    def carry_out(self, action: Command) -> None:
         match action:
-            case Dial():
+            case Connect():
                 self.dial(action)
-            case Hang(name):
+            case Disconnect(name):
                 self.hang(name)
-            case Watch(on, place):
+            case SetWatch(on, place):
                 if self.calling:
                     self.calling.cancel()
                 self.calling = asyncio.create_task(self.calls(place)) if on else None
-            case Noted(what, name):
+            case ReportTransition(what, name):
                 self.telemetry.count(f"follow.{what}")
                 level = "warning" if what in WARNINGS else "info"
                 self.telemetry.log.event(
@@ -158,10 +169,10 @@
     async def calls(self, place: int | None) -> None:
         """To the service: a watcher at once, and in rounds of the few watchers; else as everybody alone."""
         caller = self.caller
-        event: Event = Began()
+        event: Event = Started()
         if place is not None:
-            caller = Caller(
-                CallFacts(
+            caller = RequestScheduler(
+                BackoffFacts(
                     place,
                     self.roles.facts.watchers,
                     self.call_facts.calls_a_second,
@@ -180,7 +191,7 @@
         """A watch that goes on from the revision held says that the service knows it."""
         super().hear()
         if self.roles.is_asking and self.held.revision >= 0:
-            self.work([Holds(self.held.revision, True)])
+            self.work([ListUpdated(self.held.revision, True)])
 
     def take(self, text: bytes) -> bool:
         """The service's own word."""
@@ -192,7 +203,7 @@
     def believe(self, text: bytes, by_service: bool) -> None:
         self.held.take(orjson.loads(text))
         self.server.changed()
-        self.work([Holds(self.held.revision, by_service)])
+        self.work([ListUpdated(self.held.revision, by_service)])
 
     def take_from(self, name: str, text: bytes) -> str | None:
         """A list from another steward; why it is refused, if so. A lower revision never replaces a higher
@@ -216,28 +227,28 @@
 
     def hear_frame(self, name: str, frame: Frame) -> str | None:
         """Why the link is of no more use, if so."""
-        incoming = self.incoming.setdefault(name, Incoming(self.limits.most_body))
+        incoming = self.incoming.setdefault(name, ListReceiver(self.limits.most_body))
         objection: str | None = None
         match frame:
-            case Begin(revision, whole, size, check, offset):
+            case ListStart(revision, whole, size, check, offset):
                 if offset and self.partial:
                     incoming, self.incoming[name] = self.partial, self.partial
                 objection = incoming.begin(revision, whole, size, check, offset)
-                self.work([Moved(name)])
-            case Part(data):
-                self.work([Moved(name)])
+                self.work([FrameReceived(name)])
+            case ListPart(data):
+                self.work([FrameReceived(name)])
                 text, objection = incoming.add(data)
                 if text is not None:
                     objection = self.take_from(name, text)
             case Heartbeat(revision, age_us):
-                if not self.roles.is_watching and age_us < NO_WORD_US:
+                if not self.roles.is_watching and age_us < NEVER_HEARD_US:
                     self.has_word, self.heard_us = True, max(self.heard_us, now_us() - age_us)
                     self.mend_age()
-                self.work([Said(name, revision, age_us)])
-            case Probed():
+                self.work([HeartbeatReceived(name, revision, age_us)])
+            case HealthCheckResults():
                 self.heard_results(frame)
-            case Drains(revision, targets):
-                self.work([Moved(name)])
+            case DrainNoticeFrame(revision, targets):
+                self.work([FrameReceived(name)])
                 objection = self.heard_drains(name, revision, targets)
             case _:
                 objection = "not for this side"
@@ -246,7 +257,7 @@
             self.telemetry.log.event("warning", "link_objected", other=name, why=objection)
         return objection
 
-    def heard_results(self, frame: Probed) -> None:
+    def heard_results(self, frame: HealthCheckResults) -> None:
         self.on_results(frame)
 
     def heard_drains(self, name: str, revision: int, targets: bytes) -> str | None:
@@ -260,17 +271,17 @@
 
     # Links
 
-    def dial(self, wanted: Dial) -> None:
+    def dial(self, wanted: Connect) -> None:
         view = self.members.core.view
         place = view.index.get(wanted.name)
         if place is None:
-            return self.work([Ended(wanted.name)])
+            return self.work([LinkClosed(wanted.name)])
         address = host_and_port(view.at(place).address)[0], self.port
         if wanted.anew:
             self.anew.add(wanted.name)
         partial = self.partial.partial() if self.partial and not wanted.light else None
         revision = -1 if wanted.anew else self.held.revision
-        hello = Hello(VERSION, self.group, self.name, revision, wanted.light, partial)
+        hello = Hello(LINK_VERSION, self.group, self.name, revision, wanted.light, partial)
         self.clients[wanted.name] = LinkClient(
             self,
             wanted.name,
@@ -285,7 +296,7 @@
         if self.clients.get(client.name) is client:
             self.telemetry.count("links.ended")
             self.forget(client.name)
-            self.work([Ended(client.name)])
+            self.work([LinkClosed(client.name)])
 
     def hang(self, name: str) -> None:
         if client := self.clients.get(name):
@@ -299,7 +310,7 @@
         if incoming and incoming.partial():
             self.partial = incoming
 
-    def tell_results(self, frame: Probed) -> None:
+    def tell_results(self, frame: HealthCheckResults) -> None:
         """To those that are followed, and to those that follow."""
         for client in self.clients.values():
             client.say(frame)
--- a/plankroute/net/peers/warm_start.py
+++ b/plankroute/net/peers/warm_start.py
@@ -11,8 +11,14 @@
 from contextlib import suppress
 from pathlib import Path
 
-from plankroute.cold_start.link_codec import VERSION, Ask, FrameCutter, Keep, write_frame
-from plankroute.cold_start.watcher_election import ranked
+from plankroute.cold_start.link_codec import (
+    LINK_VERSION,
+    FrameDecoder,
+    WarmStartHandover,
+    WarmStartRequest,
+    encode_frame,
+)
+from plankroute.cold_start.watcher_election import rendezvous_order
 from plankroute.config.feature_file import WarmStartSection
 from plankroute.controller.controller import Controller
 from plankroute.events import events
@@ -20,7 +26,7 @@
 from plankroute.net.discovery.directory import Directory
 from plankroute.net.discovery.watch import Discovery
 from plankroute.net.peers.drain_notices import DrainNoticeOverlay
-from plankroute.net.peers.links import frames_of_view, read_views
+from plankroute.net.peers.links import read_views, view_frames
 from plankroute.net.process.clock import monotonic_us as now_us
 from plankroute.net.process.file_store import ASIDE, Disk, Saver
 from plankroute.net.process.telemetry import Telemetry
@@ -335,8 +341,10 @@
             async with asyncio.timeout(self.part.ask_ms / 1e3):
                 reader, writer = await self.dial(address)
                 try:
-                    writer.write(write_frame(Ask(VERSION, self.group, self.name)))
-                    async for view in read_views(reader, FrameCutter(), self.most):
+                    writer.write(
+                        encode_frame(WarmStartRequest(LINK_VERSION, self.group, self.name))
+                    )
+                    async for view in read_views(reader, FrameDecoder(), self.most):
                         views.append(view)
                 finally:
                     writer.transport.abort()
@@ -385,8 +393,8 @@
                     _, writer = await self.dial(address)
                     data = write_view(self.view())
                     for frame in (
-                        write_frame(Keep(VERSION, self.group, self.name)),
-                        *frames_of_view(self.name, 0, data),
+                        encode_frame(WarmStartHandover(LINK_VERSION, self.group, self.name)),
+                        *view_frames(self.name, 0, data),
                     ):
                         writer.write(frame)
                         await writer.drain()
@@ -406,4 +414,4 @@
 
 def in_order(names: list[str], name: str) -> list[str]:
     """By rendezvous over a steward's own name: whom it asks at its start, and leaves things with at last."""
-    return ranked([other for other in names if other != name], name)
+    return rendezvous_order([other for other in names if other != name], name)
--- a/plankroute/net/probing/shared_prober.py
+++ b/plankroute/net/probing/shared_prober.py
@@ -7,8 +7,13 @@
 from collections.abc import Callable
 from typing import Any
 
-from plankroute.cold_start.link_codec import Probed
-from plankroute.cold_start.probe_sharing import SURVEY, WAIT_US, Result, Survey
+from plankroute.cold_start.link_codec import HealthCheckResults
+from plankroute.cold_start.probe_sharing import (
+    RESULT_WAIT_US,
+    SURVEY_MIN_HOSTS,
+    SharedResult,
+    Survey,
+)
 from plankroute.events import events
 from plankroute.events.events import HealthCheckOutcome
 from plankroute.net.probing.prober import HealthChecker
@@ -26,7 +31,7 @@
         survey: Survey,
         zones: tuple[str, ...],
         living: Callable[[], dict[str, str]],
-        tell: Callable[[Probed], None],
+        tell: Callable[[HealthCheckResults], None],
     ) -> None:
         self.survey, self.zone_names, self.living, self.tell = survey, zones, living, tell
         self.to_core, self.put = self.put, self.on_result
@@ -44,7 +49,7 @@
 
     def sort(self) -> None:
         batch, self.batch = self.batch, []
-        if len(batch) < SURVEY:
+        if len(batch) < SURVEY_MIN_HOSTS:
             for host in batch:
                 super().probe(host)
             return
@@ -54,7 +59,7 @@
             if host in self.directory.hosts:
                 self.ask(host)
         if self.awaited:
-            asyncio.get_running_loop().call_later(WAIT_US / 1e6, self.awaited.clear)
+            asyncio.get_running_loop().call_later(RESULT_WAIT_US / 1e6, self.awaited.clear)
 
     def ask(self, host: int) -> None:
         known = self.directory.hosts[host]
@@ -67,7 +72,7 @@
         else:
             self.awaited[known.uid] = host
 
-    def note(self, host: int, result: Result) -> None:
+    def note(self, host: int, result: SharedResult) -> None:
         self.telemetry.count("survey.taken")
         age_us = max(0, now_us() - result.at_us)
         self.to_core(
@@ -84,7 +89,7 @@
             self.surveyed.discard(note.host)
             known = self.directory.hosts.get(note.host)
             if known and note.outcome is HealthCheckOutcome.ANSWERED:
-                self.survey.keep(known.uid, Result(note.elapsed_us, now_us(), known.boot_ms))
+                self.survey.keep(known.uid, SharedResult(note.elapsed_us, now_us(), known.boot_ms))
                 self.untold.append(
                     (known.uid, note.outcome.value, note.elapsed_us, now_us(), known.boot_ms)
                 )
@@ -99,7 +104,7 @@
         for at in range(0, len(untold), MOST_TOLD):
             self.telemetry.count("survey.told", len(untold[at : at + MOST_TOLD]))
             self.tell(
-                Probed(
+                HealthCheckResults(
                     tuple(
                         (uid, outcome, took, now - told, configuration)
                         for uid, outcome, took, told, configuration in untold[at : at + MOST_TOLD]
@@ -107,7 +112,7 @@
                 )
             )
 
-    def hear(self, frame: Probed) -> None:
+    def hear(self, frame: HealthCheckResults) -> None:
         """Others' results: answered ones, of hosts that are listed here."""
         for uid, outcome, elapsed_us, age_us, boot_ms in frame.results:
             host = self.directory.ids.get(uid)
@@ -118,7 +123,7 @@
                 or age_us < 0
             ):
                 continue
-            result = Result(elapsed_us, now_us() - age_us, boot_ms)
+            result = SharedResult(elapsed_us, now_us() - age_us, boot_ms)
             if (
                 self.survey.keep(uid, result)
                 and uid in self.awaited
--- a/plankroute/net/process/optional_features.py
+++ b/plankroute/net/process/optional_features.py
@@ -4,14 +4,14 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING, Any
 
-from plankroute.cold_start.backoff import CallFacts
-from plankroute.cold_start.link_codec import Probed
+from plankroute.cold_start.backoff import BackoffFacts
+from plankroute.cold_start.link_codec import HealthCheckResults
 from plankroute.cold_start.probe_sharing import Survey
-from plankroute.cold_start.watcher_election import FollowFacts
+from plankroute.cold_start.watcher_election import ElectionFacts
 from plankroute.config.feature_file import ColdStartSection, FeatureFile
 from plankroute.controller.controller import Controller
 from plankroute.events import events
-from plankroute.net.discovery.backoff_watch import CarefulDiscovery
+from plankroute.net.discovery.backoff_watch import BackoffDiscovery
 from plankroute.net.discovery.directory import Directory
 from plankroute.net.discovery.watch import Discovery
 from plankroute.net.peers.membership import LocalMember, MembershipService
@@ -43,7 +43,7 @@
         self.members = (
             MembershipService(own.membership, self.me, telemetry, put) if own.membership else None
         )
-        self.careful: CarefulDiscovery | None = None
+        self.careful: BackoffDiscovery | None = None
         self.shared: SharedDiscovery | None = None
         self.learned: WarmStartService | None = None
 
@@ -53,12 +53,12 @@
             return Discovery(*words)
         calls, seed = call_facts(part, self.configuration), self.configuration.seed
         if part.links is None or self.members is None:
-            self.careful = CarefulDiscovery(*words)
+            self.careful = BackoffDiscovery(*words)
         else:
             from plankroute.net.peers.shared_discovery import SharedDiscovery
 
             self.careful = self.shared = shared = SharedDiscovery(*words)
-            facts = FollowFacts(
+            facts = ElectionFacts(
                 self.me.name,
                 self.members.part.group,
                 calls.controller_count,
@@ -156,9 +156,9 @@
             self.careful.close()
 
 
-def call_facts(part: ColdStartSection, configuration: Configuration) -> CallFacts:
+def call_facts(part: ColdStartSection, configuration: Configuration) -> BackoffFacts:
     """The number of stewards is as stated, in our file or in the settings: never as membership has it."""
-    return CallFacts(
+    return BackoffFacts(
         rank=configuration.facts.controller_rank if part.rank is None else part.rank,
         controller_count=part.stewards or configuration.facts.controller_count,
         calls_a_second=part.calls_a_second,
@@ -167,5 +167,5 @@
     )
 
 
-def drop(frame: Probed) -> None:
+def drop(frame: HealthCheckResults) -> None:
     """Where there are no links, results are a steward's own."""
--- a/plankroute/testbed/cold_start_cases.py
+++ b/plankroute/testbed/cold_start_cases.py
@@ -9,8 +9,15 @@
 
 import msgspec
 
-from plankroute.cold_start.link_codec import VERSION, Begin, Heartbeat, Hello, Part, write_frame
-from plankroute.cold_start.watcher_election import ranked
+from plankroute.cold_start.link_codec import (
+    LINK_VERSION,
+    Heartbeat,
+    Hello,
+    ListPart,
+    ListStart,
+    encode_frame,
+)
+from plankroute.cold_start.watcher_election import rendezvous_order
 from plankroute.testbed.cold_host_load import ColdFacts
 from plankroute.testbed.cold_start import Case, ColdStart
 from plankroute.testbed.faults import SECOND, Act, Rule, Script, Step, partition, pauses
@@ -44,7 +51,9 @@
     """Places of those that watch, as all members find them."""
     return [
         int(name[1:])
-        for name in ranked([f"n{member:04d}" for member in range(stewards)], "lab")[:WATCHERS]
+        for name in rendezvous_order([f"n{member:04d}" for member in range(stewards)], "lab")[
+            :WATCHERS
+        ]
     ]
 
 
@@ -362,16 +371,16 @@
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.number += 1
         kinds: list[list[bytes]] = [
-            [write_frame(Heartbeat(10**9, 0)), write_frame(Begin(10**9, True, 10**9, 1))],
-            [write_frame(Begin(5, False, 10, 7)), write_frame(Part(b"x" * 11))],
-            [write_frame(Heartbeat(3, 0))],
-            [write_frame(Hello(VERSION, "lab", "x", 1, True)), b"\xff\xff\xff\xff"],
+            [encode_frame(Heartbeat(10**9, 0)), encode_frame(ListStart(10**9, True, 10**9, 1))],
+            [encode_frame(ListStart(5, False, 10, 7)), encode_frame(ListPart(b"x" * 11))],
+            [encode_frame(Heartbeat(3, 0))],
+            [encode_frame(Hello(LINK_VERSION, "lab", "x", 1, True)), b"\xff\xff\xff\xff"],
         ]
         try:
             for data in kinds[self.number % len(kinds)]:
                 writer.write(data)
             for _ in range(200):  # and never ends
-                writer.write(write_frame(Part(b"")))
+                writer.write(encode_frame(ListPart(b"")))
                 await writer.drain()
                 await asyncio.sleep(0.1)
         except (OSError, asyncio.CancelledError):
--- a/tests/cold_start/test_cold_start_golden.py
+++ b/tests/cold_start/test_cold_start_golden.py
@@ -8,36 +8,42 @@
 
 import pytest
 
-from plankroute.cold_start.backoff import Began, Broke, Caller, CallFacts, Refused
+from plankroute.cold_start.backoff import (
+    BackoffFacts,
+    RequestFailed,
+    RequestScheduler,
+    Started,
+    WatchEnded,
+)
 from plankroute.cold_start.link_codec import (
-    Ask,
-    Begin,
-    Drains,
+    DrainNoticeFrame,
     Frame,
-    FrameCutter,
+    FrameDecoder,
+    HealthCheckResults,
     Heartbeat,
     Hello,
-    Keep,
-    Part,
-    Probed,
-    ViewOf,
-    write_frame,
+    ListPart,
+    ListStart,
+    WarmStartHandover,
+    WarmStartRequest,
+    WarmStartView,
+    encode_frame,
 )
 from plankroute.cold_start.watcher_election import (
-    Action,
-    BeatDue,
-    Dial,
-    Ended,
+    Command,
+    Connect,
+    Disconnect,
+    ElectionFacts,
     Event,
-    Follow,
-    FollowFacts,
-    Hang,
-    Holds,
-    Living,
-    Moved,
-    Noted,
-    Said,
-    Watch,
+    FrameReceived,
+    HeartbeatReceived,
+    LinkClosed,
+    ListUpdated,
+    LiveControllersChanged,
+    ReportTransition,
+    SetWatch,
+    TickDue,
+    WatcherElection,
 )
 from plankroute.seeded_random import SeededRandom
 
@@ -48,39 +54,39 @@
         Hello(2, "g", "n1", -1, True),
         "0000000b970102a167a26e31ffc3c0",
     ),
-    "list start": (Begin(5, True, 900, 77, 16), "00000009960205c3cd03844d10"),
-    "list part": (Part(b"part"), "000000089203c40470617274"),
+    "list start": (ListStart(5, True, 900, 77, 16), "00000009960205c3cd03844d10"),
+    "list part": (ListPart(b"part"), "000000089203c40470617274"),
     "heartbeat": (Heartbeat(5, 250_000), "00000008930405ce0003d090"),
     "health check results": (
-        Probed((("h1", "answered", 900, 40, 5.5),)),
+        HealthCheckResults((("h1", "answered", 900, 40, 5.5),)),
         "0000001d92059195a26831a8616e737765726564cd038428cb4016000000000000",
     ),
     "drain notice": (
-        Drains(6, b'[{"uid":"h1","state":"DRAINING"}]'),
+        DrainNoticeFrame(6, b'[{"uid":"h1","state":"DRAINING"}]'),
         "00000026930606c4215b7b22756964223a226831222c227374617465223a22445241494e494e47227d5d",
     ),
-    "warm start request": (Ask(2, "g", "n1"), "00000008940702a167a26e31"),
-    "warm start handover": (Keep(2, "g", "n1"), "00000008940802a167a26e31"),
-    "warm start view": (ViewOf("n1", 40), "000000069309a26e3128"),
+    "warm start request": (WarmStartRequest(2, "g", "n1"), "00000008940702a167a26e31"),
+    "warm start handover": (WarmStartHandover(2, "g", "n1"), "00000008940802a167a26e31"),
+    "warm start view": (WarmStartView("n1", 40), "000000069309a26e3128"),
 }
 
 
 @pytest.mark.parametrize("kind", FRAMES)
 def test_bytes_of_each_frame_stay(kind: str) -> None:
     frame, recorded = FRAMES[kind]
-    assert write_frame(frame).hex() == recorded
-    assert FrameCutter().feed(bytes.fromhex(recorded)) == [frame]
+    assert encode_frame(frame).hex() == recorded
+    assert FrameDecoder().feed(bytes.fromhex(recorded)) == [frame]
 
 
-def words_of(action: Action) -> tuple[object, ...]:
+def words_of(action: Command) -> tuple[object, ...]:
     match action:
-        case Dial(name, light, anew):
+        case Connect(name, light, anew):
             return "dial", name, light, anew
-        case Hang(name):
+        case Disconnect(name):
             return "hang", name
-        case Watch(on, place):
+        case SetWatch(on, place):
             return "watch", on, place
-        case Noted(what, name):
+        case ReportTransition(what, name):
             return "noted", str(getattr(what, "value", what)), name
 
 
@@ -90,24 +96,24 @@
 
     kind = int(chance.draw() * 12)
     if kind == 0:
-        return Living(frozenset(name for name in names[1:] if chance.draw() < 0.9))
+        return LiveControllersChanged(frozenset(name for name in names[1:] if chance.draw() < 0.9))
     if kind == 1:
-        return Holds(int(chance.draw() * 5), chance.draw() < 0.3)
+        return ListUpdated(int(chance.draw() * 5), chance.draw() < 0.3)
     if kind == 2:
-        return Ended(pick(linked or names))
+        return LinkClosed(pick(linked or names))
     if kind == 3:
-        return Moved(pick(linked or names))
+        return FrameReceived(pick(linked or names))
     if kind == 4:
-        return BeatDue()
+        return TickDue()
     age_us = int(chance.draw() * 14 * SECOND) if chance.draw() < 0.3 else 0
-    return Said(pick(linked or names), int(chance.draw() * 5) - 1, age_us)
+    return HeartbeatReceived(pick(linked or names), int(chance.draw() * 5) - 1, age_us)
 
 
 def actions_digest(seed: int) -> tuple[str, int, int]:
     """Digest and number of all actions over random events, and the number of their kinds."""
     chance, digest, count, kinds = SeededRandom(seed), blake2b(digest_size=16), 0, set[object]()
     names = [f"n{number}" for number in range(9)]
-    election = Follow(FollowFacts("n0", "g", 9, 3, 2 * SECOND))
+    election = WatcherElection(ElectionFacts("n0", "g", 9, 3, 2 * SECOND))
     now_us = 0
     for _ in range(4000):
         now_us += int(chance.draw() * SECOND // 3) + (chance.draw() < 0.01) * 3 * SECOND
@@ -136,15 +142,15 @@
 def test_the_same_seed_gives_the_same_calls() -> None:
     chance, digest = SeededRandom(4), blake2b(digest_size=16)
     for rank in range(20):
-        caller = Caller(CallFacts(rank, 20, 4.0, 60 * SECOND, 30 * SECOND), rank + 1)
-        due_us = caller.deliver(0, Began()).due_us
+        caller = RequestScheduler(BackoffFacts(rank, 20, 4.0, 60 * SECOND, 30 * SECOND), rank + 1)
+        due_us = caller.deliver(0, Started()).due_us
         for _ in range(50):
-            event: Began | Refused | Broke = Refused()
+            event: Started | RequestFailed | WatchEnded = RequestFailed()
             drawn = chance.draw()
             if drawn < 0.2:
-                event = Refused(int(chance.draw() * 40 * SECOND))
+                event = RequestFailed(int(chance.draw() * 40 * SECOND))
             elif drawn < 0.5:
-                event = Broke(int(chance.draw() * 20 * SECOND))
+                event = WatchEnded(int(chance.draw() * 20 * SECOND))
             due_us = caller.deliver(due_us, event).due_us
             digest.update(repr(due_us).encode())
     assert digest.hexdigest() == "1c8662c786bfd31ec6f9bd6ef99e1da1"
--- a/tests/test_coldstart.py
+++ b/tests/test_coldstart.py
@@ -12,46 +12,51 @@
 
 from plankroute.cold_start.backoff import (
     BURST,
-    Began,
-    Broke,
-    Caller,
-    CallFacts,
-    Refused,
+    BackoffFacts,
+    RequestFailed,
+    RequestScheduler,
+    Started,
+    WatchEnded,
     retry_after_us,
 )
 from plankroute.cold_start.drain_notices import DrainNotices
-from plankroute.cold_start.endpoint_list import HeldList, Incoming
+from plankroute.cold_start.endpoint_list import EndpointList, ListReceiver
 from plankroute.cold_start.link_codec import (
-    VERSION,
-    Begin,
-    Drains,
-    FrameCutter,
+    LINK_VERSION,
+    DrainNoticeFrame,
+    FrameDecoder,
     Heartbeat,
     Hello,
-    Part,
-    write_frame,
+    ListPart,
+    ListStart,
+    encode_frame,
+)
+from plankroute.cold_start.probe_sharing import (
+    SharedResult,
+    Survey,
+    assigned_controllers,
+    is_sampled,
 )
-from plankroute.cold_start.probe_sharing import Result, Survey, is_drawn, probers_of
 from plankroute.cold_start.watcher_election import (
-    Dial,
-    Ended,
-    Follow,
-    FollowFacts,
-    Hang,
-    Holds,
-    Living,
-    Noted,
-    Said,
-    Watch,
-    ranked,
+    Connect,
+    Disconnect,
+    ElectionFacts,
+    HeartbeatReceived,
+    LinkClosed,
+    ListUpdated,
+    LiveControllersChanged,
+    ReportTransition,
+    SetWatch,
+    WatcherElection,
+    rendezvous_order,
 )
 from plankroute.events import events
 from plankroute.events.events import HostState
-from plankroute.net.discovery.backoff_watch import CarefulDiscovery
+from plankroute.net.discovery.backoff_watch import BackoffDiscovery
 from plankroute.net.discovery.catalogue import list_from
 from plankroute.net.discovery.directory import Directory
 from plankroute.net.peers.drain_notices import DrainNoticeOverlay
-from plankroute.net.peers.links import LinkServer, in_pieces
+from plankroute.net.peers.links import LinkServer, json_array_chunks
 from plankroute.net.process.clock import Clock
 from plankroute.net.process.telemetry import EventLog, Telemetry
 from plankroute.testbed.cold_start import Case, down_until, run_case
@@ -61,9 +66,12 @@
 SECOND = 1_000_000
 
 
-def callers(stewards: int, rate: float = 20.0, **more) -> list[Caller]:
+def callers(stewards: int, rate: float = 20.0, **more) -> list[RequestScheduler]:
     facts = {"pause_most_us": 60 * SECOND, "retry_after_most_us": 30 * SECOND} | more
-    return [Caller(CallFacts(rank, stewards, rate, **facts), rank + 1) for rank in range(stewards)]
+    return [
+        RequestScheduler(BackoffFacts(rank, stewards, rate, **facts), rank + 1)
+        for rank in range(stewards)
+    ]
 
 
 def busiest(times: list[int]) -> int:
@@ -72,7 +80,7 @@
 
 
 def test_first_calls_of_a_hundred_are_as_fast_as_the_service_and_no_faster():
-    times = [caller.deliver(0, Began()).due_us for caller in callers(100)]
+    times = [caller.deliver(0, Started()).due_us for caller in callers(100)]
     assert busiest(times) <= 21 and max(times) < 5.5 * SECOND
 
 
@@ -81,9 +89,9 @@
     back."""
     refused, served = [], []
     for caller in callers(100):
-        due, times = caller.deliver(0, Began()).due_us, 0
+        due, times = caller.deliver(0, Started()).due_us, 0
         while due < 8 * SECOND:
-            due, times = caller.deliver(due, Refused()).due_us, times + 1
+            due, times = caller.deliver(due, RequestFailed()).due_us, times + 1
         refused.append(times)
         served.append(due)
     assert max(refused) <= 2 and max(served) < 17 * SECOND and busiest(served) <= 21
@@ -91,21 +99,21 @@
 
 def test_pauses_grow_in_a_long_outage_and_shrink_after_a_good_watch():
     (caller,) = callers(100)[50:51]
-    due, dues = caller.deliver(0, Began()).due_us, []
+    due, dues = caller.deliver(0, Started()).due_us, []
     for _ in range(12):
-        due = caller.deliver(due, Refused()).due_us
+        due = caller.deliver(due, RequestFailed()).due_us
         dues.append(due)
     gaps = [later - sooner for sooner, later in zip(dues, dues[1:], strict=False)]
     assert max(gaps[:2]) < 8 * SECOND and 15 * SECOND < min(gaps[-3:]) <= max(gaps) <= 21.5 * SECOND
-    again = caller.deliver(due + 100 * SECOND, Broke(100 * SECOND)).due_us - due - 100 * SECOND
+    again = caller.deliver(due + 100 * SECOND, WatchEnded(100 * SECOND)).due_us - due - 100 * SECOND
     assert 0 < again < 5.5 * SECOND
 
 
 def test_a_watch_that_breaks_everywhere_at_once_is_a_cold_start_too():
     times = []
     for caller in callers(100):
-        due = caller.deliver(0, Began()).due_us
-        times.append(caller.deliver(60 * SECOND, Broke(60 * SECOND - due)).due_us)
+        due = caller.deliver(0, Started()).due_us
+        times.append(caller.deliver(60 * SECOND, WatchEnded(60 * SECOND - due)).due_us)
     assert busiest(times) <= 21 and max(times) < 65.5 * SECOND
 
 
@@ -114,7 +122,7 @@
     (caller,) = callers(2)[:1]
     now, times = 0, []
     for _ in range(40):
-        now = caller.deliver(now, Broke(1000)).due_us
+        now = caller.deliver(now, WatchEnded(1000)).due_us
         times.append(now)
     assert busiest(times) <= BURST + 1 and times[-1] > 15 * SECOND
 
@@ -125,8 +133,8 @@
 )
 def test_retry_after_is_heeded_within_its_bound(asked_us, least_s, most_s):
     for caller in callers(100)[::9]:
-        due = caller.deliver(0, Began()).due_us
-        waits = caller.deliver(due, Refused(asked_us)).due_us - due
+        due = caller.deliver(0, Started()).due_us
+        waits = caller.deliver(due, RequestFailed(asked_us)).due_us - due
         assert least_s * SECOND <= waits <= most_s * SECOND
 
 
@@ -216,7 +224,7 @@
     st.integers(0, 12),
 )
 def test_what_has_changed_since_a_revision_brings_any_older_list_up(steps, behind):
-    held, older = HeldList(), HeldList()
+    held, older = EndpointList(), EndpointList()
     held.take({"rev": 5, "all": True, "targets": [entry(uid) for uid in "abc"]})
     older.take(orjson.loads(held.whole()))
     for number, step in enumerate(steps):
@@ -230,8 +238,8 @@
 
 
 def test_a_list_that_broke_off_goes_on_at_another_and_a_bad_one_is_left():
-    data = HeldList().whole() * 400
-    incoming = Incoming(len(data))
+    data = EndpointList().whole() * 400
+    incoming = ListReceiver(len(data))
     assert incoming.begin(7, True, len(data), crc32(data), 0) is None
     assert incoming.add(data[:100]) == (None, None) and incoming.partial() == (7, crc32(data), 100)
     assert incoming.begin(8, True, len(data), crc32(data), 100)  # another list
@@ -248,15 +256,15 @@
 def test_frames_come_out_as_they_went_in_however_they_are_cut_and_noise_ends_it(noise, step):
     frames = [
         Hello(1, "g", "n", 5, False, (1, 2, 3)),
-        Begin(5, True, 9, 1),
-        Part(noise),
+        ListStart(5, True, 9, 1),
+        ListPart(noise),
         Heartbeat(5, 0),
     ]
-    data, cutter = b"".join(map(write_frame, frames)), FrameCutter()
+    data, cutter = b"".join(map(encode_frame, frames)), FrameDecoder()
     assert [
         f for at in range(0, len(data), step) for f in cutter.feed(data[at : at + step])
     ] == frames
-    spoilt = FrameCutter()
+    spoilt = FrameDecoder()
     out = spoilt.feed(b"\xff" + noise + b"\xff" * 8)
     assert out in ([], [None]) and len(spoilt.held) <= 70_000
 
@@ -266,11 +274,11 @@
 
     def __init__(self, others: int = 9, name: str = "") -> None:
         names = [f"n{number}" for number in range(others + 1)]
-        self.watchers = ranked(names, "g")[:3]
+        self.watchers = rendezvous_order(names, "g")[:3]
         self.me = name or next(one for one in names if one not in self.watchers)
-        self.core = Follow(FollowFacts(self.me, "g", len(names), 3, 2 * SECOND))
+        self.core = WatcherElection(ElectionFacts(self.me, "g", len(names), 3, 2 * SECOND))
         self.now, self.names = 0, frozenset(names) - {self.me}
-        self.done = self.core.deliver(0, [Living(self.names)])
+        self.done = self.core.deliver(0, [LiveControllersChanged(self.names)])
 
     def main(self) -> str:
         return next(name for name, link in self.core.state.links.items() if not link.light)
@@ -278,7 +286,7 @@
     def witness(self) -> str:
         return next(name for name, link in self.core.state.links.items() if link.light)
 
-    def say(self, seconds: float, *said: Said) -> list:
+    def say(self, seconds: float, *said: HeartbeatReceived) -> list:
         """The same words each quarter of a second for so long."""
         out = []
         for _ in range(int(seconds * 4)):
@@ -289,88 +297,101 @@
 
 def test_everyone_finds_the_same_watchers_and_one_that_goes_moves_nobody_else():
     names = [f"n{number}" for number in range(50)]
-    order = ranked(names, "g")
-    assert ranked(reversed(names), "g") == order
-    assert ranked([name for name in names if name != order[1]], "g") == [order[0], *order[2:]]
-    firsts = Counter(ranked(order[:3], name)[0] for name in names)
+    order = rendezvous_order(names, "g")
+    assert rendezvous_order(reversed(names), "g") == order
+    assert rendezvous_order([name for name in names if name != order[1]], "g") == [
+        order[0],
+        *order[2:],
+    ]
+    firsts = Counter(rendezvous_order(order[:3], name)[0] for name in names)
     assert min(firsts.values()) > 5  # followers are spread over the watchers
 
 
 def test_nobody_calls_the_service_while_nobody_knows_anybody():
-    core = Follow(FollowFacts("n0", "g", 300, 3, 2 * SECOND))
-    assert not core.deliver(0, []) and not core.deliver(SECOND // 4, [Living(frozenset({"n1"}))])
-    core.deliver(SECOND // 2, [Living(frozenset())])
+    core = WatcherElection(ElectionFacts("n0", "g", 300, 3, 2 * SECOND))
+    assert not core.deliver(0, []) and not core.deliver(
+        SECOND // 4, [LiveControllersChanged(frozenset({"n1"}))]
+    )
+    core.deliver(SECOND // 2, [LiveControllersChanged(frozenset())])
     out = [action for at in range(3, 24) for action in core.deliver(at * SECOND // 4, [])]
-    assert out == [Noted("on_its_own"), Watch(True, None)]  # alone: in rounds by rank
+    assert out == [ReportTransition("on_its_own"), SetWatch(True, None)]  # alone: in rounds by rank
 
 
 def test_a_watcher_that_stalls_is_left_for_the_next_and_nobody_at_all_for_the_service():
     stage = Stage()
     main, witness = stage.main(), stage.witness()
-    assert not stage.say(4, Said(main, 5, 0), Said(witness, 5, 0))
-    out = stage.say(3, Said(witness, 5, 0))
+    assert not stage.say(4, HeartbeatReceived(main, 5, 0), HeartbeatReceived(witness, 5, 0))
+    out = stage.say(3, HeartbeatReceived(witness, 5, 0))
     assert (
-        Hang(main) in out and stage.main() not in (main, witness) and Watch(True, None) not in out
+        Disconnect(main) in out
+        and stage.main() not in (main, witness)
+        and SetWatch(True, None) not in out
     )
     out = stage.say(14)
-    assert Watch(True, None) in out
-    out = stage.say(2, Said(stage.main(), 5, 0))
-    assert Watch(False, None) in out
+    assert SetWatch(True, None) in out
+    out = stage.say(2, HeartbeatReceived(stage.main(), 5, 0))
+    assert SetWatch(False, None) in out
 
 
 def test_an_old_relay_is_left_and_a_service_that_began_anew_believed():
     stage = Stage()
     main, witness = stage.main(), stage.witness()
-    stage.core.deliver(stage.now, [Holds(50, False)])
-    out = stage.say(1, Said(main, 40, 60 * SECOND), Said(witness, 50, 0))
-    assert Hang(main) in out and not [a for a in out if isinstance(a, Dial) and a.anew]
+    stage.core.deliver(stage.now, [ListUpdated(50, False)])
+    out = stage.say(1, HeartbeatReceived(main, 40, 60 * SECOND), HeartbeatReceived(witness, 50, 0))
+    assert Disconnect(main) in out and not [a for a in out if isinstance(a, Connect) and a.anew]
     stage = Stage()
     main, witness = stage.main(), stage.witness()
-    stage.core.deliver(stage.now, [Holds(50, False)])
-    out = stage.say(4, Said(main, 2, 0), Said(witness, 2, 0))
-    assert Dial(main, False, True) in out
+    stage.core.deliver(stage.now, [ListUpdated(50, False)])
+    out = stage.say(4, HeartbeatReceived(main, 2, 0), HeartbeatReceived(witness, 2, 0))
+    assert Connect(main, False, True) in out
 
 
 def test_one_alone_that_says_less_is_checked_with_the_service_and_so_is_one_that_claims_more():
     for words in ((2, None), (900, 50)):
         stage = Stage()
         main, witness = stage.main(), stage.witness()
-        stage.core.deliver(stage.now, [Holds(50, False)])
-        said = [Said(main, words[0], 0)] + ([Said(witness, words[1], 0)] if words[1] else [])
+        stage.core.deliver(stage.now, [ListUpdated(50, False)])
+        said = [HeartbeatReceived(main, words[0], 0)] + (
+            [HeartbeatReceived(witness, words[1], 0)] if words[1] else []
+        )
         if not words[1]:
-            stage.core.deliver(stage.now, [Ended(witness)])
+            stage.core.deliver(stage.now, [LinkClosed(witness)])
             stage.core.state.avoided_us = dict.fromkeys(set(stage.watchers) - {main}, 1 << 60)
-        assert Watch(True, None) in stage.say(6, *said)
-        out = stage.core.deliver(stage.now, [Holds(50, True)])
-        assert (Noted("left_ahead", main) in out) is (words[0] == 900)
+        assert SetWatch(True, None) in stage.say(6, *said)
+        out = stage.core.deliver(stage.now, [ListUpdated(50, True)])
+        assert (ReportTransition("left_ahead", main) in out) is (words[0] == 900)
 
 
 def test_each_host_is_probed_by_as_many_as_stated_its_own_zone_first():
     zones = {f"n{number}": "abc"[number % 3] for number in range(30)}
     asked = Counter()
     for host in range(200):
-        probers = probers_of(f"h{host}", "a", zones, 3)
-        assert probers == probers_of(f"h{host}", "a", dict(reversed(zones.items())), 3)
+        probers = assigned_controllers(f"h{host}", "a", zones, 3)
+        assert probers == assigned_controllers(f"h{host}", "a", dict(reversed(zones.items())), 3)
         assert len(set(probers)) == 3 and all(zones[name] == "a" for name in probers)
         asked.update(probers)
     assert max(asked.values()) < 2 * 600 / 10
     assert (
-        len(probers_of("h", "d", zones, 3)) == 3 and len(probers_of("h", "a", {"n0": "b"}, 3)) == 1
+        len(assigned_controllers("h", "d", zones, 3)) == 3
+        and len(assigned_controllers("h", "a", {"n0": "b"}, 3)) == 1
     )
     drawn = [
-        sum(is_drawn(f"n{name}", f"h{host}", 3, 300) for name in range(300)) for host in range(100)
+        sum(is_sampled(f"n{name}", f"h{host}", 3, 300) for name in range(300))
+        for host in range(100)
     ]
     assert 2 < sum(drawn) / 100 < 4
 
 
 def test_results_count_by_their_age_and_by_the_start_of_the_host():
     survey = Survey("n0", 3, 10)
-    assert survey.keep("h", Result(9000, 10 * SECOND, 5.0)) and not survey.keep(
-        "h", Result(1, 9 * SECOND, 5.0)
+    assert survey.keep("h", SharedResult(9000, 10 * SECOND, 5.0)) and not survey.keep(
+        "h", SharedResult(1, 9 * SECOND, 5.0)
     )
     assert survey.fresh("h", 5.0, 11 * SECOND) and not survey.fresh("h", 5.0, 13 * SECOND)
     assert not survey.fresh("h", 6.0, 11 * SECOND)  # another start: another host
-    assert survey.keep("h", Result(1, 9 * SECOND, 6.0)) and survey.fresh("h", 6.0, 10 * SECOND)
+    assert survey.keep("h", SharedResult(1, 9 * SECOND, 6.0)) and survey.fresh(
+        "h", 6.0, 10 * SECOND
+    )
     assert not survey.fresh("x", 0.0, 0)
 
 
@@ -487,7 +508,7 @@
     group, name = "g", "n0"
 
     def __init__(self, hosts: int, padding: int) -> None:
-        self.telemetry, self.held = Telemetry(EventLog("n0", lambda line: None)), HeldList()
+        self.telemetry, self.held = Telemetry(EventLog("n0", lambda line: None)), EndpointList()
         targets = [{**entry(f"h{host}"), "padding": "x" * padding} for host in range(hosts)]
         self.held.take({"rev": 5, "all": True, "targets": targets})
 
@@ -507,23 +528,23 @@
         server = LinkServer(owner)
         await server.open("127.253.0.1:0")
         reader, writer = await asyncio.open_connection(*server.server.sockets[0].getsockname())
-        writer.write(write_frame(Hello(VERSION, "g", "n1", 4, light)))
-        cutter, frames = FrameCutter(), []
+        writer.write(encode_frame(Hello(LINK_VERSION, "g", "n1", 4, light)))
+        cutter, frames = FrameDecoder(), []
         async with asyncio.timeout(30):
             while not any(isinstance(frame, Heartbeat) for frame in frames):
                 frames += cutter.feed(await reader.read(4096))
                 if frames and owner.held.revision == 5:  # the list, or a first beat, is on its way
                     owner.held.take({"rev": 6, "all": False, "targets": [entry("h7", "DRAINING")]})
                     server.changed()
-            while light and not any(isinstance(frame, Drains) for frame in frames):
+            while light and not any(isinstance(frame, DrainNoticeFrame) for frame in frames):
                 frames += cutter.feed(await reader.read(4096))
         writer.transport.abort()
         server.close()
         return frames
 
     frames = asyncio.run(run())
-    drains = [place for place, frame in enumerate(frames) if isinstance(frame, Drains)]
-    parts = [place for place, frame in enumerate(frames) if isinstance(frame, Part)]
+    drains = [place for place, frame in enumerate(frames) if isinstance(frame, DrainNoticeFrame)]
+    parts = [place for place, frame in enumerate(frames) if isinstance(frame, ListPart)]
     assert len(drains) == 1 and frames[drains[0]].revision == 6
     assert orjson.loads(frames[drains[0]].targets) == [entry("h7", "DRAINING")]
     assert not parts if light else len(parts) > 200 and drains[0] < parts[-1] - 50
@@ -531,7 +552,7 @@
 
 def test_many_drains_go_in_pieces_that_fit_a_frame():
     items = [orjson.dumps({**entry(f"h{host}"), "padding": "x" * 900}) for host in range(200)]
-    pieces = in_pieces([*items, b"y" * 40_000], 32768)
+    pieces = json_array_chunks([*items, b"y" * 40_000], 32768)
     assert max(map(len, pieces)) <= 32768 and len(pieces) > 4
     told = [item for piece in pieces for item in orjson.loads(piece)]
     assert told == [orjson.loads(item) for item in items]
@@ -540,23 +561,25 @@
 def test_a_steward_that_stood_still_does_not_find_all_others_late():
     """Guards against hundreds that go to the service together because they were starved of their cores."""
     stage = Stage()
-    said = [Said(stage.main(), 5, 0), Said(stage.witness(), 5, 0)]
+    said = [HeartbeatReceived(stage.main(), 5, 0), HeartbeatReceived(stage.witness(), 5, 0)]
     stage.say(3, *said)
     for _ in range(4):  # beats two seconds apart, with the others' words waiting behind them
         stage.now += 2 * SECOND
-        assert not [a for a in stage.core.deliver(stage.now, []) if isinstance(a, Hang | Watch)]
+        assert not [
+            a for a in stage.core.deliver(stage.now, []) if isinstance(a, Disconnect | SetWatch)
+        ]
         stage.core.deliver(stage.now, [*said])
     stage.say(3)
-    assert Watch(True, None) in stage.say(14)  # it is awake, and they are silent
+    assert SetWatch(True, None) in stage.say(14)  # it is awake, and they are silent
 
 
 def test_watchers_that_have_all_lost_the_service_are_no_word():
     """Guards against a group whose three watchers are cut off from the list service while others are not."""
     stage = Stage()
-    said = [Said(stage.main(), 50, 0), Said(stage.witness(), 50, 0)]
-    assert Watch(True, None) not in stage.say(6, *said)
-    out = stage.say(6, *(Said(one.name, 50, 11 * SECOND) for one in said))
-    assert Watch(True, None) in out and Watch(False, None) in stage.say(2, *said)
+    said = [HeartbeatReceived(stage.main(), 50, 0), HeartbeatReceived(stage.witness(), 50, 0)]
+    assert SetWatch(True, None) not in stage.say(6, *said)
+    out = stage.say(6, *(HeartbeatReceived(one.name, 50, 11 * SECOND) for one in said))
+    assert SetWatch(True, None) in out and SetWatch(False, None) in stage.say(2, *said)
 
 
 AT_ONCE = 6  # of ten processes each: with all at once the machine itself was what they met
@@ -584,9 +607,9 @@
 @pytest.mark.parametrize(
     "answer, expected",
     [
-        (b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n0\r\n\r\n", Broke),
-        (b"HTTP/1.1 503 Busy\r\nRetry-After: 7\r\nContent-Length: 5\r\n\r\nbusy\n", Refused),
-        (b'HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\n{"re\r\n', Refused),
+        (b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n0\r\n\r\n", WatchEnded),
+        (b"HTTP/1.1 503 Busy\r\nRetry-After: 7\r\nContent-Length: 5\r\n\r\nbusy\n", RequestFailed),
+        (b'HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\n{"re\r\n', RequestFailed),
     ],
 )
 def test_a_watch_that_had_nothing_to_tell_is_no_refusal(answer, expected):
@@ -601,7 +624,7 @@
     async def scene():
         async with asyncio.timeout(20), await asyncio.start_server(serve, "127.0.0.1", 0) as server:
             port = server.sockets[0].getsockname()[1]
-            careful = CarefulDiscovery(
+            careful = BackoffDiscovery(
                 f"127.0.0.1:{port}",
                 1 << 20,
                 Directory(Clock(), ("a",), ("m",), ()),
@@ -610,10 +633,10 @@
                 False,
                 [].append,
             )
-            careful.prepare(CallFacts(0, 1, 20.0, SECOND, SECOND), SECOND, 1)
+            careful.prepare(BackoffFacts(0, 1, 20.0, SECOND, SECOND), SECOND, 1)
             careful.revision = 5
             return await careful.call_once()
 
     event = asyncio.run(scene())
     assert isinstance(event, expected)
-    assert not isinstance(event, Refused) or event.retry_after_us in (None, 7 * SECOND)
+    assert not isinstance(event, RequestFailed) or event.retry_after_us in (None, 7 * SECOND)
--- a/tests/test_learned.py
+++ b/tests/test_learned.py
@@ -15,11 +15,11 @@
 from support.controller_bench import feed, generated_day, probes, ready_bench
 from support.controller_model import GONE, READY, SECOND, Bench, changes, entry, full, start_facts
 
-from plankroute.cold_start.link_codec import Begin, Part, ViewOf, write_frame
+from plankroute.cold_start.link_codec import ListPart, ListStart, WarmStartView, encode_frame
 from plankroute.config.feature_file import WarmStartSection
 from plankroute.events import events
 from plankroute.events.events import HealthCheckOutcome, HostState
-from plankroute.net.peers.links import frames_of_view
+from plankroute.net.peers.links import view_frames
 from plankroute.net.peers.warm_start import LAST_S, READ_S, WarmStartService, file_name
 from plankroute.net.process.file_store import Disk, Saver, replace
 from plankroute.net.process.telemetry import EventLog, Telemetry
@@ -504,7 +504,7 @@
     return learner, came, took
 
 
-WHOLE = frames_of_view(
+WHOLE = view_frames(
     "n1",
     5,
     write_view(view(FACTS, *[msgspec.structs.replace(FACTS, uid=f"h{i}") for i in range(900)])),
@@ -519,12 +519,16 @@
         (WHOLE[:-1], False, 0),  # it is paused in the middle
         ([], False, 0),
         ([], True, 0),
-        ([*WHOLE[:-1], write_frame(Part(b"x" * 9000))], False, 0),
-        ([write_frame(ViewOf("n1", 0)), write_frame(Begin(0, True, 1 << 40, 1))], False, 0),
+        ([*WHOLE[:-1], encode_frame(ListPart(b"x" * 9000))], False, 0),
+        (
+            [encode_frame(WarmStartView("n1", 0)), encode_frame(ListStart(0, True, 1 << 40, 1))],
+            False,
+            0,
+        ),
         ([b"\xff" * 50], False, 0),
-        ([*frames_of_view("n1", 0, b"no view at all")], True, 0),
+        ([*view_frames("n1", 0, b"no view at all")], True, 0),
         (
-            [*frames_of_view("n9", 0, write_view(view(FACTS)))],
+            [*view_frames("n9", 0, write_view(view(FACTS)))],
             True,
             0,
         ),  # one steward's in another's name
