--- a/plankroute/net/discovery/backoff_watch.py
+++ b/plankroute/net/discovery/backoff_watch.py
@@ -28,7 +28,7 @@
 
     def prepare(self, facts: CallFacts, list_old_us: int, seed: int) -> None:
         self.caller, self.list_old_us = Caller(facts, seed), list_old_us
-        self.heard_us, self.is_old, self.times_heard = now_us(), False, 0
+        self.last_contact_us, self.is_old, self.times_heard = now_us(), False, 0
         self.looking: asyncio.Task[None] | None = None
 
     def start(self, known: Any) -> None:
@@ -40,7 +40,7 @@
             if task:
                 task.cancel()
 
-    async def watch_always(self) -> None:
+    async def watch_forever(self) -> None:
         await self.call_on(self.caller, Began())
 
     async def call_on(self, caller: Caller, event: Event) -> None:
@@ -73,14 +73,14 @@
             self.telemetry.count("dropped.retry_after" if asked is None else "taken.retry_after")
         return asked
 
-    def hear(self) -> None:
-        super().hear()
+    def record_contact(self) -> None:
+        super().record_contact()
         self.times_heard += 1
         self.mend_age()
 
     def mend_age(self) -> None:
         """Said to be old, and no longer so."""
-        if self.is_old and now_us() - self.heard_us < self.list_old_us:
+        if self.is_old and now_us() - self.last_contact_us < self.list_old_us:
             self.is_old = False
             self.telemetry.log.event("info", "list_fresh", revision=self.revision)
 
@@ -88,12 +88,12 @@
         """What came late may mean drains that were missed: said openly, and nothing more can be done."""
         while True:
             await asyncio.sleep(LOOK_S)
-            if not self.is_old and now_us() - self.heard_us > self.list_old_us:
+            if not self.is_old and now_us() - self.last_contact_us > self.list_old_us:
                 self.is_old = True
                 self.telemetry.count("list_old")
                 self.telemetry.log.event(
                     "warning",
                     "list_old",
                     revision=self.revision,
-                    for_s=round((now_us() - self.heard_us) / 1e6, 1),
+                    for_s=round((now_us() - self.last_contact_us) / 1e6, 1),
                 )
--- a/plankroute/net/discovery/directory.py
+++ b/plankroute/net/discovery/directory.py
@@ -51,7 +51,9 @@
     def forget(self, host: int) -> None:
         del self.ids[self.hosts.pop(host).uid]
 
-    def note(self, listed: ListSaid, kind: ListKind | None = None) -> tuple[events.HostList, int]:
+    def apply_list(
+        self, listed: ListSaid, kind: ListKind | None = None
+    ) -> tuple[events.HostList, int]:
         """The list by ids, and how many entries could not be taken.
 
         Such an entry leaves its host as it was: a full list must not drop a host for it.
--- a/plankroute/net/discovery/http_client.py
+++ b/plankroute/net/discovery/http_client.py
@@ -33,7 +33,7 @@
 
     dial_s: float
     quiet_s: float
-    most_body: int
+    max_body_bytes: int
 
 
 class Call:
@@ -113,7 +113,7 @@
         async with aclosing(call.pieces()) as pieces:
             async for piece in pieces:
                 body += piece
-                if len(body) > limits.most_body:
+                if len(body) > limits.max_body_bytes:
                     return CallFailed(call.reached, "body too long")
     except FAILURES as error:
         return call.failed(error)
--- a/plankroute/net/discovery/watch.py
+++ b/plankroute/net/discovery/watch.py
@@ -41,19 +41,24 @@
         telemetry: Telemetry,
         seed: int,
         by_order: bool,
-        put: Callable[[events.Event], None],
+        submit: Callable[[events.Event], None],
     ) -> None:
         self.allow(most_list)
-        self.address, self.directory, self.telemetry, self.put = address, directory, telemetry, put
+        self.address, self.directory, self.telemetry, self.submit = (
+            address,
+            directory,
+            telemetry,
+            submit,
+        )
         self.by_order, self.chance = by_order, SeededRandom(seed)
         self.revision: int | None = None  # None: the next call is to bring the whole list
         self.asking = set[asyncio.Task[None]]()
         self.watching: asyncio.Task[None] | None = None
-        self.has_word, self.heard_us = (
+        self.has_contact, self.last_contact_us = (
             False,
             0,
         )  # of discovery itself, and when: steady microseconds
-        self.over: Over | None = (
+        self.list_filter: Over | None = (
             None  # what knows of drains ahead of lists, where that is switched on
         )
 
@@ -62,7 +67,7 @@
         said = list_from(known)
         if isinstance(said, Refused):
             self.telemetry.refuse("discovery", f"known: {said.why}")
-            self.put(events.HostList(ListKind.CACHED, ()))
+            self.submit(events.HostList(ListKind.CACHED, ()))
         else:
             self.revision = said.revision
             self.note(said, ListKind.CACHED)
@@ -86,7 +91,7 @@
     def watch_anew(self) -> None:
         if self.watching:
             self.watching.cancel()
-        watch = self.watch_once if self.by_order else self.watch_always
+        watch = self.watch_once if self.by_order else self.watch_forever
         self.watching = asyncio.create_task(watch())
 
     def ask_anew(self) -> None:
@@ -104,7 +109,7 @@
                 elif self.watching:
                     self.watching.cancel()
 
-    async def watch_always(self) -> None:
+    async def watch_forever(self) -> None:
         while True:
             try:
                 await self.watch()
@@ -117,16 +122,16 @@
 
     async def watch_once(self) -> None:
         await self.watch()
-        self.put(LIST_FAILED)
+        self.submit(LIST_FAILED)
 
     async def ask_once(self) -> None:
         if not await self.ask():
-            self.put(LIST_FAILED)
+            self.submit(LIST_FAILED)
 
     async def ask(self) -> bool:
         """The whole list, once."""
         answer = await fetch(self.address, MEMBERS, self.limits)
-        if isinstance(answer, Answer) and answer.status == 200 and self.take(answer.body):
+        if isinstance(answer, Answer) and answer.status == 200 and self.accept_list(answer.body):
             return True
         self.telemetry.count("dropped.lists")
         self.telemetry.log.event("warning", "list_failed", why=str(answer)[:MOST_TEXT])
@@ -154,27 +159,27 @@
         return call
 
     async def follow(self, call: Call, pieces: AsyncIterator[bytes]) -> CallFailed | None:
-        most = self.limits.most_body
+        most = self.limits.max_body_bytes
         cutter = LineCutter(most, Pool(2 * most))
         async for piece in pieces:
             if call.status != 200:
                 return CallFailed(call.reached, f"status {call.status}")
             for line in cutter.feed(piece):
-                if isinstance(line, Refused) or (line.strip() and not self.take(line)):
+                if isinstance(line, Refused) or (line.strip() and not self.accept_list(line)):
                     return CallFailed(call.reached, "what came can't be used")
                 call.renew()
-                self.hear()
+                self.record_contact()
         return None
 
-    def hear(self) -> None:
+    def record_contact(self) -> None:
         """A whole line came, an empty one too: nothing may have changed for hours."""
-        self.has_word, self.heard_us = True, monotonic_us()
+        self.has_contact, self.last_contact_us = True, monotonic_us()
 
     def age_us(self) -> int:
         """How old discovery's word is here."""
-        return monotonic_us() - self.heard_us if self.has_word else NO_WORD_US
+        return monotonic_us() - self.last_contact_us if self.has_contact else NO_WORD_US
 
-    def take(self, text: bytes) -> bool:
+    def accept_list(self, text: bytes) -> bool:
         """A list goes to the core; False where it can't be used, and the old one stays."""
         said = read_list(text)
         if isinstance(said, Refused):
@@ -188,9 +193,9 @@
         return True
 
     def note(self, said: ListSaid, kind: ListKind | None = None) -> None:
-        listed, refused = self.directory.note(said, kind)
-        if self.over:
-            listed = self.over(said.revision, said.whole, listed)
+        listed, refused = self.directory.apply_list(said, kind)
+        if self.list_filter:
+            listed = self.list_filter(said.revision, said.whole, listed)
         if refused:
             self.telemetry.refuse("discovery", "entries that can't be taken", entries=refused)
         self.telemetry.count("taken.lists")
@@ -204,4 +209,4 @@
                 for entry in listed.entries[:MOST_LOGGED]
             ],
         )
-        self.put(listed)
+        self.submit(listed)
--- a/plankroute/net/peers/shared_discovery.py
+++ b/plankroute/net/peers/shared_discovery.py
@@ -77,8 +77,8 @@
         self.members, self.roles, self.listen, self.port = members, Follow(facts), listen, port
         self.name, self.group, self.call_facts, self.seed = facts.name, facts.group, call, seed
         self.held, self.server = HeldList(), LinkServer(self)
-        self.ahead = DrainNoticeOverlay(self.directory, self.telemetry, self.put)
-        self.over = self.ahead.over
+        self.ahead = DrainNoticeOverlay(self.directory, self.telemetry, self.submit)
+        self.list_filter = self.ahead.over
         self.clients: dict[str, LinkClient] = {}
         self.incoming: dict[str, Incoming] = {}
         self.partial: Incoming | None = None  # what has come of a whole list, wherever it goes on
@@ -176,15 +176,15 @@
 
     # What the service and others say
 
-    def hear(self) -> None:
+    def record_contact(self) -> None:
         """A watch that goes on from the revision held says that the service knows it."""
-        super().hear()
+        super().record_contact()
         if self.roles.is_asking and self.held.revision >= 0:
             self.work([Holds(self.held.revision, True)])
 
-    def take(self, text: bytes) -> bool:
+    def accept_list(self, text: bytes) -> bool:
         """The service's own word."""
-        if not super().take(text):
+        if not super().accept_list(text):
             return False
         self.believe(text, by_service=True)
         return True
@@ -209,14 +209,14 @@
                 None if isinstance(revision, int) else "no list"
             )  # what it goes on to say may explain it
         self.anew.discard(name)
-        if not Discovery.take(self, text):
+        if not Discovery.accept_list(self, text):
             return "no list"
         self.believe(text, by_service=False)
         return None
 
     def hear_frame(self, name: str, frame: Frame) -> str | None:
         """Why the link is of no more use, if so."""
-        incoming = self.incoming.setdefault(name, Incoming(self.limits.most_body))
+        incoming = self.incoming.setdefault(name, Incoming(self.limits.max_body_bytes))
         objection: str | None = None
         match frame:
             case Begin(revision, whole, size, check, offset):
@@ -231,7 +231,8 @@
                     objection = self.take_from(name, text)
             case Heartbeat(revision, age_us):
                 if not self.roles.is_watching and age_us < NO_WORD_US:
-                    self.has_word, self.heard_us = True, max(self.heard_us, now_us() - age_us)
+                    self.has_contact = True
+                    self.last_contact_us = max(self.last_contact_us, now_us() - age_us)
                     self.mend_age()
                 self.work([Said(name, revision, age_us)])
             case Probed():
--- a/plankroute/net/probing/prober.py
+++ b/plankroute/net/probing/prober.py
@@ -30,9 +30,14 @@
         telemetry: Telemetry,
         dial_us: int,
         at_once: Callable[[], int],
-        put: Callable[[events.Event], None],
+        submit: Callable[[events.Event], None],
     ) -> None:
-        self.directory, self.clock, self.telemetry, self.put = directory, clock, telemetry, put
+        self.directory, self.clock, self.telemetry, self.submit = (
+            directory,
+            clock,
+            telemetry,
+            submit,
+        )
         self.at_once = at_once  # a descriptor each
         self.target = "/ping" if facts.report_source is ReportSource.NONE else "/_load"
         # Hosts serve probes like txns: an answer may take twice as long as a connection.
@@ -42,7 +47,7 @@
         self.paced: asyncio.TimerHandle | None = None  # until the next may begin
         self.health_checks_allowed = facts.health_checks_allowed
 
-    def probe(self, host: int) -> None:
+    def check(self, host: int) -> None:
         if not self.health_checks_allowed or host in self.busy or host in self.waiting:
             self.telemetry.count("dropped.probes")
             return
@@ -94,7 +99,7 @@
             )
         # Guards against far hosts taken for slow ones.
         elapsed_us = answer.served_us if isinstance(answer, Answer) else self.clock.now() - asked_us
-        self.put(events.HealthCheckResult(host, outcome, elapsed_us, report))
+        self.submit(events.HealthCheckResult(host, outcome, elapsed_us, report))
 
 
 def judge_call(answer: Answer | CallFailed) -> tuple[HealthCheckOutcome, LoadReport | None]:
--- a/plankroute/net/probing/shared_prober.py
+++ b/plankroute/net/probing/shared_prober.py
@@ -29,14 +29,14 @@
         tell: Callable[[Probed], None],
     ) -> None:
         self.survey, self.zone_names, self.living, self.tell = survey, zones, living, tell
-        self.to_core, self.put = self.put, self.on_result
+        self.to_core, self.submit = self.submit, self.on_result
         self.batch: list[int] = []
         self.surveyed = set[int]()
         self.awaited: dict[str, int] = {}
         self.untold: list[tuple[str, str, int, int, float]] = []
         self.handle: asyncio.TimerHandle | None = None
 
-    def probe(self, host: int) -> None:
+    def check(self, host: int) -> None:
         """Orders of one batch come one after another: together they show whether it is a survey."""
         if not self.batch:
             asyncio.get_running_loop().call_soon(self.sort)
@@ -46,7 +46,7 @@
         batch, self.batch = self.batch, []
         if len(batch) < SURVEY:
             for host in batch:
-                super().probe(host)
+                super().check(host)
             return
         self.survey.zones = self.living()
         self.telemetry.count("survey.hosts", len(batch))
@@ -61,7 +61,7 @@
         zone = self.zone_names[known.entry.zone] if known.entry else ""
         if self.survey.is_mine(known.uid, zone):
             self.surveyed.add(host)
-            super().probe(host)
+            super().check(host)
         elif result := self.survey.fresh(known.uid, known.boot_ms, now_us()):
             self.note(host, result)
         else:
--- a/plankroute/net/process/optional_features.py
+++ b/plankroute/net/process/optional_features.py
@@ -103,7 +103,7 @@
 
         shared, telemetry = self.shared, self.telemetry
         ahead = shared.ahead if shared else DrainNoticeOverlay(directory, telemetry, self.put)
-        discovery.over = ahead.over
+        discovery.list_filter = ahead.over
         group, own_host = (shared.group, host_and_port(shared.listen)[0]) if shared else ("", "")
         self.learned = WarmStartService(part, self.me.name, group, own_host, telemetry, self.put)
         self.learned.attach(controller, directory, discovery, ahead)
--- a/plankroute/net/process/service.py
+++ b/plankroute/net/process/service.py
@@ -107,7 +107,7 @@
             self.listener.room_for_probes,
             put,
         )
-        self.router.probe = self.prober.probe
+        self.router.probe = self.prober.check
         self.router.ask, self.router.forget = self.discovery.obey, self.directory.forget
         if self.optional_features:
             self.optional_features.attach(self.router.controller, self.directory, self.discovery)
--- a/tests/test_coldstart.py
+++ b/tests/test_coldstart.py
@@ -430,7 +430,7 @@
             for uid, state in states.items()
         ]
         said = list_from({"rev": revision, "all": whole, "targets": items})
-        return states_of(ahead.over(revision, whole, directory.note(said)[0]))
+        return states_of(ahead.over(revision, whole, directory.apply_list(said)[0]))
 
     def states_of(note: events.HostList) -> dict[str, str]:
         return {directory.uid(entry.host): entry.state.value for entry in note.entries}
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -393,13 +393,13 @@
 
         async with await asyncio.start_server(serve, "127.0.0.1", 0) as server:
             prober = stage.service.prober
-            prober.put = lambda note: (
+            prober.submit = lambda note: (
                 results.append(note) if isinstance(note, events.HealthCheckResult) else None
             )
             stage.service.directory.hosts[0].address = (
                 "127.0.0.1:%d" % server.sockets[0].getsockname()[1]
             )
-            prober.probe(0)
+            prober.check(0)
             await act(stage, await asked.get())
             await stage.until(lambda: not prober.busy)
 
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -69,7 +69,7 @@
 
 def named(*uids: str) -> Directory:
     known = directory()
-    known.note(list_from(listing(*map(member, uids))))
+    known.apply_list(list_from(listing(*map(member, uids))))
     return known
 
 
@@ -280,13 +280,13 @@
 def test_hosts_keep_their_ids_and_what_can_not_be_read_leaves_them_as_they_were():
     known = directory(Clock(lambda: 10**18, lambda: 5 * 10**9))
     members = member("s-1", boot_ms=999_999_000_000), member("s-2", az="b")
-    first, refused = known.note(list_from(listing(*members)))
+    first, refused = known.apply_list(list_from(listing(*members)))
     assert refused == 0 and first.kind is ListKind.FULL
     assert [(e.host, e.zone, e.started_us) for e in first.entries] == [
         (0, 0, 999_999_000_000_000),
         (1, 1, 0),
     ]
-    second, refused = known.note(
+    second, refused = known.apply_list(
         list_from(
             listing(
                 member("s-2", state="??"),
@@ -299,7 +299,7 @@
     )
     assert refused == 3 and second.kind is ListKind.CHANGES
     assert [(e.host, e.state) for e in second.entries] == [(1, READY), (0, DRAINING)]
-    gone, _ = known.note(list_from(listing(member("s-1", state="DELETED"), whole=False)))
+    gone, _ = known.apply_list(list_from(listing(member("s-1", state="DELETED"), whole=False)))
     assert [(e.host, e.state) for e in gone.entries] == [(0, GONE)]
 
 
@@ -347,12 +347,14 @@
     clock = Clock(lambda: wall[0], lambda: steady[0])
     known, boot_ms = directory(clock), 10**12 - 2000
     started = (
-        known.note(list_from(listing(member("s-1", boot_ms=boot_ms))))[0].entries[0].started_us
+        known.apply_list(list_from(listing(member("s-1", boot_ms=boot_ms))))[0]
+        .entries[0]
+        .started_us
     )
     assert clock.now() - started == 2 * SECOND
     before, wall[0], steady[0] = clock.now(), wall[0] - 3600 * 10**9, 10**9
     assert clock.now() == before + SECOND
-    again, new = known.note(
+    again, new = known.apply_list(
         list_from(
             listing(member("s-1", boot_ms=boot_ms), member("s-2", boot_ms=wall[0] / 1e6 - 500))
         )
@@ -440,7 +442,7 @@
     async def run() -> Answer | CallFailed:
         async with await asyncio.start_server(answering(data, stay), "127.0.0.1", 0) as server:
             address = "127.0.0.1:%d" % server.sockets[0].getsockname()[1]
-            limits = Limits(dial_s=5.0, quiet_s=0.2 if stay else 5.0, most_body=100)
+            limits = Limits(dial_s=5.0, quiet_s=0.2 if stay else 5.0, max_body_bytes=100)
             return await fetch(address, "/ping", limits)
 
     return asyncio.run(run())
@@ -478,7 +480,7 @@
     async def run() -> None:
         telemetry = Telemetry(EventLog("n", lambda line: None))
         directory = Directory(Clock(), ("a",), ("m",), ("p",))
-        directory.note(
+        directory.apply_list(
             ListSaid(
                 1,
                 True,
@@ -492,7 +494,7 @@
             start_facts(), directory, Clock(), telemetry, 1000, lambda: 9, lambda note: None
         )
         for host in range(3):
-            prober.probe(host)
+            prober.check(host)
         assert len(prober.busy) == 1 and len(prober.waiting) == 2
         while prober.waiting or prober.busy:
             await asyncio.sleep(0)
@@ -557,7 +559,7 @@
 
     first = listing(*[member(f"s-{n}") for n in range(12)])
     joined = [events.ProxyJoined(proxy, 0, 9.0, True) for proxy in range(4)]
-    work(known.note(list_from(first), ListKind.CACHED)[0], *joined)
+    work(known.apply_list(list_from(first), ListKind.CACHED)[0], *joined)
     for n in range(400):
         now += SECOND
         changed = [member(f"s-{n}", "DRAINING"), member(f"s-{n + 12}", boot_ms=now / 1000)]
@@ -565,7 +567,7 @@
         gone, last = n % 4, max([message.mark for message in sent], default=0)
         sent.clear()
         work(
-            known.note(list_from(listing(*changed, rev=42 + n, whole=False)))[0],
+            known.apply_list(list_from(listing(*changed, rev=42 + n, whole=False)))[0],
             *[events.Acknowledged(p, last, 1) for p in range(4) if last],
             events.ProxyLeft(gone),
             events.ProxyJoined(gone, 0, 9.0, False),
@@ -605,7 +607,9 @@
     )
     known.forget(0)
     message_builder.forget(0)
-    listed, refused = known.note(list_from(listing(member("s-1", boot_ms=5), rev=42, whole=False)))
+    listed, refused = known.apply_list(
+        list_from(listing(member("s-1", boot_ms=5), rev=42, whole=False))
+    )
     message_builder.hear(listed)
     assert [each.host for each in listed.entries] == [2] and not refused and known.uid(2) == "s-1"
     told = {
@@ -613,7 +617,9 @@
         for m in message_builder.play([commands.SetRoute(0, 2, 1.0), commands.BindProxy(0, 1)])
     }
     assert told == {0: {}, 1: {2: False}}  # proxy 1 may hold it back yet
-    listed, refused = known.note(list_from(listing(member("s-9", "DELETED"), rev=43, whole=False)))
+    listed, refused = known.apply_list(
+        list_from(listing(member("s-9", "DELETED"), rev=43, whole=False))
+    )
     assert not listed.entries and not refused and "s-9" not in known.ids
 
 
@@ -643,7 +649,7 @@
 
     router.send = send
     first = [member(f"s-{n}", boot_ms=5.0 * (n % 3)) for n in range(40)]
-    work(known.note(list_from(listing(*first)), ListKind.CACHED)[0])
+    work(known.apply_list(list_from(listing(*first)), ListKind.CACHED)[0])
     work(*[events.ProxyJoined(proxy, 0, 9.0, proxy % 2 == 0) for proxy in range(6)])
     for n in range(30):
         now += 7 * SECOND  # longer than it learns from what old tables bring
@@ -651,7 +657,7 @@
         changed += [member(f"s-{n - 9}", boot_ms=now / 1000)] * (n > 9)  # it is back
         gone = n % 6
         work(
-            known.note(list_from(listing(*changed, rev=42 + n, whole=False)))[0],
+            known.apply_list(list_from(listing(*changed, rev=42 + n, whole=False)))[0],
             *[events.Acknowledged(p, channel.sequence_number, 1) for p in range(6)],
             events.ProxyLeft(gone),
             events.ProxyJoined(gone, 0, 9.0, n % 4 == 0),
@@ -730,13 +736,13 @@
         party, said = Party(), [wire.read_line(f"{line}\r".encode()) for line in lines]
         return [note for line in said if (note := admission.admit(party, line)) is not None]
 
-    work(known.note(list_from(listing(*[host(n) for n in range(200)])), ListKind.CACHED)[0])
+    work(known.apply_list(list_from(listing(*[host(n) for n in range(200)])), ListKind.CACHED)[0])
     for proxy in range(60):
         work(*say(f"hello node={proxy} locality={zones[proxy % 3]} w=9 cold=1"))
     for turn in range(20):
         now += SECOND
         changed = [host(turn, "DRAINING"), host(200 + turn, boot_ms=1e12 + turn)]
-        told = known.note(list_from(listing(*changed, rev=42 + turn, whole=False)))[0]
+        told = known.apply_list(list_from(listing(*changed, rev=42 + turn, whole=False)))[0]
         sums = [
             f"outcomes locality={zones[0]} endpoint={name(f'h{n:03}')} total=9 errors={n % 4} "
             f"rtt={40 + n} interval=1000"
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -375,7 +375,7 @@
             1
         ].address = stage.service.configuration.discovery  # it answers without an end
         for host in (0, 1, 2, 2):
-            prober.probe(host)
+            prober.check(host)
         assert (
             len(prober.busy) == 1
             and len(prober.waiting) == 2
