--- a/plankroute/controller/controller.py
+++ b/plankroute/controller/controller.py
@@ -94,7 +94,7 @@
             self.scheduler.put(part, Tick.CHANGED)
         return Tick.CHANGED
 
-    def learned(self) -> list[events.HostPriorKnowledge]:
+    def prior_knowledge(self) -> list[events.HostPriorKnowledge]:
         """What this steward has found out by itself of the hosts listed ready; not what it was told."""
         host_table, out = self.host_table, list[events.HostPriorKnowledge]()
         for host, i in host_table.index_of.items():
--- a/plankroute/controller/message_builder.py
+++ b/plankroute/controller/message_builder.py
@@ -7,37 +7,11 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
+from plankroute.controller.messages import AdmissionLimit, Message, TableUpdate
 from plankroute.events import commands, events
 from plankroute.events.commands import ALL_TABLES
 from plankroute.events.events import HostState
 
-Level = tuple[float, commands.RetryPolicy]
-
-
-@dataclass(slots=True)
-class TableUpdate:
-    """Lines and a level for some products; `whole`: the lines replace the table and its levels."""
-
-    products: tuple[int, ...]
-    whole: bool = False
-    lines: dict[int, float] = field(default_factory=dict)
-    level: Level | None = None
-
-
-@dataclass(slots=True)
-class Message:
-    """What one proxy is sent in one batch; `held`: by host, whether it is held back from now on."""
-
-    proxy: int
-    parts: list[TableUpdate]
-    withdrawn: dict[int, bool]
-    mark: int | None
-
-    def cost(self) -> int:
-        """Lines that the channel counts for it, its head left out."""
-        parts = sum(part.whole + len(part.lines) + (part.level is not None) for part in self.parts)
-        return parts + len(self.withdrawn) + (self.mark is not None)
-
 
 @dataclass(slots=True)
 class Draft:
@@ -45,7 +19,7 @@
 
     whole: set[int] = field(default_factory=set)
     lines: dict[int, dict[int, float]] = field(default_factory=dict)
-    levels: dict[int, Level] = field(default_factory=dict)
+    levels: dict[int, AdmissionLimit] = field(default_factory=dict)
 
     def copy(self) -> "Draft":
         return Draft(
@@ -54,7 +28,7 @@
             dict(self.levels),
         )
 
-    def replace(self, product: int, lines: dict[int, float], level: Level | None) -> None:
+    def replace(self, product: int, lines: dict[int, float], level: AdmissionLimit | None) -> None:
         self.whole.add(product)
         self.lines[product] = dict(lines)
         self.levels.pop(product, None)
@@ -79,11 +53,11 @@
             level = levels.pop() if len(levels) == 1 else None
             said.update(products if level else ())
             parts.append(TableUpdate(tuple(products), whole, dict(lines), level))
-        alone: dict[Level, list[int]] = {}
+        alone: dict[AdmissionLimit, list[int]] = {}
         for product in sorted(self.levels.keys() - said):
             alone.setdefault(self.levels[product], []).append(product)
         return parts + [
-            TableUpdate(tuple(products), level=level) for level, products in alone.items()
+            TableUpdate(tuple(products), admission_limit=level) for level, products in alone.items()
         ]
 
 
@@ -91,7 +65,7 @@
 
 
 @dataclass(slots=True)
-class Stream:
+class ProxyStream:
     """A joined proxy. `told`: by host, what it was told on this stream; nothing else is certain.
 
     A proxy keeps hosts held back across streams: one that was not fresh may still hold back any host that
@@ -100,7 +74,7 @@
 
     fresh: bool
     tables: Tables
-    told: dict[int, bool] = field(default_factory=dict)
+    notified: dict[int, bool] = field(default_factory=dict)
 
 
 class MessageBuilder:
@@ -112,27 +86,27 @@
 
     def __init__(self, products: int) -> None:
         self.products = range(products)
-        self.streams: dict[int, Stream] = {}
+        self.streams: dict[int, ProxyStream] = {}
         self.groups: dict[Tables, dict[int, None]] = {}  # proxies by the tables that they are on
         self.tables: dict[int, dict[int, float]] = {}
-        self.levels: dict[tuple[int | None, int], Level] = {}
-        self.held_back, self.once_held = set[int](), set[int]()
+        self.levels: dict[tuple[int | None, int], AdmissionLimit] = {}
+        self.withdrawn_hosts, self.ever_withdrawn = set[int](), set[int]()
         # Of the batch: drafts by tables and by proxy, hosts held back by proxy, who is written to, in order
         self.shared: dict[Tables, Draft] = {}
         self.own: dict[int, Draft] = {}
         self.withdrawn: dict[int, dict[int, bool]] = {}
         self.concerned: dict[int, None] = {}
 
-    def hear(self, event: events.Event) -> None:
+    def observe(self, event: events.Event) -> None:
         match event:
             case events.ProxyJoined():
                 self.leave(event.proxy)
-                self.streams[event.proxy] = Stream(event.fresh, (None,) * len(self.products))
+                self.streams[event.proxy] = ProxyStream(event.fresh, (None,) * len(self.products))
                 self.group(event.proxy)
             case events.ProxyLeft():
                 self.leave(event.proxy)
             case events.HostList():
-                self.once_held.update(
+                self.ever_withdrawn.update(
                     entry.host
                     for entry in event.entries
                     if entry.state is not HostState.READY or entry.started_us
@@ -152,12 +126,12 @@
 
     def forget(self, host: int) -> None:
         """Nobody is told of it any more; who was told to hold it back is no longer certain of anything."""
-        self.held_back.discard(host)
-        self.once_held.discard(host)
+        self.withdrawn_hosts.discard(host)
+        self.ever_withdrawn.discard(host)
         for stream in self.streams.values():
-            stream.fresh = not stream.told.pop(host, False) and stream.fresh
+            stream.fresh = not stream.notified.pop(host, False) and stream.fresh
 
-    def play(self, batch: Iterable[commands.Command]) -> list[Message]:
+    def build(self, batch: Iterable[commands.Command]) -> list[Message]:
         self.shared, self.own, self.withdrawn, self.concerned, mark = {}, {}, {}, {}, None
         for command in batch:
             match command:
@@ -247,32 +221,34 @@
 
     def agree(self, proxy: int, host: int) -> None:
         """A bound proxy follows this steward's word alone on the hosts of its tables."""
-        stream, want = self.streams[proxy], host in self.held_back
-        unsure = not stream.fresh and host in self.once_held
-        if want != stream.told.get(host, not want if unsure else False):
+        stream, want = self.streams[proxy], host in self.withdrawn_hosts
+        unsure = not stream.fresh and host in self.ever_withdrawn
+        if want != stream.notified.get(host, not want if unsure else False):
             self.tell(proxy, host, want)
 
     def tell(self, proxy: int, host: int, out: bool) -> None:
-        self.streams[proxy].told[host] = out
+        self.streams[proxy].notified[host] = out
         self.withdrawn.setdefault(proxy, {})[host] = out
         self.concerned[proxy] = None
 
     def withdraw(self, command: commands.WithdrawHost) -> None:
-        self.once_held.add(command.host)
-        (self.held_back.add if command.withdrawn else self.held_back.discard)(command.host)
+        self.ever_withdrawn.add(command.host)
+        (self.withdrawn_hosts.add if command.withdrawn else self.withdrawn_hosts.discard)(
+            command.host
+        )
         for tables, proxies in self.groups.items():
             # Those on tables not known may send there too.
             if None in tables or any(
                 command.host in self.tables.get(table, {}) for table in tables
             ):
                 for proxy in proxies:
-                    if self.streams[proxy].told.get(command.host) is not command.withdrawn:
+                    if self.streams[proxy].notified.get(command.host) is not command.withdrawn:
                         self.tell(proxy, command.host, command.withdrawn)
 
     def set_level(self, command: commands.SetAdmissionLimit) -> None:
         products = self.products if command.products is None else command.products
         for product in products:
-            self.levels[command.table, product] = command.limit, command.retry
+            self.levels[command.table, product] = AdmissionLimit(command.limit, command.retry)
         if command.table is ALL_TABLES:
             self.concerned |= dict.fromkeys(self.streams)
             return
@@ -281,10 +257,10 @@
                 if level := self.level(command.table, product):
                     draft.levels[product] = level
 
-    def level(self, table: int | None, product: int) -> Level | None:
+    def level(self, table: int | None, product: int) -> AdmissionLimit | None:
         """Where a level is set for the table and for all, the lower holds, and the table's own retry."""
         own, common = self.levels.get((table, product)), self.levels.get((ALL_TABLES, product))
-        return (min(own[0], common[0]), own[1]) if own and common else own or common
+        return AdmissionLimit(min(own[0], common[0]), own[1]) if own and common else own or common
 
     def clear(self, table: int) -> None:
         self.tables[table] = {}
--- a/plankroute/net/peers/warm_start.py
+++ b/plankroute/net/peers/warm_start.py
@@ -233,7 +233,7 @@
     def view(self) -> View:
         """What is known now; figures alone, so that a thread may write them down."""
         hosts, own = self.directory.hosts, []
-        for told in self.controller.learned():
+        for told in self.controller.prior_knowledge():
             known = hosts[told.host]
             own.append(
                 HostFacts(
--- a/plankroute/net/process/router.py
+++ b/plankroute/net/process/router.py
@@ -4,7 +4,8 @@
 from collections.abc import Callable
 
 from plankroute.controller.controller import Controller
-from plankroute.controller.message_builder import Message, MessageBuilder
+from plankroute.controller.message_builder import MessageBuilder
+from plankroute.controller.messages import Message
 from plankroute.events import commands, events
 from plankroute.net.process.clock import Clock, Timers
 from plankroute.net.process.telemetry import Telemetry
@@ -71,10 +72,10 @@
         self.telemetry.count("core.notes", len(batch))
         try:
             for event in batch:
-                self.message_builder.hear(event)
+                self.message_builder.observe(event)
             decided = self.controller.deliver(now, batch)
             self.carry_out(now, decided)
-            for message in self.message_builder.play(decided):
+            for message in self.message_builder.build(decided):
                 self.send(message)
             for command in decided:
                 if isinstance(
--- a/plankroute/net/proxies/line_codec.py
+++ b/plankroute/net/proxies/line_codec.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable, Iterable, Iterator
 from dataclasses import dataclass
 
-from plankroute.controller.message_builder import Message, TableUpdate
+from plankroute.controller.messages import Message, TableUpdate
 from plankroute.events.events import LoadReport
 from plankroute.events.settings import REPORT_FIELDS as SETTINGS_FIELDS
 from plankroute.events.settings import load_report, microseconds
@@ -197,15 +197,15 @@
 
     def write(self, message: Message) -> bytes:
         """Hosts held back, and the mark, are the proxy's own; they go with the last part."""
-        if message.parts is not self.parts:
-            self.parts = message.parts
-            self.before, self.last = self.text(message.parts)
+        if message.updates is not self.parts:
+            self.parts = message.updates
+            self.before, self.last = self.text(message.updates)
         words = [self.last]
         for name, out in (("drop", True), ("undrop", False)):
             if hosts := [self.uid(host) for host, held in message.withdrawn.items() if held is out]:
                 words.append(f"{name}={','.join(hosts)}")
-        if message.mark is not None:
-            words.append(f"stamp={message.mark}")
+        if message.sequence_number is not None:
+            words.append(f"stamp={message.sequence_number}")
         return f"{self.before}{' '.join(words)}\r\n".encode("ascii")
 
     def text(self, parts: list[TableUpdate]) -> tuple[str, str]:
@@ -219,25 +219,30 @@
 
     def part(self, part: TableUpdate) -> list[str]:
         words = []
-        if len(part.products) < len(self.products):
-            words.append("for=" + "+".join(self.products[place] for place in part.products))
-        if part.whole:
+        if len(part.request_classes) < len(self.products):
+            words.append("for=" + "+".join(self.products[place] for place in part.request_classes))
+        if part.complete:
             words.append("replace=1")
-        if part.lines:
+        if part.routes:
             words.append(
                 "rows="
-                + ",".join(f"{self.uid(host)}:{weight:.9g}" for host, weight in part.lines.items())
+                + ",".join(f"{self.uid(host)}:{weight:.9g}" for host, weight in part.routes.items())
             )
-        if part.level:
-            words += [f"gate={part.level[0]:.9g}", f"again={int(part.level[1])}"]
+        if part.admission_limit:
+            words += [
+                f"gate={part.admission_limit.limit:.9g}",
+                f"again={int(part.admission_limit.retry)}",
+            ]
         return words
 
 
 def chunks(part: TableUpdate) -> Iterator[TableUpdate]:
-    lines = list(part.lines.items())
-    yield TableUpdate(part.products, part.whole, dict(lines[:ROWS_A_PART]), part.level)
+    lines = list(part.routes.items())
+    yield TableUpdate(
+        part.request_classes, part.complete, dict(lines[:ROWS_A_PART]), part.admission_limit
+    )
     for at in range(ROWS_A_PART, len(lines), ROWS_A_PART):
-        yield TableUpdate(part.products, False, dict(lines[at : at + ROWS_A_PART]))
+        yield TableUpdate(part.request_classes, False, dict(lines[at : at + ROWS_A_PART]))
 
 
 def read_report(body: bytes) -> LoadReport | None:
--- a/plankroute/net/proxies/sender.py
+++ b/plankroute/net/proxies/sender.py
@@ -1,6 +1,6 @@
 """Send: messages become bytes on their proxy's stream."""
 
-from plankroute.controller.message_builder import Message
+from plankroute.controller.messages import Message
 from plankroute.net.process.telemetry import Telemetry
 from plankroute.net.proxies.line_codec import Writer
 from plankroute.net.proxies.sessions import Streams
@@ -24,8 +24,8 @@
             )
             peer.outlet.reset()
             return
-        if message.mark is not None:
-            peer.expect(message.mark)
+        if message.sequence_number is not None:
+            peer.expect(message.sequence_number)
         self.telemetry.count("sent.messages")
-        self.telemetry.count("sent.lines", message.cost())
+        self.telemetry.count("sent.lines", message.line_count())
         self.telemetry.count("sent.bytes", len(data))
--- a/tests/test_learned.py
+++ b/tests/test_learned.py
@@ -475,9 +475,9 @@
 
 def test_what_is_told_on_was_found_out_first_hand():
     bench = started(learned(103, True), learned(104, False, 0.5))
-    assert not [told for told in bench.controller.learned()]
+    assert not [told for told in bench.controller.prior_knowledge()]
     feed(bench, 3, failed=lambda host: 8 * (host == 105), skip=(103,))
-    told = {one.host: one for one in bench.controller.learned()}
+    told = {one.host: one for one in bench.controller.prior_knowledge()}
     assert 103 not in told and told[105].failed > 3 and told[104].weight > 0
 
 
--- a/tests/test_messages.py
+++ b/tests/test_messages.py
@@ -5,7 +5,8 @@
 import pytest
 from support.controller_model import DRAINING, entry, full
 
-from plankroute.controller.message_builder import Message, MessageBuilder, TableUpdate
+from plankroute.controller.message_builder import MessageBuilder
+from plankroute.controller.messages import Message, TableUpdate
 from plankroute.events import commands, events
 from plankroute.events.commands import RetryPolicy
 from plankroute.net.proxies.line_codec import MOST_PARTS, ROWS_A_PART, Writer
@@ -107,21 +108,21 @@
         )
 
     def join(self, number: int, proxy: Proxy, fresh: bool) -> None:
-        self.message_builder.hear(joined(number, fresh))
+        self.message_builder.observe(joined(number, fresh))
         self.replay.bound[number] = {}
         if fresh:
             proxy.shut.clear()
 
     def leave(self, number: int) -> None:
-        self.message_builder.hear(events.ProxyLeft(number))
+        self.message_builder.observe(events.ProxyLeft(number))
         del self.replay.bound[number]
 
     def order(self, batch: list[commands.Command], proxies: dict[int, Proxy]) -> list[Message]:
         for order in batch:
             self.replay.obey(order)
-        messages = self.message_builder.play(batch)
+        messages = self.message_builder.build(batch)
         for message in messages:
-            assert proxies[message.proxy].read(self.writer.write(message)) == message.cost()
+            assert proxies[message.proxy].read(self.writer.write(message)) == message.line_count()
         for number, bound in self.replay.bound.items():
             for product in bound:
                 wanted = {
@@ -174,7 +175,7 @@
         if roll < 0.1 and len(drained) < 6:
             drained.append(chance.randrange(8))
             for side in sides:
-                side.message_builder.hear(full(entry(drained[-1], DRAINING)))
+                side.message_builder.observe(full(entry(drained[-1], DRAINING)))
         elif roll < 0.3:
             if old := at[number]:
                 old.leave(number)
@@ -186,9 +187,9 @@
 
 def messages_for(*batch: commands.Command, fresh: bool = True) -> list[Message]:
     message_builder = MessageBuilder(len(PRODUCTS))
-    message_builder.hear(joined(0, fresh))
-    message_builder.hear(joined(1, fresh))
-    return message_builder.play(batch)
+    message_builder.observe(joined(0, fresh))
+    message_builder.observe(joined(1, fresh))
+    return message_builder.build(batch)
 
 
 def test_a_bind_is_a_whole_table_with_its_level_hosts_held_back_and_mark():
@@ -203,7 +204,7 @@
         b"push replace=1 rows=s-00000007:3,s-00000008:1.5 gate=1 again=1 stamp=905\r\n"
     )
     assert (
-        message.cost() == 5
+        message.line_count() == 5
     )  # the bind's line, two lines, a level and the mark, as the wire counts
 
 
@@ -211,7 +212,7 @@
     batch = [commands.BindProxy(0, 1), commands.SetRoute(0, 7, 3.0)]
     assert [m.proxy for m in messages_for(*batch, commands.RequestAcknowledgement(1))] == [1]
     assert {
-        m.proxy: m.mark
+        m.proxy: m.sequence_number
         for m in messages_for(*batch, commands.RequestAcknowledgement(1, all_proxies=True))
     } == {
         0: 1,
@@ -222,8 +223,8 @@
 def test_a_host_is_held_back_only_where_its_lines_are_or_may_be():
     message_builder = MessageBuilder(1)
     for proxy in (0, 1, 2):
-        message_builder.hear(joined(proxy))
-    message_builder.play(
+        message_builder.observe(joined(proxy))
+    message_builder.build(
         [
             commands.SetRoute(0, 7, 1.0),
             commands.SetRoute(1, 8, 1.0),
@@ -231,20 +232,20 @@
             commands.BindProxy(1, 1),
         ]
     )
-    assert {m.proxy for m in message_builder.play([commands.WithdrawHost(7, True)])} == {0, 2}
+    assert {m.proxy for m in message_builder.build([commands.WithdrawHost(7, True)])} == {0, 2}
 
 
 def test_a_host_let_back_while_out_of_the_table_is_let_back_with_its_next_line():
     """Guards against a host that stays shut out for good: the proxy keeps what it was told."""
     message_builder = MessageBuilder(1)
-    message_builder.hear(joined(0))
-    message_builder.play(
+    message_builder.observe(joined(0))
+    message_builder.build(
         [commands.SetRoute(0, 7, 1.0), commands.SetRoute(0, 8, 1.0), commands.BindProxy(0, 0)]
     )
-    message_builder.play([commands.WithdrawHost(7, True), commands.SetRoute(0, 7, 0.0)])
-    assert message_builder.play([commands.WithdrawHost(7, False)]) == []
-    (message,) = message_builder.play([commands.SetRoute(0, 7, 2.0)])
-    assert message.withdrawn == {7: False} and message.parts[0].lines == {7: 2.0}
+    message_builder.build([commands.WithdrawHost(7, True), commands.SetRoute(0, 7, 0.0)])
+    assert message_builder.build([commands.WithdrawHost(7, False)]) == []
+    (message,) = message_builder.build([commands.SetRoute(0, 7, 2.0)])
+    assert message.withdrawn == {7: False} and message.updates[0].routes == {7: 2.0}
 
 
 def test_what_does_not_fit_one_message_goes_on_in_parts():
@@ -255,7 +256,7 @@
     assert proxy.read(data) == len(lines) + 2
     assert len(proxy.rows["edit"]) == len(lines) and proxy.messages == 1
     many = Message(
-        0, [TableUpdate((0,), lines={host: 1.0}) for host in range(MOST_PARTS + 1)], {}, 6
+        0, [TableUpdate((0,), routes={host: 1.0}) for host in range(MOST_PARTS + 1)], {}, 6
     )
     proxy.read(Writer(PRODUCTS, uid).write(many))
     assert proxy.messages == 3 and len(proxy.rows["view"]) == len(lines)
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -562,7 +562,7 @@
         now += SECOND
         changed = [member(f"s-{n}", "DRAINING"), member(f"s-{n + 12}", boot_ms=now / 1000)]
         changed += [member(f"s-{n - 3}", "DELETED")] * (n > 2)
-        gone, last = n % 4, max([message.mark for message in sent], default=0)
+        gone, last = n % 4, max([message.sequence_number for message in sent], default=0)
         sent.clear()
         work(
             known.note(list_from(listing(*changed, rev=42 + n, whole=False)))[0],
@@ -584,10 +584,10 @@
                     publisher.withdrawn,
                     publisher.tables[0].published,
                     publisher.channel.sent,
-                    message_builder.once_held,
-                    message_builder.held_back,
+                    message_builder.ever_withdrawn,
+                    message_builder.withdrawn_hosts,
                     message_builder.tables[0],
-                    *[stream.told for stream in message_builder.streams.values()],
+                    *[stream.notified for stream in message_builder.streams.values()],
                 )
             ]
         )
@@ -599,18 +599,18 @@
 def test_a_host_of_an_old_name_is_a_new_one():
     known, message_builder = named("s-1", "s-2"), MessageBuilder(1)
     for proxy in (0, 1):
-        message_builder.hear(events.ProxyJoined(proxy, 0, 9.0, True))
-    message_builder.play(
+        message_builder.observe(events.ProxyJoined(proxy, 0, 9.0, True))
+    message_builder.build(
         [commands.SetRoute(0, 1, 1.0), commands.BindProxy(0, 0), commands.WithdrawHost(0, True)]
     )
     known.forget(0)
     message_builder.forget(0)
     listed, refused = known.note(list_from(listing(member("s-1", boot_ms=5), rev=42, whole=False)))
-    message_builder.hear(listed)
+    message_builder.observe(listed)
     assert [each.host for each in listed.entries] == [2] and not refused and known.uid(2) == "s-1"
     told = {
         m.proxy: m.withdrawn
-        for m in message_builder.play([commands.SetRoute(0, 2, 1.0), commands.BindProxy(0, 1)])
+        for m in message_builder.build([commands.SetRoute(0, 2, 1.0), commands.BindProxy(0, 1)])
     }
     assert told == {0: {}, 1: {2: False}}  # proxy 1 may hold it back yet
     listed, refused = known.note(list_from(listing(member("s-9", "DELETED"), rev=43, whole=False)))
@@ -631,8 +631,8 @@
 
     def send(message) -> None:
         over.append(
-            channel.sent[message.mark][message.proxy]
-            - message.cost()
+            channel.sent[message.sequence_number][message.proxy]
+            - message.line_count()
             - facts.message_overhead_lines
         )
 
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -316,7 +316,7 @@
 
     async def scene(stage: Stage) -> None:
         router = stage.service.router
-        for part, name in ((router.controller, "deliver"), (router.message_builder, "play")):
+        for part, name in ((router.controller, "deliver"), (router.message_builder, "build")):
             works = getattr(part, name)
             monkeypatch.setattr(part, name, lambda *_: 1 // 0)
             proxy = await stage.dial(HELLO)
