--- a/plankroute/controller/message_builder.py
+++ b/plankroute/controller/message_builder.py
@@ -1,270 +1,294 @@
-"""Plays a batch's orders into one message a proxy, as the wire's page says; it judges nothing.
+"""Turns the commands of a batch into one message for each proxy concerned; decides nothing.
 
-A proxy knows only what reached it on its stream; tables, levels and hosts held back are kept here as ordered,
-so that a proxy that is bound gets the whole of them and the others get what changes.
+A proxy knows only what reached it on its stream. So tables, admission limits and withdrawn hosts
+are kept here as last commanded: a proxy that is bound gets all of them, the others what changes.
 """
 
-from collections.abc import Iterable
+from collections.abc import Iterable, Sequence
 from dataclasses import dataclass, field
 
 from plankroute.controller.messages import AdmissionLimit, Message, TableUpdate
+from plankroute.controller.table_draft import TableDraft
 from plankroute.events import commands, events
 from plankroute.events.commands import ALL_TABLES
 from plankroute.events.events import HostState
 
-
-@dataclass(slots=True)
-class Draft:
-    """A message while orders are played: by product, as later orders overtake earlier ones."""
-
-    whole: set[int] = field(default_factory=set)
-    lines: dict[int, dict[int, float]] = field(default_factory=dict)
-    levels: dict[int, AdmissionLimit] = field(default_factory=dict)
-
-    def copy(self) -> "Draft":
-        return Draft(
-            set(self.whole),
-            {product: dict(lines) for product, lines in self.lines.items()},
-            dict(self.levels),
-        )
-
-    def replace(self, product: int, lines: dict[int, float], level: AdmissionLimit | None) -> None:
-        self.whole.add(product)
-        self.lines[product] = dict(lines)
-        self.levels.pop(product, None)
-        if level:
-            self.levels[product] = level
-
-    def set_line(self, product: int, host: int, weight: float) -> None:
-        lines = self.lines.setdefault(product, {})
-        lines[host] = weight
-        if not weight and product in self.whole:
-            del lines[host]
-
-    def parts(self) -> list[TableUpdate]:
-        """Products with the same lines share a part; levels that differ within it have parts of their own."""
-        shared: dict[tuple, list[int]] = {}
-        for product in sorted(self.whole | self.lines.keys()):
-            key = (product in self.whole, tuple(self.lines.get(product, {}).items()))
-            shared.setdefault(key, []).append(product)
-        parts, said = [], set[int]()
-        for (whole, lines), products in shared.items():
-            levels = {self.levels.get(product) for product in products}
-            level = levels.pop() if len(levels) == 1 else None
-            said.update(products if level else ())
-            parts.append(TableUpdate(tuple(products), whole, dict(lines), level))
-        alone: dict[AdmissionLimit, list[int]] = {}
-        for product in sorted(self.levels.keys() - said):
-            alone.setdefault(self.levels[product], []).append(product)
-        return parts + [
-            TableUpdate(tuple(products), admission_limit=level) for level, products in alone.items()
-        ]
-
-
-Tables = tuple[int | None, ...]  # by product; None: on a table that is not known
+TablesInUse = tuple[int | None, ...]
+"""The table that a proxy uses for each request class; None: a table unknown to this controller."""
 
 
 @dataclass(slots=True)
 class ProxyStream:
-    """A joined proxy. `told`: by host, what it was told on this stream; nothing else is certain.
+    """What one joined proxy was sent on its present stream.
 
-    A proxy keeps hosts held back across streams: one that was not fresh may still hold back any host that
-    this or another steward ever had reason to hold back.
+    A proxy keeps hosts withdrawn across streams: one that did not start afresh may still keep out
+    of use any host that this or another controller ever had reason to withdraw.
+
+    Attributes:
+        fresh: The proxy holds nothing of earlier streams.
+        tables: The tables that it uses.
+        notified: By host, whether it was told that the host is withdrawn (True) or may be used
+            again (False); nothing is certain of hosts that are not in it.
     """
 
     fresh: bool
-    tables: Tables
+    tables: TablesInUse
     notified: dict[int, bool] = field(default_factory=dict)
 
 
 class MessageBuilder:
-    """Tables, levels and hosts held back as ordered, and what each joined proxy has of them.
+    """Tables, admission limits and withdrawn hosts, and what each joined proxy has of them.
+
+    Proxies that use the same tables share one draft, so that a command that concerns hundreds of
+    them is applied, and encoded, once. A proxy bound in a batch has a draft of its own in it.
 
-    Proxies on the same tables share one draft, so that a line ordered for hundreds is played, and written,
-    once; those that are bound in a batch have drafts of their own in it.
+    Attributes:
+        streams: The joined proxies.
+        tables: By table, weight by host.
+        withdrawn_hosts: Hosts that are withdrawn now.
+        ever_withdrawn: Hosts that any controller ever had reason to withdraw.
     """
 
-    def __init__(self, products: int) -> None:
-        self.products = range(products)
+    def __init__(self, request_class_count: int) -> None:
+        """Starts with no proxy, no table and no limit."""
+        self.request_classes = range(request_class_count)
         self.streams: dict[int, ProxyStream] = {}
-        self.groups: dict[Tables, dict[int, None]] = {}  # proxies by the tables that they are on
         self.tables: dict[int, dict[int, float]] = {}
-        self.levels: dict[tuple[int | None, int], AdmissionLimit] = {}
-        self.withdrawn_hosts, self.ever_withdrawn = set[int](), set[int]()
-        # Of the batch: drafts by tables and by proxy, hosts held back by proxy, who is written to, in order
-        self.shared: dict[Tables, Draft] = {}
-        self.own: dict[int, Draft] = {}
-        self.withdrawn: dict[int, dict[int, bool]] = {}
-        self.concerned: dict[int, None] = {}
+        self.withdrawn_hosts: set[int] = set()
+        self.ever_withdrawn: set[int] = set()
+        self._limits: dict[tuple[int | None, int], AdmissionLimit] = {}  # by table, request class
+        self._groups: dict[TablesInUse, dict[int, None]] = {}  # proxies that use the same tables
+        self._start_batch()
+
+    def _start_batch(self) -> None:
+        self._group_drafts: dict[TablesInUse, TableDraft] = {}
+        self._proxy_drafts: dict[int, TableDraft] = {}
+        self._withdrawals: dict[int, dict[int, bool]] = {}  # by proxy, as in Message.withdrawn
+        self._recipients: dict[int, None] = {}  # in the order in which commands concern them
 
     def observe(self, event: events.Event) -> None:
+        """Takes in which proxies are joined and which hosts were ever other than ready and warm."""
         match event:
             case events.ProxyJoined():
-                self.leave(event.proxy)
-                self.streams[event.proxy] = ProxyStream(event.fresh, (None,) * len(self.products))
-                self.group(event.proxy)
+                self._remove_stream(event.proxy)
+                no_known_tables = (None,) * len(self.request_classes)
+                self.streams[event.proxy] = ProxyStream(event.fresh, no_known_tables)
+                self._add_to_group(event.proxy)
             case events.ProxyLeft():
-                self.leave(event.proxy)
+                self._remove_stream(event.proxy)
             case events.HostList():
-                self.ever_withdrawn.update(
-                    entry.host
-                    for entry in event.entries
-                    if entry.state is not HostState.READY or entry.started_us
-                )
-
-    def group(self, proxy: int) -> None:
-        self.groups.setdefault(self.streams[proxy].tables, {})[proxy] = None
-
-    def leave(self, proxy: int) -> None:
-        if stream := self.streams.pop(proxy, None):
-            self.ungroup(proxy, stream.tables)
-
-    def ungroup(self, proxy: int, tables: Tables) -> None:
-        del self.groups[tables][proxy]
-        if not self.groups[tables]:
-            del self.groups[tables]
+                for entry in event.entries:
+                    if entry.state is not HostState.READY or entry.started_us:
+                        self.ever_withdrawn.add(entry.host)
 
     def forget(self, host: int) -> None:
-        """Nobody is told of it any more; who was told to hold it back is no longer certain of anything."""
+        """Drops all that is kept of a host whose id is about to be used for another.
+
+        Of a proxy that was told to keep it out of use, nothing is certain from then on.
+        """
         self.withdrawn_hosts.discard(host)
         self.ever_withdrawn.discard(host)
         for stream in self.streams.values():
-            stream.fresh = not stream.notified.pop(host, False) and stream.fresh
+            was_withdrawn = stream.notified.pop(host, False)
+            if was_withdrawn:
+                stream.fresh = False
 
     def build(self, batch: Iterable[commands.Command]) -> list[Message]:
-        self.shared, self.own, self.withdrawn, self.concerned, mark = {}, {}, {}, {}, None
+        """Applies the commands in their order and returns a message for each proxy concerned."""
+        self._start_batch()
+        acknowledgement: commands.RequestAcknowledgement | None = None
         for command in batch:
             match command:
                 case commands.SetRoute():
-                    self.set_line(command)
+                    self._set_route(command)
                 case commands.BindProxy():
-                    self.bind(command)
+                    self._bind_proxy(command)
                 case commands.WithdrawHost():
-                    self.withdraw(command)
+                    self._withdraw_host(command)
                 case commands.SetAdmissionLimit():
-                    self.set_level(command)
+                    self._set_admission_limit(command)
                 case commands.ClearTable():
-                    self.clear(command.table)
+                    self._clear_table(command.table)
                 case commands.RequestAcknowledgement():
-                    mark = command
-        if mark and mark.all_proxies:
-            self.concerned |= dict.fromkeys(self.streams)
-        return self.messages(mark.sequence_number if mark else None)
-
-    def messages(self, mark: int | None) -> list[Message]:
-        """Proxies with the same parts hold the very same list of them: it is written once."""
-        parts: dict[Tables, list[TableUpdate]] = {}
-        out = []
-        for proxy in self.concerned:
+                    acknowledgement = command
+        if acknowledgement is None:
+            return self._messages(None)
+        if acknowledgement.all_proxies:
+            self._recipients |= dict.fromkeys(self.streams)
+        return self._messages(acknowledgement.sequence_number)
+
+    def _messages(self, sequence_number: int | None) -> list[Message]:
+        """Proxies with the same updates hold the very same list of them: it is encoded once."""
+        group_updates: dict[TablesInUse, list[TableUpdate]] = {}
+        messages: list[Message] = []
+        for proxy in self._recipients:
+            tables = self.streams[proxy].tables
+            if proxy in self._proxy_drafts:
+                updates = self._updates(tables, self._proxy_drafts[proxy])
+            elif tables in group_updates:
+                updates = group_updates[tables]
+            else:
+                draft = self._group_drafts.get(tables, TableDraft())
+                updates = self._updates(tables, draft)
+                group_updates[tables] = updates
+            withdrawn = self._withdrawals.get(proxy, {})
+            messages.append(Message(proxy, updates, withdrawn, sequence_number))
+        return messages
+
+    def _updates(self, tables: TablesInUse, draft: TableDraft) -> list[TableUpdate]:
+        """The draft's updates; a limit for all tables goes with every message."""
+        for request_class, table in zip(self.request_classes, tables, strict=True):
+            if (ALL_TABLES, request_class) in self._limits:
+                limit = self._effective_limit(table, request_class)
+                if limit is not None:
+                    draft.limits[request_class] = limit
+        return draft.updates()
+
+    # Groups of proxies and their drafts
+
+    def _add_to_group(self, proxy: int) -> None:
+        self._groups.setdefault(self.streams[proxy].tables, {})[proxy] = None
+
+    def _remove_from_group(self, proxy: int, tables: TablesInUse) -> None:
+        del self._groups[tables][proxy]
+        if not self._groups[tables]:
+            del self._groups[tables]
+
+    def _remove_stream(self, proxy: int) -> None:
+        stream = self.streams.pop(proxy, None)
+        if stream is not None:
+            self._remove_from_group(proxy, stream.tables)
+
+    def _drafts_using(self, table: int) -> list[tuple[TableDraft, list[int]]]:
+        """Drafts for all proxies that use the table, each with the request classes that do."""
+        drafts: list[tuple[TableDraft, list[int]]] = []
+        for tables, proxies in self._groups.items():
+            if table not in tables:
+                continue
+            if tables not in self._group_drafts:
+                self._group_drafts[tables] = TableDraft()
+                self._recipients |= proxies
+            drafts.append((self._group_drafts[tables], _classes_on(table, tables)))
+        for proxy, draft in self._proxy_drafts.items():
             tables = self.streams[proxy].tables
-            if proxy in self.own:
-                said = self.with_common(tables, self.own[proxy]).parts()
-            elif (said := parts.get(tables)) is None:
-                said = parts[tables] = self.with_common(
-                    tables, self.shared.get(tables, Draft())
-                ).parts()
-            out.append(Message(proxy, said, self.withdrawn.get(proxy, {}), mark))
-        return out
-
-    def with_common(self, tables: Tables, draft: Draft) -> Draft:
-        """Levels for all tables go with every message."""
-        for product, table in zip(self.products, tables):
-            if (ALL_TABLES, product) in self.levels and (level := self.level(table, product)):
-                draft.levels[product] = level
-        return draft
-
-    def drafts(self, table: int) -> Iterable[tuple[Draft, list[int]]]:
-        """Of all proxies on the table, each with the products for which they are."""
-        for tables, proxies in self.groups.items():
             if table in tables:
-                if tables not in self.shared:
-                    self.shared[tables] = Draft()
-                    self.concerned |= proxies
-                yield self.shared[tables], self.products_on(table, tables)
-        for proxy, draft in self.own.items():
-            if table in (tables := self.streams[proxy].tables):
-                yield draft, self.products_on(table, tables)
-
-    def products_on(self, table: int, tables: Tables) -> list[int]:
-        return [product for product, number in enumerate(tables) if number == table]
-
-    def set_line(self, command: commands.SetRoute) -> None:
-        lines = self.tables.setdefault(command.table, {})
-        lines[command.host] = command.weight
+                drafts.append((draft, _classes_on(table, tables)))
+        return drafts
+
+    # Commands
+
+    def _set_route(self, command: commands.SetRoute) -> None:
+        routes = self.tables.setdefault(command.table, {})
+        if command.weight:
+            routes[command.host] = command.weight
+        else:
+            routes.pop(command.host, None)
+        for draft, request_classes in self._drafts_using(command.table):
+            for request_class in request_classes:
+                draft.set_route(request_class, command.host, command.weight)
         if not command.weight:
-            del lines[command.host]
-        for draft, products in self.drafts(command.table):
-            for product in products:
-                draft.set_line(product, command.host, command.weight)
-        for tables, proxies in self.groups.items() if command.weight else ():
+            return
+        for tables, proxies in self._groups.items():
             if command.table in tables:
                 for proxy in proxies:
-                    self.agree(proxy, command.host)
+                    self._align_withdrawal(proxy, command.host)
 
-    def bind(self, command: commands.BindProxy) -> None:
-        """From here on in this batch its message is its own; what its group was ordered before is in it."""
-        stream, lines = self.streams.get(command.proxy), self.tables.get(command.table, {})
+    def _clear_table(self, table: int) -> None:
+        self.tables[table] = {}
+        self._limits = {key: limit for key, limit in self._limits.items() if key[0] != table}
+        for draft, request_classes in self._drafts_using(table):
+            for request_class in request_classes:
+                limit = self._effective_limit(table, request_class)
+                draft.replace_table(request_class, {}, limit)
+
+    def _bind_proxy(self, command: commands.BindProxy) -> None:
+        """From here on in this batch the proxy has its own draft, which begins as its group's."""
+        stream = self.streams.get(command.proxy)
         if stream is None:
             return
-        before, tables = stream.tables, list(stream.tables)
-        if (draft := self.own.get(command.proxy)) is None:
-            draft = self.own[command.proxy] = self.shared.get(before, Draft()).copy()
-        self.concerned[command.proxy] = None
-        for product in self.products if command.products is None else command.products:
-            tables[product] = command.table
-            draft.replace(product, lines, self.level(command.table, product))
-        self.ungroup(command.proxy, before)
-        stream.tables = tuple(tables)
-        self.group(command.proxy)
-        for host in lines:
-            self.agree(command.proxy, host)
-
-    def agree(self, proxy: int, host: int) -> None:
-        """A bound proxy follows this steward's word alone on the hosts of its tables."""
-        stream, want = self.streams[proxy], host in self.withdrawn_hosts
-        unsure = not stream.fresh and host in self.ever_withdrawn
-        if want != stream.notified.get(host, not want if unsure else False):
-            self.tell(proxy, host, want)
-
-    def tell(self, proxy: int, host: int, out: bool) -> None:
-        self.streams[proxy].notified[host] = out
-        self.withdrawn.setdefault(proxy, {})[host] = out
-        self.concerned[proxy] = None
-
-    def withdraw(self, command: commands.WithdrawHost) -> None:
+        old_tables = stream.tables
+        draft = self._proxy_drafts.get(command.proxy)
+        if draft is None:
+            draft = self._group_drafts.get(old_tables, TableDraft()).copy()
+            self._proxy_drafts[command.proxy] = draft
+        self._recipients[command.proxy] = None
+        routes = self.tables.get(command.table, {})
+        new_tables = list(old_tables)
+        for request_class in self._selected(command.products):
+            new_tables[request_class] = command.table
+            limit = self._effective_limit(command.table, request_class)
+            draft.replace_table(request_class, routes, limit)
+        self._remove_from_group(command.proxy, old_tables)
+        stream.tables = tuple(new_tables)
+        self._add_to_group(command.proxy)
+        for host in routes:
+            self._align_withdrawal(command.proxy, host)
+
+    def _withdraw_host(self, command: commands.WithdrawHost) -> None:
         self.ever_withdrawn.add(command.host)
-        (self.withdrawn_hosts.add if command.withdrawn else self.withdrawn_hosts.discard)(
-            command.host
-        )
-        for tables, proxies in self.groups.items():
-            # Those on tables not known may send there too.
-            if None in tables or any(
-                command.host in self.tables.get(table, {}) for table in tables
-            ):
-                for proxy in proxies:
-                    if self.streams[proxy].notified.get(command.host) is not command.withdrawn:
-                        self.tell(proxy, command.host, command.withdrawn)
-
-    def set_level(self, command: commands.SetAdmissionLimit) -> None:
-        products = self.products if command.products is None else command.products
-        for product in products:
-            self.levels[command.table, product] = AdmissionLimit(command.limit, command.retry)
+        if command.withdrawn:
+            self.withdrawn_hosts.add(command.host)
+        else:
+            self.withdrawn_hosts.discard(command.host)
+        for tables, proxies in self._groups.items():
+            if not self._may_use(tables, command.host):
+                continue
+            for proxy in proxies:
+                if self.streams[proxy].notified.get(command.host) is not command.withdrawn:
+                    self._notify_withdrawal(proxy, command.host, command.withdrawn)
+
+    def _set_admission_limit(self, command: commands.SetAdmissionLimit) -> None:
+        selected = self._selected(command.products)
+        for request_class in selected:
+            limit = AdmissionLimit(command.limit, command.retry)
+            self._limits[command.table, request_class] = limit
         if command.table is ALL_TABLES:
-            self.concerned |= dict.fromkeys(self.streams)
+            self._recipients |= dict.fromkeys(self.streams)
             return
-        for draft, withdrawn in self.drafts(command.table):
-            for product in set(withdrawn).intersection(products):
-                if level := self.level(command.table, product):
-                    draft.levels[product] = level
-
-    def level(self, table: int | None, product: int) -> AdmissionLimit | None:
-        """Where a level is set for the table and for all, the lower holds, and the table's own retry."""
-        own, common = self.levels.get((table, product)), self.levels.get((ALL_TABLES, product))
-        return AdmissionLimit(min(own[0], common[0]), own[1]) if own and common else own or common
-
-    def clear(self, table: int) -> None:
-        self.tables[table] = {}
-        self.levels = {key: level for key, level in self.levels.items() if key[0] != table}
-        for draft, products in self.drafts(table):
-            for product in products:
-                draft.replace(product, {}, self.level(table, product))
+        for draft, request_classes in self._drafts_using(command.table):
+            for request_class in set(request_classes).intersection(selected):
+                effective = self._effective_limit(command.table, request_class)
+                if effective is not None:
+                    draft.limits[request_class] = effective
+
+    # What commands rest on
+
+    def _selected(self, request_classes: tuple[int, ...] | None) -> Sequence[int]:
+        return self.request_classes if request_classes is None else request_classes
+
+    def _effective_limit(self, table: int | None, request_class: int) -> AdmissionLimit | None:
+        """Of a limit for the table and one for all, the lower, with the table's retry policy."""
+        own = self._limits.get((table, request_class))
+        common = self._limits.get((ALL_TABLES, request_class))
+        if own is None:
+            return common
+        if common is None:
+            return own
+        return AdmissionLimit(min(own.limit, common.limit), own.retry)
+
+    def _may_use(self, tables: TablesInUse, host: int) -> bool:
+        """Whether proxies on these tables may send to the host; unknown tables may hold any."""
+        if None in tables:
+            return True
+        return any(host in self.tables.get(table, {}) for table in tables if table is not None)
+
+    def _align_withdrawal(self, proxy: int, host: int) -> None:
+        """Makes a bound proxy follow this controller alone on a host of its tables."""
+        stream = self.streams[proxy]
+        withdrawn = host in self.withdrawn_hosts
+        if host in stream.notified:
+            must_notify = stream.notified[host] != withdrawn
+        else:
+            may_keep_it_out = not stream.fresh and host in self.ever_withdrawn
+            must_notify = withdrawn or may_keep_it_out
+        if must_notify:
+            self._notify_withdrawal(proxy, host, withdrawn)
+
+    def _notify_withdrawal(self, proxy: int, host: int, withdrawn: bool) -> None:
+        self.streams[proxy].notified[host] = withdrawn
+        self._withdrawals.setdefault(proxy, {})[host] = withdrawn
+        self._recipients[proxy] = None
+
+
+def _classes_on(table: int, tables: TablesInUse) -> list[int]:
+    return [request_class for request_class, number in enumerate(tables) if number == table]
