--- a/plankroute/controller/controller.py
+++ b/plankroute/controller/controller.py
@@ -3,7 +3,12 @@
 from plankroute.events import commands, events
 from plankroute.events.events import HostState, ListKind
 from plankroute.events.facts import StartFacts
-from plankroute.policy.decide import ASK_AGAIN_US, Balancer, Host, HostTable, Levels, Publisher
+from plankroute.policy.composition import (
+    LIST_RETRY_DELAY_US,
+    PUBLISHER_PULSE_US,
+    build_policy,
+)
+from plankroute.policy.host import Host
 from plankroute.state.scheduler import Scheduler, Tick
 
 
@@ -13,20 +18,19 @@
     TURN, ASK, PULSE = 1, 2, 3
 
     def __init__(self, facts: StartFacts, seed: int) -> None:
-        self.scheduler, self.host_table, self.hosts = (
-            Scheduler(seed),
-            HostTable(facts),
-            list[Host](),
-        )
-        self.publisher = Publisher(self.scheduler, self.host_table, facts)
-        self.balancer = Balancer(self.scheduler, self.host_table, self.publisher.tables)
-        self.levels = Levels(self.scheduler, self.host_table, facts, self.publisher)
+        self.scheduler = Scheduler(seed)
+        self.policy = build_policy(self.scheduler, facts)
+        self.host_table = self.policy.host_table
+        self.publisher = self.policy.publisher
+        self.balancer = self.policy.weights
+        self.levels = self.policy.admission
+        self.hosts: list[Host] = []
         self.bind_reinstates_hosts = facts.bind_reinstates_hosts
         self.ask = (
             commands.SubscribeHostList(True) if facts.must_subscribe else commands.PollHostList()
         )
         self.scheduler.out.append(commands.SetTimer(self.balancer.first_us, self.TURN))
-        self.scheduler.out.append(commands.SetTimer(Publisher.PULSE_US, self.PULSE))
+        self.scheduler.out.append(commands.SetTimer(PUBLISHER_PULSE_US, self.PULSE))
         self.scheduler.out += [self.ask] * facts.must_subscribe
 
     def deliver(self, clock_us: int, batch: list[events.Event]) -> list[commands.Command]:
@@ -68,7 +72,7 @@
 
     def on_list(self, listed: events.HostList) -> Tick | None:
         if listed.kind is ListKind.FAILED:
-            self.scheduler.out.append(commands.SetTimer(ASK_AGAIN_US, self.ASK))
+            self.scheduler.out.append(commands.SetTimer(LIST_RETRY_DELAY_US, self.ASK))
             return None
         host_table = self.host_table
         entries = {entry.host: entry for entry in listed.entries}
@@ -81,7 +85,7 @@
         for host, entry in entries.items():
             if host not in host_table.index_of:
                 index = host_table.add(entry)
-                self.hosts[index : index + 1] = [Host(self.scheduler, host_table, index)]
+                self.hosts[index : index + 1] = [self.policy.add_host(index)]
             if self.bind_reinstates_hosts and (
                 entry.state is not HostState.READY or entry.started_us
             ):
@@ -135,7 +139,7 @@
         if token == self.ASK:
             self.scheduler.out.append(self.ask)
         elif token == self.PULSE:
-            self.scheduler.out.append(commands.SetTimer(Publisher.PULSE_US, self.PULSE))
+            self.scheduler.out.append(commands.SetTimer(PUBLISHER_PULSE_US, self.PULSE))
             return Tick.CHANGED
         elif token == self.TURN:
             self.scheduler.out.append(commands.SetTimer(self.balancer.pause_us(), self.TURN))
--- a/tests/test_decide.py
+++ b/tests/test_decide.py
@@ -23,7 +23,8 @@
 from plankroute.events import commands, events
 from plankroute.events.events import HealthCheckOutcome, ListKind
 from plankroute.events.facts import AdmissionUnit, PenaltyRates, ReportSource
-from plankroute.policy.decide import Host, Publisher
+from plankroute.policy.host import Host
+from plankroute.policy.publisher import Publisher
 
 
 def test_one_shared_table_binds_each_proxy_once_and_sends_only_changes():
