--- a/plankroute/config/feature_file.py
+++ b/plankroute/config/feature_file.py
@@ -101,7 +101,7 @@
 
 
 class ColdStartSection(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """A start of many stewards at once that spares the list service and the hosts (docs/coldstart.md)."""
+    """A start of many stewards at once that spares the list service and the hosts (docs/cold-start.md)."""
 
     calls_a_second: Annotated[
         float,
@@ -150,7 +150,7 @@
 
 
 class WarmStartSection(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """What is learned of hosts outlives a steward (docs/learned.md)."""
+    """What is learned of hosts outlives a steward (docs/warm-start.md)."""
 
     folder: (
         Annotated[
--- a/tests/test_learned.py
+++ b/tests/test_learned.py
@@ -596,7 +596,7 @@
 
 
 def test_news_that_are_all_wrong_cost_little(ways):
-    """A generous bound on one seed; the figure is measured over many (docs/learned.md)."""
+    """A generous bound on one seed; the figure is measured over many (docs/warm-start.md)."""
     assert ways[0]["wrong"].voided <= 1.5 * ways[0]["nothing"].voided
 
 
