--- a/plankroute/controller/controller.py
+++ b/plankroute/controller/controller.py
@@ -40,7 +40,7 @@
                 scheduler.put(self.balancer, Tick.CHANGED)
             scheduler.put(self.publisher, Tick.TURN if Tick.TURN in ticks else Tick.CHANGED)
             scheduler.run()
-        self.publisher.close()
+        self.publisher.request_acknowledgements()
         out, scheduler.out = scheduler.out, []
         return out
 
--- a/plankroute/policy/decide.py
+++ b/plankroute/policy/decide.py
@@ -18,15 +18,11 @@
 from plankroute.events import commands, events
 from plankroute.events.events import HealthCheckOutcome, HostState
 from plankroute.events.facts import AdmissionUnit, ReportSource, StartFacts
+from plankroute.state.apportionment import even_rate_cap, round_preserving_sum
 from plankroute.state.channel import Channel
 from plankroute.state.host_statistics import NO_CAP, HostStatistics, group_by
-from plankroute.state.proxy_registry import (
-    Change,
-    ProxyRegistry,
-    PublishedTable,
-    even_rate_cap,
-    round_preserving_sum,
-)
+from plankroute.state.proxy_registry import ProxyRegistry
+from plankroute.state.published_table import Change, PublishedTable
 from plankroute.state.scheduler import Actor, Scheduler, Tick
 
 SECOND_US = 1_000_000
@@ -696,7 +692,7 @@
     return list(tables.values())
 
 
-class Publisher(ProxyRegistry):
+class Publisher(ProxyRegistry[Table]):
     """Keeps the tables, puts proxies on them, and writes to the channel no more than it can take."""
 
     PULSE_US = SECOND_US // 10  # well within any grace, and shorter than a message's way
--- a/plankroute/state/scheduler.py
+++ b/plankroute/state/scheduler.py
@@ -1,43 +1,60 @@
-"""Actors with inboxes and the one loop that empties them; no decision."""
+"""Actors with mailboxes and the one loop that empties them; no decision."""
 
 from collections import deque
 from enum import Enum
-from typing import Any
 
-from plankroute.events.commands import Command
+from plankroute.events import commands, events
 from plankroute.seeded_random import SeededRandom
 
 
 class Tick(Enum):
-    """Events between actors: another turn is due; hosts came, went or moved, so tables follow."""
+    """Wakes an actor without news from outside."""
 
-    TURN, CHANGED = 1, 2
+    TURN = 1  # the next turn of the control loop is due
+    CHANGED = 2  # hosts came, went or changed, so tables have to follow
+
+
+ActorEvent = events.Event | events.HostEntry | commands.SetAdmissionLimit | Tick
+"""What an actor can be sent: an event from outside, one entry of a host list, the admission limit
+that one actor wants another to publish, or a tick."""
 
 
 class Actor:
-    """A part of the controller with an inbox; the scheduler hands it one event at a time."""
+    """A part of the controller with a mailbox; the scheduler hands it one event at a time."""
 
     def __init__(self, scheduler: "Scheduler") -> None:
         self.scheduler = scheduler
-        self.inbox: deque[Any] = deque()
+        self.inbox: deque[ActorEvent] = deque()
 
-    def handle(self, event: Any) -> None:
+    def handle(self, event: ActorEvent) -> None:
+        """Takes in one event; may put events into mailboxes and commands into `scheduler.out`."""
         raise NotImplementedError
 
 
 class Scheduler:
-    """What the actors of one controller share: clock, loop, random numbers, and the orders that go out."""
+    """What the actors of one controller share.
+
+    Attributes:
+        now: Clock of the batch in hand, in microseconds.
+        random: Draws the next random number, from 0 to under 1. The order of draws is part of
+            what the controller decides.
+        ready: An entry for each event that waits, in the order in which they were put.
+        out: Commands of the batch in hand, in the order in which they take effect.
+    """
 
     def __init__(self, seed: int) -> None:
-        self.now, self.random = 0, SeededRandom(seed).draw
+        self.now = 0
+        self.random = SeededRandom(seed).draw
         self.ready: deque[Actor] = deque()
-        self.out: list[Command] = []
+        self.out: list[commands.Command] = []
 
-    def put(self, actor: Actor, event: Any) -> None:
+    def put(self, actor: Actor, event: ActorEvent) -> None:
+        """Puts an event into an actor's mailbox; `run` will hand it over."""
         actor.inbox.append(event)
         self.ready.append(actor)
 
     def run(self) -> None:
+        """Hands over all events that wait, and those put meanwhile, first come first served."""
         while self.ready:
             actor = self.ready.popleft()
             actor.handle(actor.inbox.popleft())
--- /dev/null
+++ b/tests/state/test_channel.py
@@ -0,0 +1,45 @@
+"""Accounting of a controller's channel: what waits in it, as far as acknowledgements tell."""
+
+from plankroute.state.channel import Channel
+
+SECOND_US = 1_000_000
+
+
+def channel_with(lines: int, proxies: range) -> Channel:
+    """A channel with one message to each proxy in it.
+
+    Its pace is a thousand lines a second; acknowledgements take half a second at most.
+    """
+    channel = Channel(message_overhead_lines=4, lines_per_us=1e-3, answer_us=SECOND_US / 2)
+    channel.charge(proxies, lines)
+    channel.close_batch()
+    return channel
+
+
+def test_queued_lines_leave_at_the_stated_pace() -> None:
+    channel = channel_with(lines=95, proxies=range(10))
+    assert channel.queued == channel.unacknowledged == 1000
+    channel.advance(SECOND_US // 4)
+    assert channel.queued == 750
+
+
+def test_lines_to_streams_that_ended_are_queued_no_longer() -> None:
+    """Guards against a queue that stays full for good after many proxies left at once.
+
+    Nothing but urgent changes would be written from then on.
+    """
+    channel = channel_with(lines=995, proxies=range(10))
+    for proxy in range(9):
+        channel.disconnect(proxy)
+    channel.advance(0)
+    assert channel.queued == channel.unacknowledged == 1000
+
+
+def test_a_channel_slower_than_stated_keeps_lines_queued() -> None:
+    """Guards against a slow channel that is filled to its cap, so that drains wait in it."""
+    channel = channel_with(lines=95, proxies=range(10))
+    channel.advance(20 * SECOND_US)
+    assert channel.queued == 500  # of a thousand unacknowledged half can be in flight
+    channel.acknowledge(9, channel.sequence_number)
+    channel.advance(21 * SECOND_US)
+    assert channel.queued == 400
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -583,7 +583,7 @@
                     core.hosts,
                     publisher.withdrawn,
                     publisher.tables[0].published,
-                    publisher.channel.sent,
+                    publisher.channel.in_flight,
                     message_builder.ever_withdrawn,
                     message_builder.withdrawn_hosts,
                     message_builder.tables[0],
@@ -631,7 +631,7 @@
 
     def send(message) -> None:
         over.append(
-            channel.sent[message.sequence_number][message.proxy]
+            channel.in_flight[message.sequence_number][message.proxy]
             - message.line_count()
             - facts.message_overhead_lines
         )
