--- a/plankroute/controller/controller.py
+++ b/plankroute/controller/controller.py
@@ -8,7 +8,7 @@
     PUBLISHER_PULSE_US,
     build_policy,
 )
-from plankroute.policy.host import Host
+from plankroute.policy.host import HostActor
 from plankroute.state.scheduler import Scheduler, Tick
 
 
@@ -24,7 +24,7 @@
         self.publisher = self.policy.publisher
         self.balancer = self.policy.weights
         self.levels = self.policy.admission
-        self.hosts: list[Host] = []
+        self.hosts: list[HostActor] = []
         self.bind_reinstates_hosts = facts.bind_reinstates_hosts
         self.ask = (
             commands.SubscribeHostList(True) if facts.must_subscribe else commands.PollHostList()
--- a/plankroute/policy/admission.py
+++ b/plankroute/policy/admission.py
@@ -1,119 +1,201 @@
-"""Admission limits."""
+"""Admission control: limits what proxies admit while answers are late, table by table.
+
+Load is shed early, so that the requests which are admitted are answered in time. No limit falls below the part
+of the requests that is served just now. Where proxies heed no limits nothing is decided.
+"""
 
 from collections import deque
-from typing import Any
+from collections.abc import Sequence
+from dataclasses import dataclass, field
 
 from plankroute.events import commands, events
 from plankroute.events.facts import AdmissionUnit, StartFacts
+from plankroute.policy.constants import SECOND_US
 from plankroute.policy.host_table import HostTable
-from plankroute.policy.publisher import Publisher
-from plankroute.policy.slots import Table
-from plankroute.policy.time_constants import SECOND_US
 from plankroute.state.host_statistics import NO_CAP
-from plankroute.state.proxy_registry import (
-    even_rate_cap,
-)
+from plankroute.state.proxy_registry import ProxyRegistry, PublishedTable, even_rate_cap
 from plankroute.state.scheduler import Actor, Scheduler, Tick
 
+# Limits that admit everything, by their unit; the rate is one that no proxy reaches.
+OPEN_LIMITS = {AdmissionUnit.NONE: 1.0, AdmissionUnit.SHARE: 1.0, AdmissionUnit.RATE: 1e6}
+# A proxy retries only on proof that the first attempt never ran: other retries doubled the load of late
+# hosts (docs/results.md).
+RETRY_POLICY = commands.RetryPolicy.IF_NOT_EXECUTED
+# Mean latency, in latency objectives, beyond which load is shed: a mean near the objective leaves a long
+# tail past it. Tuned in simulation.
+LATE_MEAN = 0.55
+# Mean latency below which more is admitted: tuned in simulation.
+TIMELY_MEAN = 0.45
+# Factors a turn on the admitted share: quick enough for a burst, slow enough for late reports. Tuned in
+# simulation.
+DECREASE = 0.7
+INCREASE = 1.15
+# The least share that is admitted: a guess.
+MIN_SHARE = 0.1
+# Turns until a limit shows in the statistics: a decrease is counted from the share that was then in force.
+TURNS_OF_DELAY = 4
+# Relative changes of a limit that are not worth their lines: a guess.
+MIN_CHANGE = 0.05
+# The least rate a second at a proxy: a guess.
+MIN_RATE = 0.1
+
+
+def open_limits(
+    tables: Sequence[PublishedTable], unit: AdmissionUnit
+) -> list[commands.SetAdmissionLimit]:
+    """Returns the commands that start each table with all requests admitted."""
+    return [
+        commands.SetAdmissionLimit(table.number, None, OPEN_LIMITS[unit], RETRY_POLICY)
+        for table in tables
+    ]
+
+
+@dataclass(slots=True)
+class TableLoad:
+    """What the proxies of a table met since the last turn.
 
-class Levels(Actor):
-    """Declines early while answers are late, table by table; lets in no less than is settled just now."""
+    Attributes:
+        shares: Admitted shares of the last turns, the newest last.
+        attempts: Attempts.
+        failed: Failed attempts.
+        latency: Sum of the latencies of served requests, in latency objectives.
+    """
 
-    HIGH, LOW = 0.55, 0.45  # of the SLA time: a mean beyond it leaves a long tail past it
-    FALL, RISE, LEAST = (
-        0.7,
-        1.15,
-        0.1,
-    )  # a turn: quick enough for a burst, slow enough for late reports
-    LAG = (
-        4  # turns until an order shows in the sums: a fall is counted from the share then in force
+    shares: deque[float] = field(
+        default_factory=lambda: deque([1.0] * TURNS_OF_DELAY, TURNS_OF_DELAY)
     )
-    STEP = 0.05  # smaller moves are not worth their lines
+    attempts: float = 0.0
+    failed: float = 0.0
+    latency: float = 0.0
+
+    def next_share(self, served_share: float) -> float:
+        """Returns the share to admit from this turn on.
+
+        Turn by turn: in a decayed sum the many late requests of an overload would outlast it.
+
+        Args:
+            served_share: Part of the arrived requests that was served in the last turns.
+        """
+        share = self.shares[-1]
+        share_in_force = self.shares[0]
+        attempts = max(1.0, self.attempts)
+        success_ratio = 1 - self.failed / attempts
+        served = attempts - self.failed
+        mean_latency = self.latency / served if served else TIMELY_MEAN
+        if mean_latency > LATE_MEAN:
+            floor = max(MIN_SHARE, min(1.0, served_share))
+            decreased = min(share, share_in_force * min(DECREASE, success_ratio))
+            return max(floor, decreased)
+        if mean_latency < TIMELY_MEAN:
+            return min(1.0, share * INCREASE)
+        return share
+
+    def start_turn(self, share: float) -> None:
+        """Notes the admitted share and starts the sums of the next turn."""
+        self.shares.append(share)
+        self.attempts = 0.0
+        self.failed = 0.0
+        self.latency = 0.0
+
+
+class AdmissionController(Actor):
+    """Sets the admission limits of all tables once a turn."""
 
     def __init__(
-        self, scheduler: Scheduler, host_table: HostTable, facts: StartFacts, publisher: Publisher
+        self,
+        scheduler: Scheduler,
+        host_table: HostTable,
+        facts: StartFacts,
+        publisher: ProxyRegistry,
     ) -> None:
         super().__init__(scheduler)
-        self.host_table, self.publisher, self.unit = host_table, publisher, facts.admission_unit
-        self.tables = (
-            publisher.tables if self.unit is not AdmissionUnit.NONE else []
-        )  # nobody heeds any
-        self.past = [
-            deque([1.0] * self.LAG, self.LAG) for _ in self.tables
-        ]  # shares, the newest last
-        self.late, self.failed, self.attempts = ([0.0] * len(self.tables) for _ in range(3))
-        self.settled = self.arrived = 0.0  # txns of the last turns, over all tables
-        self.sent: dict[tuple[int, int], float] = {}
-        self.rates: dict[tuple[int, int], float] = {}  # txns a second, by proxy and product
-
-    def handle(self, event: Any) -> None:
+        self.host_table = host_table
+        self.publisher = publisher
+        self.unit = facts.admission_unit
+        self.open_limit = OPEN_LIMITS[self.unit]
+        self.tables: list[PublishedTable] = []
+        if self.unit is not AdmissionUnit.NONE:
+            self.tables = publisher.tables
+        self.loads = [TableLoad() for _ in self.tables]
+        # Requests of the last turns over all tables: a sum that is halved each turn.
+        self.served = 0.0
+        self.arrived = 0.0
+        self.limits: dict[tuple[int, int], float] = {}  # by table and request class, if ever set
+        self.rates: dict[tuple[int, int], float] = {}  # a second, by proxy and request class
+
+    def handle(self, event: events.ProxyRequestStats | events.HostRequestStats | Tick) -> None:
+        """Takes in request statistics; sets limits on a turn."""
         match event:
-            case events.ProxyRequestStats() if event.span_us > 0 and self.tables:
-                self.arrived += event.arrived
-                key, rate = (event.proxy, event.product), event.arrived * SECOND_US / event.span_us
-                self.rates[key] = (self.rates.get(key, rate) + rate) / 2
+            case events.ProxyRequestStats():
+                self.on_proxy_stats(event)
             case events.HostRequestStats():
-                host, self.settled = (
-                    self.host_table.index_of[event.host],
-                    self.settled + event.attempts - event.failed,
-                )
-                for index, table in enumerate(self.tables):
-                    # By what its own proxies met: a zone behind a cut may serve its own all the same.
-                    if (
-                        table.serves_zone(event.zone)
-                        and table.admits(self.host_table, host)
-                        and event.mean_latency_us < NO_CAP
-                    ):
-                        self.attempts[index] += event.attempts
-                        self.failed[index] += event.failed
-                        self.late[index] += (
-                            (event.attempts - event.failed)
-                            * event.mean_latency_us
-                            / self.host_table.latency_objective_us
-                        )
+                self.on_host_stats(event)
             case Tick.TURN:
-                for index, table in enumerate(self.tables):
-                    self.follow(index, table)
-                self.settled, self.arrived = self.settled / 2, self.arrived / 2
-
-    def follow(self, index: int, table: Table) -> None:
-        """Turn by turn: in a sum by txns the many late ones of an overload would outlast it."""
-        past, attempts = self.past[index], max(1.0, self.attempts[index])
-        share, before, good = past[-1], past[0], 1 - self.failed[index] / attempts
-        settled = attempts - self.failed[index]
-        late = self.late[index] / settled if settled else self.LOW
-        if late > self.HIGH:
-            least = max(self.LEAST, min(1.0, self.settled / max(1.0, self.arrived)))
-            share = max(least, min(share, before * min(self.FALL, good)))
-        elif late < self.LOW:
-            share = min(1.0, share * self.RISE)
-        past.append(share)
-        self.late[index] = self.failed[index] = self.attempts[index] = 0
-        for product in table.products:
-            self.set_level(table, product, share)
-
-    def set_level(self, table: Table, product: int, share: float) -> None:
-        open_ = level = Publisher.OPEN[self.unit]
-        if share < 1:
-            level = (
-                share if self.unit is AdmissionUnit.SHARE else self.rate_for(table, product, share)
-            )
-        before = self.sent.get((table.number, product), open_)
-        if abs(level - before) > self.STEP * before or level == open_ != before:
-            self.sent[table.number, product] = level
-            self.scheduler.put(
-                self.publisher,
-                commands.SetAdmissionLimit(table.number, (product,), level, Publisher.RETRY),
+                self.on_turn()
+
+    def on_proxy_stats(self, stats: events.ProxyRequestStats) -> None:
+        """Follows the rate at which requests of a class arrive at a proxy."""
+        if stats.span_us <= 0 or not self.tables:
+            return
+        self.arrived += stats.arrived
+        key = (stats.proxy, stats.product)
+        rate = stats.arrived * SECOND_US / stats.span_us
+        self.rates[key] = (self.rates.get(key, rate) + rate) / 2
+
+    def on_host_stats(self, stats: events.HostRequestStats) -> None:
+        """Adds what proxies met at a host to the load of their tables.
+
+        A table goes by what its own proxies met: a zone behind a network partition may serve its own
+        requests all the same.
+        """
+        host = self.host_table.index_of[stats.host]
+        served = stats.attempts - stats.failed
+        self.served += served
+        if stats.mean_latency_us >= NO_CAP or stats.mean_latency_us != stats.mean_latency_us:
+            return  # not a number, or infinite: tells nothing
+        for table, load in zip(self.tables, self.loads, strict=True):
+            if table.serves_zone(stats.zone) and table.admits(self.host_table, host):
+                load.attempts += stats.attempts
+                load.failed += stats.failed
+                load.latency += (
+                    served * stats.mean_latency_us / self.host_table.latency_objective_us
+                )
+
+    def on_turn(self) -> None:
+        """Sets the limits of all tables."""
+        served_share = self.served / max(1.0, self.arrived)
+        for table, load in zip(self.tables, self.loads, strict=True):
+            share = load.next_share(served_share)
+            load.start_turn(share)
+            for request_class in table.products:
+                self._set_limit(table, request_class, share)
+        self.served = self.served / 2
+        self.arrived = self.arrived / 2
+
+    def _set_limit(self, table: PublishedTable, request_class: int, share: float) -> None:
+        """Has a limit written if it has changed by enough, or admits everything again."""
+        limit = self.open_limit
+        if share < 1 and self.unit is AdmissionUnit.SHARE:
+            limit = share
+        elif share < 1:
+            limit = self._rate_limit(table, request_class, share)
+        key = (table.number, request_class)
+        before = self.limits.get(key, self.open_limit)
+        has_moved = abs(limit - before) > MIN_CHANGE * before
+        has_opened = limit == self.open_limit and before != self.open_limit
+        if has_moved or has_opened:
+            self.limits[key] = limit
+            command = commands.SetAdmissionLimit(
+                table.number, (request_class,), limit, RETRY_POLICY
             )
+            self.scheduler.put(self.publisher, command)
 
-    def rate_for(
-        self, table: Table, product: int, share: float
-    ) -> float:  # small proxies keep theirs whole
-        joined = self.publisher.zone_of_proxy.items()
+    def _rate_limit(self, table: PublishedTable, request_class: int, share: float) -> float:
+        """Returns the rate at which every proxy is capped; proxies below it lose nothing."""
         rates = [
-            self.rates.get((proxy, product), 0.0)
-            for proxy, zone in joined
+            self.rates.get((proxy, request_class), 0.0)
+            for proxy, zone in self.publisher.zone_of_proxy.items()
             if table.serves_zone(zone)
         ]
-        weight_cap = even_rate_cap(rates, share * sum(rates))
-        return Publisher.OPEN[self.unit] if weight_cap is None else max(weight_cap, 0.1)
+        rate_cap = even_rate_cap(rates, share * sum(rates))
+        return self.open_limit if rate_cap is None else max(rate_cap, MIN_RATE)
--- a/plankroute/policy/composition.py
+++ b/plankroute/policy/composition.py
@@ -3,18 +3,22 @@
 from dataclasses import dataclass
 
 from plankroute.events.facts import StartFacts
-from plankroute.policy.admission import Levels
-from plankroute.policy.host import Host
+from plankroute.policy import flow_control
+from plankroute.policy.admission import AdmissionController
+from plankroute.policy.constants import SECOND_US
+from plankroute.policy.first_weights import FirstWeights
+from plankroute.policy.host import HostActor
 from plankroute.policy.host_table import HostTable
+from plankroute.policy.prior_knowledge import PriorKnowledge
 from plankroute.policy.publisher import Publisher
-from plankroute.policy.time_constants import SECOND_US
-from plankroute.policy.weights import Balancer
+from plankroute.policy.weights import WeightController
 from plankroute.state.scheduler import Scheduler
 
-# A poll of the host list that failed is repeated after this delay: a guess, well before the list counts as old.
+# Delay before a poll of the endpoint list that failed is repeated: a guess, well before the list counts as
+# known to be out of date.
 LIST_RETRY_DELAY_US = 2 * SECOND_US
-# How often the publisher looks for work between turns; the value and its reasons stand with the publisher.
-PUBLISHER_PULSE_US = Publisher.PULSE_US
+# How often the publisher looks for work between turns; flow control says why.
+PUBLISHER_PULSE_US = flow_control.PULSE_US
 
 
 @dataclass(frozen=True, slots=True)
@@ -24,6 +28,8 @@
     Attributes:
         scheduler: Clock, random numbers and the commands that go out.
         host_table: Statistics of all hosts.
+        prior: Prior knowledge of hosts.
+        first_weights: How far the first weights are.
         publisher: Keeps the routing tables and writes them to the proxies.
         weights: Moves the weights of hosts once a turn.
         admission: Sets the admission limits once a turn.
@@ -31,19 +37,31 @@
 
     scheduler: Scheduler
     host_table: HostTable
+    prior: PriorKnowledge
+    first_weights: FirstWeights
     publisher: Publisher
-    weights: Balancer
-    admission: Levels
+    weights: WeightController
+    admission: AdmissionController
 
-    def add_host(self, index: int) -> Host:
+    def add_host(self, index: int) -> HostActor:
         """Returns a new actor for the host with this index of the host table."""
-        return Host(self.scheduler, self.host_table, index)
+        return HostActor(self.scheduler, self.host_table, self.prior, self.first_weights, index)
 
 
 def build_policy(scheduler: Scheduler, facts: StartFacts) -> Policy:
     """Builds all parts in the order in which they draw random numbers and give first commands."""
     host_table = HostTable(facts)
-    publisher = Publisher(scheduler, host_table, facts)
-    weights = Balancer(scheduler, host_table, publisher.tables)
-    admission = Levels(scheduler, host_table, facts, publisher)
-    return Policy(scheduler, host_table, publisher, weights, admission)
+    prior = PriorKnowledge()
+    first_weights = FirstWeights()
+    publisher = Publisher(scheduler, host_table, first_weights, facts)
+    weights = WeightController(scheduler, host_table, publisher.tables, prior, first_weights)
+    admission = AdmissionController(scheduler, host_table, facts, publisher)
+    return Policy(
+        scheduler=scheduler,
+        host_table=host_table,
+        prior=prior,
+        first_weights=first_weights,
+        publisher=publisher,
+        weights=weights,
+        admission=admission,
+    )
--- a/plankroute/policy/publisher.py
+++ b/plankroute/policy/publisher.py
@@ -1,412 +1,207 @@
-"""Publishes the routing tables to the proxies."""
-
-import math
-from collections.abc import Iterator
-from typing import Any
+"""The publisher: decides what is written to the proxies when, as their channel can take it."""
 
 from plankroute.events import commands, events
-from plankroute.events.events import HostState
-from plankroute.events.facts import AdmissionUnit, StartFacts
+from plankroute.events.facts import StartFacts
+from plankroute.policy import mass_disconnect
+from plankroute.policy.admission import open_limits
+from plankroute.policy.binding import Binder
+from plankroute.policy.constants import TURN_US
+from plankroute.policy.drains import Drains
+from plankroute.policy.first_weights import FirstWeights
+from plankroute.policy.flow_control import PULSE_US, FlowControl, write_slot
 from plankroute.policy.host_table import HostTable
-from plankroute.policy.slots import tables_for
-from plankroute.policy.time_constants import SECOND_US
-from plankroute.policy.weights import Balancer
+from plankroute.policy.slot_changes import SlotChanges, TargetSlots
+from plankroute.policy.slots import build_tables
+from plankroute.policy.subsetting import SubsetPolicy
 from plankroute.state.channel import Channel
 from plankroute.state.host_statistics import NO_CAP
-from plankroute.state.proxy_registry import (
-    Change,
-    ProxyRegistry,
-)
+from plankroute.state.proxy_registry import Change, ProxyRegistry
 from plankroute.state.scheduler import Scheduler, Tick
 
+# Share of a zone's hosts that are removed, from which on proxies that wait there may have no endpoint left:
+# the few hosts of the table that a proxy starts with are drawn from its zone. A guess.
+REMOVED_SHARE_WITHOUT_ENDPOINTS = 0.1
+
+LimitKey = tuple[int | None, tuple[int, ...] | None]
+PublisherEvent = (
+    events.HostEntry
+    | events.ProxyJoined
+    | events.ProxyLeft
+    | events.Acknowledged
+    | commands.SetAdmissionLimit
+    | Tick
+)
+
 
 class Publisher(ProxyRegistry):
-    """Keeps the tables, puts proxies on them, and writes to the channel no more than it can take."""
+    """Keeps the proxies and their tables, and decides what is written when.
+
+    Drains come first and at once, then urgent slots; admission limits and the slots that move most follow
+    in the turns that can afford them, and binds at the channel's regular pace.
 
-    PULSE_US = SECOND_US // 10  # well within any grace, and shorter than a message's way
-    ORDINARY_PART, GRACE_PART = (
-        0.5,
-        0.4,
-    )  # of the limit, of the grace may be queued: the rest is for drains
-    BIND_PART = 0.45  # binds leave room for slots: those who come later find the table right
-    WORTH_US = (
-        3 * SECOND_US // 2
-    )  # a moved txn gains a tenth or so, for the time that a slot stands
-    URGE = 6.0  # of the SLA time; guards against a channel busy all day with the small moves of a calm fleet
-    NEW = 4.0  # times a slot's worth for a host without any: the others carry its txns
-    FALLEN = 0.75  # a cold host's slot below this part of the pushed one does not wait
-    LEARN_US = (
-        5 * SECOND_US
-    )  # for first weights, if binds then fit the grace: old tables name lost hosts
-    IN_TIME = 0.75  # of the grace left after the longest way: binds that fit need no withdrawals before them
-    BIND_US, BIND_SHARE = (
-        3 * SECOND_US,
-        0.5,
-    )  # for all binds, at most; of what the grace leaves, at most
-    BURST = 0.1  # of the streams, within a second: more than break by themselves
-    LOST = (
-        0.1  # of a zone's hosts: the few of a standing table, drawn from it, may all be among them
-    )
-    KEEP_US = (
-        60 * SECOND_US
-    )  # for hosts that are gone: proxies back from the longest cuts may name them yet
-    OPEN = {AdmissionUnit.NONE: 1.0, AdmissionUnit.SHARE: 1.0, AdmissionUnit.RATE: 1e6}
-    RETRY = (
-        commands.RetryPolicy.IF_NOT_EXECUTED
-    )  # on proof that the first never ran: others doubled the load of late hosts
+    Attributes:
+        flow: What the channel can take.
+        subsetting: Which part of the hosts the tables hold.
+        drains: Hosts that are withdrawn, or about to be.
+        target: The slots that the tables should have.
+        written_us: When a message was last written.
+    """
 
-    def __init__(self, scheduler: Scheduler, host_table: HostTable, facts: StartFacts) -> None:
-        self.lines_per_us, tables = facts.channel_lines_per_s / SECOND_US, tables_for(facts)
+    def __init__(
+        self,
+        scheduler: Scheduler,
+        host_table: HostTable,
+        first_weights: FirstWeights,
+        facts: StartFacts,
+    ) -> None:
+        self.flow = FlowControl(facts)
         channel = Channel(
             facts.message_overhead_lines,
-            self.lines_per_us,
-            facts.max_one_way_delay_us + self.PULSE_US,
+            self.flow.lines_per_us,
+            facts.max_one_way_delay_us + PULSE_US,
         )
-        super().__init__(
-            scheduler, [] if facts.slices else tables, channel
-        )  # the store keeps those of slices
-        self.host_table, self.limit = host_table, facts.backlog_cap_lines
-        self.spare_us = max(0, facts.drain_grace_us - facts.max_one_way_delay_us)
-        in_grace = self.GRACE_PART * self.spare_us * self.lines_per_us
-        self.allowance = min(self.ORDINARY_PART * self.limit, in_grace)
-        self.round = (2 * self.PULSE_US + 2 * facts.one_way_delay_us) * self.lines_per_us  # lines
-        self.bind_allowance = min(self.allowance * self.BIND_PART, self.round)
-        a_second = max(
-            1.0, facts.channel_lines_per_s * facts.controller_count
-        )  # lines, of all stewards
-        self.line_price = (
-            facts.penalty_rates.command_line
-            * facts.proxy_count
-            / a_second
-            * SECOND_US
-            / self.WORTH_US
+        # Where keys fall into slices the store keeps the tables.
+        super().__init__(scheduler, [] if facts.slices else build_tables(facts), channel)
+        self.host_table = host_table
+        self.first_weights = first_weights
+        self.subsetting = SubsetPolicy(facts, channel.message_overhead, self.flow.lines_per_us)
+        self.drains = Drains(self, host_table, first_weights, self.flow, facts.message_window_us)
+        self.target = TargetSlots(host_table, self.tables, self.drains, self.subsetting, self.flow)
+        self.slot_changes = SlotChanges(
+            host_table, self.tables, self.target, self.drains, self.flow
         )
-        most, self.most_gap_us = facts.max_messages_per_window, facts.drain_grace_us / 3
-        self.least_gap_us = facts.message_window_us / max(1, most - 1) if most else 0.0
-        self.written_us = self.told_us = self.owed_us = -facts.message_window_us
-        self.withdrawn, self.due, self.refused = (
-            set[int](),
-            set[int](),
-            False,
-        )  # hosts; those to take out yet
-        self.proxies, self.stewards = facts.proxy_count, facts.controller_count
-        self.start = (
-            facts.controller_rank % facts.controller_count / facts.controller_count
-        )  # of its arc of the hosts
-        self.seen, self.found, self.bare = (
-            list[Any](),
-            list[dict[int, int]](),
-            False,
-        )  # slots, their causes
-        self.untold_us: int | None = None  # since when proxies wait that were not told who is gone
-        self.levels: dict[
-            Any, commands.SetAdmissionLimit
-        ] = {}  # not yet written: a newer one replaces an older
-        for table in self.tables:
-            scheduler.out.append(
-                commands.SetAdmissionLimit(
-                    table.number, None, self.OPEN[facts.admission_unit], self.RETRY
-                )
-            )
-
-    def handle(self, event: Any) -> None:
+        self.binder = Binder(self, host_table, first_weights, self.flow)
+        self.written_us = -facts.message_window_us
+        self.pending_limits: dict[LimitKey, commands.SetAdmissionLimit] = {}
+        self._proxies_may_lack_endpoints = False
+        scheduler.out += open_limits(self.tables, facts.admission_unit)
+
+    @property
+    def withdrawn(self) -> set[int]:
+        """Hosts that proxies were told to withdraw, by index."""
+        return self.drains.withdrawn
+
+    @property
+    def due(self) -> set[int]:
+        """Hosts still to be withdrawn, by index."""
+        return self.drains.pending
+
+    def long_gone(self) -> list[int]:
+        """Returns the ids of removed hosts of which nothing has to be remembered any more."""
+        return self.drains.expired_hosts()
+
+    def handle(self, event: PublisherEvent) -> None:
+        """Takes in what concerns proxies and drains; writes on a tick."""
         match event:
+            case Tick():
+                self.on_tick(is_turn=event is Tick.TURN)
+            case events.Acknowledged():
+                self.channel.acknowledge(event.proxy, event.sequence_number)
             case events.HostEntry():
-                i = self.host_table.index_of[event.host]
-                if self.host_table.state[i] is HostState.READY:
-                    self.due.discard(i)
-                elif i not in self.withdrawn and self.withdrawal_lines(i):
-                    self.due.add(i)
+                self.drains.on_entry(event)
             case events.ProxyJoined():
-                self.leave(event.proxy)
-                self.join(event)
-                self.untold_us = self.untold_us or self.scheduler.now
-                if self.host_table.first_weights_since_us == 0:
-                    self.host_table.old, sized = (
-                        not event.fresh,
-                        len(set(self.host_table.listed_weight)) > 1,
-                    )
-                    learns = (
-                        self.host_table.old or self.host_table.health_checks_allowed and not sized
-                    )
-                    self.host_table.first_weights_since_us = self.scheduler.now if learns else None
-                    binds_us = self.bind_us(self.subset_share())
-                    self.host_table.first_weights_timeout_us = min(
-                        self.LEARN_US, self.spare_us - binds_us
-                    )
-                    self.scheduler.out += self.host_table.health_checks(
-                        self.host_table.eligible() if learns else ()
-                    )
+                self.on_proxy_joined(event)
             case events.ProxyLeft():
                 self.leave(event.proxy)
-                self.count_broken(event.proxy)
-            case events.Acknowledged():
-                self.channel.acknowledge(event.proxy, event.sequence_number)
+                mass_disconnect.on_disconnect(self, self.host_table, event.proxy)
             case commands.SetAdmissionLimit():
-                self.levels[event.table, event.products] = event
-            case Tick():
-                self.channel.advance(self.scheduler.now)
-                self.bare = any(
-                    self.host_table.removed_share(zone) > self.LOST for zone in self.unbound_zones()
-                )
-                self.lift()
-                self.owe()
-                self.write(event is Tick.TURN)
-                self.bind_waiting()
-
-    def count_broken(
-        self, proxy: int
-    ) -> None:  # together they may tell of a cut, before sums: all are asked
-        host_table, now = self.host_table, self.scheduler.now
-        broken = self.count_disconnects(proxy, now, SECOND_US)
-        if (
-            broken > max(2, self.BURST * len(self.zone_of_proxy))
-            and now - host_table.disconnect_alarm_us > SECOND_US
-        ):
-            host_table.disconnect_alarm_us = now
-            self.scheduler.out += host_table.health_checks(host_table.eligible())
-
-    def write(self, turn: bool) -> None:
-        """What the rules demand as soon as a message can go; the rest in the turns that can afford it."""
-        host_table, joined, heads = (
-            self.host_table,
-            len(self.zone_of_proxy),
-            len(self.zone_of_proxy) * self.channel.message_overhead,
-        )
-        whole = sum(len(self.users(table)) * len(table.published) for table in self.tables) + heads
-        host_table.proxies, host_table.channel_constrained, host_table.min_slot_change = (
-            joined,
-            whole > self.allowance,
-            0.0,
-        )
-        since, room = (
-            self.scheduler.now - self.written_us,
-            self.limit - self.channel.unacknowledged - heads,
+                # A newer limit replaces one that is not written yet.
+                self.pending_limits[event.table, event.products] = event
+
+    def on_proxy_joined(self, event: events.ProxyJoined) -> None:
+        """Takes a proxy in; the first one tells where the first weights come from."""
+        self.leave(event.proxy)
+        self.join(event)
+        self.drains.on_proxy_joined()
+        if not self.first_weights.is_before_first_proxy:
+            return
+        ready_count = len(self.host_table.ready())
+        share = self.subsetting.share(ready_count, self.flow.grace_slack_us)
+        slack_us = self.flow.grace_slack_us - self.subsetting.bind_us(share, ready_count)
+        now, has_old_tables = self.scheduler.now, not event.fresh
+        if self.first_weights.begin(self.host_table, now, has_old_tables, slack_us):
+            self.scheduler.out += self.host_table.health_checks(self.host_table.eligible())
+
+    def on_tick(self, is_turn: bool) -> None:
+        """Writes all that is to be written now."""
+        self.channel.advance(self.scheduler.now)
+        self._proxies_may_lack_endpoints = any(
+            self.host_table.removed_share(zone) > REMOVED_SHARE_WITHOUT_ENDPOINTS
+            for zone in self.unbound_zones()
         )
-        # A busy channel gathers orders under fewer heads; first drains go at once, refused ones when all fit.
-        fits = self.refused and sum(map(self.withdrawal_lines, self.due)) <= room
-        at_once = fits or (self.due and self.scheduler.now - self.told_us >= self.most_gap_us)
-        changes = sorted(self.changes(), key=lambda change: (-change.gain, change.index))
-        ejected = any(change.urgent and host_table.ejected[change.index] for change in changes)
-        gap_us = (
-            min(self.most_gap_us, Balancer.TURN_US) if ejected else self.most_gap_us
-        )  # bad hosts: a turn
-        busy = self.channel.unacknowledged > self.round and since < gap_us
-        if since < self.least_gap_us or (busy and not at_once):
+        self.drains.reinstate()
+        self.drains.sweep()
+        self.write(is_turn)
+        if not self.bound and not self.first_weights.is_waiting:
+            self._fill_unused_tables()
+        self.binder.bind_waiting(self.withdrawn, self._proxies_may_lack_endpoints)
+
+    def write(self, is_turn: bool) -> None:
+        """Writes what is urgent as soon as a message can go; the rest in the turns that can afford it."""
+        now = self.scheduler.now
+        overhead_lines = len(self.zone_of_proxy) * self.channel.message_overhead
+        self._note_channel_state(overhead_lines)
+        since_us = now - self.written_us
+        room: float = self.flow.backlog_cap - self.channel.unacknowledged - overhead_lines
+        must_write_now = self.drains.must_write_now(room)
+        changes = self.slot_changes.list_changes(now)
+        changes.sort(key=lambda change: (-change.gain, change.index))
+        urgent = [change for change in changes if change.urgent]
+        # A busy channel gathers changes, so that more lines share the overhead of a message.
+        gathers = self.flow.is_busy(self) and since_us < self._gathering_us(urgent)
+        if since_us < self.flow.min_gap_us or (gathers and not must_write_now):
             return
-        for host in sorted(
-            self.due, key=lambda i: (not self.tables_with(i), -host_table.heard_at_us[i], i)
-        ):
-            self.told_us = self.scheduler.now
-            room -= self.tell_gone(host, room)
-        self.refused = bool(self.due)
-        for change in (c for c in changes if c.urgent):
-            room -= self.set_line(change, room)
-        if self.channel.batch or (turn and since >= 2 * self.least_gap_us and not self.bare):
-            room = min(room, self.room(self.allowance) - heads)
-            self.write_ordinary([c for c in changes if not c.urgent], room)
+        room = self.drains.write(room)
+        for change in urgent:
+            room -= write_slot(self, self.host_table, change, room)
+        has_time = is_turn and since_us >= 2 * self.flow.min_gap_us
+        if self.channel.batch or (has_time and not self._proxies_may_lack_endpoints):
+            ordinary_room = self.flow.room(self, self.flow.allowance) - overhead_lines
+            ordinary = [change for change in changes if not change.urgent]
+            self._write_ordinary(ordinary, min(room, ordinary_room))
         if self.channel.batch:
-            self.written_us = self.scheduler.now
-
-    def subset_share(self) -> float:
-        """Of the hosts that a table holds: as many as an even share of proxies can be bound to in time; whole
-        shares, so that each host is in as many tables; all for two controllers: either may be left alone."""
-        in_time = min(self.BIND_US, self.BIND_SHARE * self.spare_us) / max(1.0, self.bind_us(1.0))
-        shares = max(1, math.ceil(in_time * self.stewards))
-        return min(1.0, shares / self.stewards) if self.stewards > 2 else 1.0
-
-    def bind_us(
-        self, part: float
-    ) -> float:  # to bind an even share of all proxies to this part of the hosts
-        lines = part * len(self.host_table.ready()) + self.channel.message_overhead
-        return self.proxies / self.stewards * lines / self.lines_per_us
-
-    def all_slots(self) -> list[dict[int, int]]:
-        """As found last, while nothing that they follow from has moved: ten looks a second, one turn."""
-        host_table, out = self.host_table, self.withdrawn | self.due
-        seen = [
-            host_table.weight,
-            host_table.weight_cap,
-            host_table.ejected,
-            host_table.unreachable,
-            host_table.state,
-            host_table.zone,
-            host_table.machine_type,
-            out,
+            self.written_us = now
+
+    def _note_channel_state(self, overhead_lines: int) -> None:
+        """Tells the host table how dear lines are: weights keep nearer to their slots where they are."""
+        all_lines = sum(len(self.users(table)) * len(table.published) for table in self.tables)
+        self.host_table.proxies = len(self.zone_of_proxy)
+        self.host_table.channel_constrained = all_lines + overhead_lines > self.flow.allowance
+        self.host_table.min_slot_change = 0.0
+
+    def _gathering_us(self, urgent: list[Change]) -> float:
+        """Returns how long a busy channel gathers changes: a turn at most for an ejected host."""
+        if any(self.host_table.ejected[change.index] for change in urgent):
+            return min(self.flow.max_gap_us, TURN_US)
+        return self.flow.max_gap_us
+
+    def _write_ordinary(self, changes: list[Change], room: float) -> None:
+        """Writes admission limits and the slots that move most, if they are worth the messages' overhead."""
+        price = self.flow.line_price
+        overhead = 0 if self.channel.batch else self.channel.message_overhead
+        worthwhile = [
+            change for change in changes if change.gain > price or change.index in self.withdrawn
         ]
-        seen += [table.published for table in self.tables]
-        if seen != self.seen:
-            self.seen, part = [figures.copy() for figures in seen], self.subset_share()
-            self.found = [table.slots(host_table, out, part, self.start) for table in self.tables]
-            host_table.outside_subset = (
-                set(host_table.ready()).difference(*self.found) if part < 1 else set()
-            )
-        return self.found
-
-    def changes(
-        self,
-    ) -> Iterator[Change]:  # worth more where a slot is to fall: txns there are late already
-        host_table, products = self.host_table, sum(len(table.products) for table in self.tables)
-        urge = max(
-            1.0, (self.URGE * host_table.mean_latency_us / host_table.latency_objective_us) ** 3
-        )
-        for table, slots in zip(self.tables, self.all_slots()):
-            part = len(table.products) / products / max(1, sum(slots.values()))
-            host_table.min_slot_change = max(
-                host_table.min_slot_change, self.line_price / (part * table.SLOTS_A_HOST)
-            )
-            # Guards against a bare proxy: if no warm host is left in the table all goes out at once.
-            bare = not any(
-                i in slots and host_table.weight_cap[i] == NO_CAP for i in table.published
-            )
-            for i in slots.keys() | table.published.keys():
-                count, before = slots.get(i, 0), table.published.get(i, 0)
-                if count != before and i not in self.due:
-                    fallen = host_table.weight_cap[i] < NO_CAP and count < self.FALLEN * before
-                    strain = max(1.0, before / max(1, count)) if before else self.NEW
-                    gain = urge * (count - before) ** 2 / max(count, before) * part * strain
-                    urgent = bare or fallen or (not count and i not in host_table.outside_subset)
-                    if (
-                        i in self.withdrawn
-                    ):  # nobody sends there: last, sooner if it is back or long gone
-                        back, late = (
-                            host_table.state[i] is HostState.READY,
-                            self.scheduler.now - host_table.heard_at_us[i],
-                        )
-                        gain, urgent = (
-                            gain * back or float(2 * late > self.KEEP_US),
-                            bare and back,
-                        )
-                    yield Change(gain, urgent, table, i, count)
-
-    def write_ordinary(self, changes: list[Change], room: float) -> None:
-        """Levels, then the slots that move most, as there is room, if together they are worth their heads."""
-        message_overhead = 0 if self.channel.batch else self.channel.message_overhead
-        gain = [c for c in changes if c.gain > self.line_price or c.index in self.withdrawn]
-        if room < len(self.bound) * min(message_overhead, len(gain) + len(self.levels)):
-            return  # a later message holds more lines a head
-        for key, level in list(self.levels.items()):
-            if room >= len(users := self.users(self.tables[level.table])):
-                room -= len(users)
-                self.command(self.levels.pop(key), users)
-        if (
-            sum(c.gain - self.line_price for c in gain) > self.line_price * message_overhead
-            or self.channel.batch
-        ):
-            for change in gain:
-                room -= self.set_line(change, room)
-
-    def set_line(
-        self, change: Change, room: float
-    ) -> int:  # the lines it took: none where there is no room
-        table, recipients = (
-            change.table,
-            self.recipients(change.table, change.index, self.host_table.possibly_withdrawn),
-        )
-        if len(recipients) > room:
-            return 0
-        table.set(change.index, change.count)
-        self.command(
-            commands.SetRoute(
-                table.number, self.host_table.host_ids[change.index], float(change.count)
-            ),
-            recipients,
-        )
-        return len(recipients)
-
-    def tell_gone(self, host: int, room: float) -> int:
-        """Its line goes; proxies on other tables, and all where several name it, are told: a line a proxy."""
-        tables, lines = self.tables_with(host), self.withdrawal_lines(host)
-        if lines > room:
-            return 0  # it has to wait for answers
-        self.due.discard(host)
-        if len(tables) == 1:
-            self.set_line(Change(0.0, True, tables[0], host, 0), room)
-        if told := self.tell(host, self.zone_of_proxy if len(tables) > 1 else self.unbound):
-            self.command(commands.WithdrawHost(self.host_table.host_ids[host], True), told)
-            self.withdrawn.add(host)
-        return lines
-
-    def owe(self) -> None:
-        """Who joins may name hosts that are gone: binds settle it, withdrawals where these take too long."""
-        host_table, now = self.host_table, self.scheduler.now
-        self.untold_us = self.untold_us if self.unbound else None
-        if self.untold_us is not None and now - self.owed_us >= self.most_gap_us:
-            a_bind = self.channel.message_overhead + sum(
-                table.lines(set()) for table in self.tables
-            )
-            in_time = (self.IN_TIME * self.spare_us - (now - self.untold_us)) * self.lines_per_us
-            if (
-                host_table.first_weights_since_us
-                or self.channel.unacknowledged + len(self.unbound) * a_bind > in_time
-            ):
-                self.due.update(
-                    i
-                    for i in host_table.index_of.values()
-                    if host_table.state[i] is not HostState.READY
-                )
-                self.untold_us, self.owed_us = None, now
-
-    def long_gone(self) -> list[int]:  # hosts of which nothing is kept from here
-        host_table, late = self.host_table, self.scheduler.now - self.KEEP_US
-        return [
-            host
-            for host, i in host_table.index_of.items()
-            if host_table.state[i] is HostState.GONE
-            and host_table.heard_at_us[i] < late
-            and not self.tables_with(i)
-        ]
-
-    def lift(self) -> None:
-        """Once no table names it; a cold host stays out while proxies on older tables may name it too."""
-        for i in sorted(self.withdrawn):
-            fits = len(self.unbound) * (self.channel.message_overhead + 1) <= self.room(
-                self.allowance
-            )
-            back = self.host_table.state[i] is HostState.READY and not self.tables_with(i) and fits
-            if back and (self.host_table.weight_cap[i] == NO_CAP or not self.unbound):
-                self.withdrawn.discard(i)
-                self.notified.pop(i, None)
-                self.command(
-                    commands.WithdrawHost(self.host_table.host_ids[i], False), self.unbound
-                )
-
-    def room(
-        self, most_queued: float
-    ) -> float:  # for what can wait: a drain's message must always fit
-        most = max(
-            self.bind_allowance,
-            self.limit - len(self.zone_of_proxy) * (self.channel.message_overhead + 1),
-        )
-        return min(most_queued - self.channel.queued, most - self.channel.unacknowledged)
-
-    def bind_waiting(self) -> None:
-        """Each proxy once a stream, and never to tables without lines; fresh ones, and large ones, first."""
-        for change in (
-            () if self.bound or self.host_table.first_weights_since_us else list(self.changes())
-        ):
-            self.set_line(
-                change, NO_CAP
-            )  # nobody pays for them yet, and binds are to carry the newest
-        filled = (
-            any(t.published for t in self.tables) and not self.host_table.first_weights_since_us
-        )
-        most = (self.bind_allowance, self.allowance)[self.bare]  # proxies may be bare: slots wait
-        out = (
-            self.withdrawn,
-            self.withdrawn | self.host_table.possibly_withdrawn,
-        )  # lines more: for who is fresh, and is not
-        for proxy in sorted(self.unbound, key=lambda p: (*self.unbound[p], p)) if filled else ():
-            tables = [
-                table for table in self.tables if table.serves_zone(self.zone_of_proxy[proxy])
-            ]
-            costs = [table.lines(out[proxy in self.returning]) for table in tables]
-            needs = sum(costs) + self.channel.message_overhead
-            # Guards against a table longer than binds may queue, which would never go; alone it does.
-            if needs > self.room(max(most, min(needs, self.allowance))):
-                break
-            del self.unbound[proxy]
-            self.bound.add(proxy)
-            for table, lines in zip(tables, costs):
-                products = tuple(table.products) if len(self.tables) > 1 else None
-                self.command(commands.BindProxy(table.number, proxy, products), [proxy], lines)
+        lines = len(worthwhile) + len(self.pending_limits)
+        if room < len(self.bound) * min(overhead, lines):
+            return  # a later message holds more lines for its overhead
+        room = self._write_limits(room)
+        benefit = sum(change.gain - price for change in worthwhile)
+        if benefit > price * overhead or self.channel.batch:
+            for change in worthwhile:
+                room -= write_slot(self, self.host_table, change, room)
+
+    def _write_limits(self, room: float) -> float:
+        """Writes the admission limits that there is room for; returns the room left."""
+        for key, limit in list(self.pending_limits.items()):
+            assert limit.table is not None  # admission sets limits table by table
+            recipients = self.users(self.tables[limit.table])
+            if room >= len(recipients):
+                room -= len(recipients)
+                self.command(self.pending_limits.pop(key), recipients)
+        return room
+
+    def _fill_unused_tables(self) -> None:
+        """Sets all slots while no proxy is bound: nobody is written them, and binds carry the newest."""
+        for change in self.slot_changes.list_changes(self.scheduler.now):
+            write_slot(self, self.host_table, change, NO_CAP)
--- a/plankroute/policy/slots.py
+++ b/plankroute/policy/slots.py
@@ -1,100 +1,124 @@
-"""Integer slots of the routing tables."""
+"""Integer slots: what a routing table has for each host, from the weights by largest remainders.
 
-import math
-from typing import Any
+Request classes that may use the same hosts share a table. Proxies spread requests over a table in proportion
+to its slots. Only changed slots are written, so hosts that stay keep the sum of their slots: one that comes or
+goes moves no other's.
+"""
 
-from plankroute.events.facts import StartFacts
+from dataclasses import dataclass
+
+from plankroute.events.facts import RequestClassFacts, StartFacts
 from plankroute.policy.host_table import HostTable
-from plankroute.state.host_statistics import NO_CAP, group_by
-from plankroute.state.proxy_registry import (
-    PublishedTable,
-    round_preserving_sum,
-)
-
-
-class Table(PublishedTable):
-    SLOTS_A_HOST = 32  # steps of 3% of a usual weight: finer ones cost lines and move nothing
-    LEAST_HOSTS = 24  # warm ones in a table of a part: fewer would hang on single hosts
-
-    def subset(
-        self, host_table: HostTable, able: list[int], part: float, start: float
-    ) -> list[int]:
-        """An arc of a ring: stewards' arcs lie beside each other, so each host is in as many tables as any
-        other, and one that comes or goes moves the arc's ends alone; each zone's kinds are spread evenly."""
-        listed_weight = sorted(
-            (i for i in host_table.ready() if self.admits(host_table, i)),
-            key=lambda i: host_table.name_order[i],
-        )
-        kins = group_by(
-            listed_weight, lambda i: (host_table.zone[i], host_table.machine_type[i])
-        )  # the same at every steward
-        ring = [
-            i
-            for *_, i in sorted(
-                ((n + 0.5) / len(kin), k, i)
-                for k, kin in enumerate(kins)
-                for n, i in enumerate(kin)
-            )
-        ]
-        ring = ring[(at := int(start * len(ring))) :] + ring[:at]
-        open_to = set(able)
-        warm = [
-            i
-            for i in ring
-            if i in open_to and host_table.weight_cap[i] == NO_CAP and not host_table.ejected[i]
-        ]
-        most, least = math.ceil(part * len(warm)), self.LEAST_HOSTS
-        if len(warm) < 2 * least > 2 * most or most >= len(warm):
-            return able  # widened to over a half it would save little
-        most = max(most, least)
-        return sorted(open_to.intersection(ring[: ring.index(warm[most - 1]) + 1]))
+from plankroute.policy.subsetting import ALL_HOSTS, Subset, hosts_of_subset
+from plankroute.state.host_statistics import NO_CAP
+from plankroute.state.proxy_registry import PublishedTable, round_preserving_sum
+
+# Slots of a usual host: steps of 3% of a usual weight; finer ones cost lines and move nothing
+# (docs/design.md).
+SLOTS_PER_HOST = 32
+
+
+class RoutingTable(PublishedTable):
+    """A table of slots for the hosts that some request classes may use."""
 
     def slots(
-        self, host_table: HostTable, out: set[int], part: float = 1.0, start: float = 0.0
+        self, host_table: HostTable, withdrawn: set[int], subset: Subset = ALL_HOSTS
     ) -> dict[int, int]:
-        """Floor of each share, the missing ones to the largest remainders; each open host keeps one."""
-        able = [
-            i
-            for i in host_table.ready()
-            if host_table.weight_cap[i] and i not in out and self.admits(host_table, i)
+        """Returns the slots that the table should have, by host; each host of the table has one at least.
+
+        Sets the effective weight of the hosts whose slots are published.
+
+        Args:
+            host_table: Statistics of all hosts.
+            withdrawn: Hosts that are withdrawn, or about to be.
+            subset: The part of the hosts that this controller's tables hold.
+        """
+        weights = {
+            host: host_table.capped_weight(host)
+            for host in self._hosts(host_table, withdrawn, subset)
+        }
+        scale = self._slots_per_weight(host_table, weights)
+        exact = {host: weight * scale for host, weight in weights.items()}
+        for host in self.published.keys() & exact.keys():
+            host_table.effective_weight[host] = self.published[host] / scale
+        return {host: max(1, count) for host, count in round_preserving_sum(exact).items()}
+
+    def _hosts(self, host_table: HostTable, withdrawn: set[int], subset: Subset) -> list[int]:
+        """Returns the hosts that the table should hold.
+
+        Guards against a table without hosts, and against all requests on a few hosts or on cold ones: where
+        ejected hosts are at least twice as many as warm ones, those within reach are used all the same.
+        """
+        candidates = [
+            host
+            for host in host_table.ready()
+            if host_table.weight_cap[host]
+            and host not in withdrawn
+            and self.admits(host_table, host)
         ]
-        able = self.subset(host_table, able, part, start) if part < 1 else able
-        hosts, suspects = (
-            [i for i in able if not host_table.ejected[i]],
-            [i for i in able if host_table.ejected[i]],
-        )
-        if 2 * sum(host_table.weight_cap[i] == NO_CAP for i in hosts) <= len(suspects):
-            # Guards against a bare proxy, and against all txns on a few hosts, or on ones still cold.
-            hosts += [i for i in suspects if not host_table.unreachable[i]]
-        hosts = hosts or suspects
-        weights = {i: host_table.capped_weight(i) for i in hosts}
-        # Those that stay keep their slots together, so that one that comes or goes moves no other's.
-        stay = [i for i in hosts if i in self.published and host_table.weight_cap[i] == NO_CAP]
-        scale = (
-            sum(self.published[i] for i in stay) / sum(weights[i] for i in stay) if stay else 0.0
-        )
-        usual = self.SLOTS_A_HOST * len(hosts) / sum(weights.values()) if hosts else 0.0
-        if not usual / 2 < scale < 2 * usual:
-            scale = usual
-        exact = {i: weight * scale for i, weight in weights.items()}
-        for i in self.published.keys() & exact.keys():
-            host_table.effective_weight[i] = self.published[i] / scale
-        return {i: max(1, count) for i, count in round_preserving_sum(exact).items()}
-
-
-def tables_for(
-    facts: StartFacts,
-) -> list[Table]:  # one; others for products that may not use every host
-    tables: dict[tuple[Any, ...], Table] = {}
-    for index, product in enumerate(facts.request_classes):
-        for zone in range(facts.zones) if product.stays_in_zone else (None,):
-            open_to = (
-                product.zones
-                if zone is None
-                else (zone,)
-                if zone in (product.zones or (zone,))
-                else ()
-            )
-            key = (open_to, product.machine_types, zone)
-            tables.setdefault(key, Table(len(tables), *key)).products.append(index)
+        if subset.share < 1:
+            candidates = hosts_of_subset(host_table, self, candidates, subset)
+        hosts = [host for host in candidates if not host_table.ejected[host]]
+        ejected = [host for host in candidates if host_table.ejected[host]]
+        warm_count = sum(host_table.weight_cap[host] == NO_CAP for host in hosts)
+        if 2 * warm_count <= len(ejected):
+            hosts += [host for host in ejected if not host_table.unreachable[host]]
+        return hosts or ejected
+
+    def _slots_per_weight(self, host_table: HostTable, weights: dict[int, float]) -> float:
+        """Returns the scale that keeps the sum of slots of the hosts that stay.
+
+        Where that is off by a factor of two it starts anew, as it does where none stay.
+        """
+        if not weights:
+            return 0.0
+        usual = SLOTS_PER_HOST * len(weights) / sum(weights.values())
+        staying = [
+            host
+            for host in weights
+            if host in self.published and host_table.weight_cap[host] == NO_CAP
+        ]
+        if not staying:
+            return usual
+        published_slots = sum(self.published[host] for host in staying)
+        scale = published_slots / sum(weights[host] for host in staying)
+        return scale if usual / 2 < scale < 2 * usual else usual
+
+
+@dataclass(frozen=True, slots=True)
+class TableScope:
+    """Which hosts a table admits and which proxies it serves; None for all.
+
+    Attributes:
+        zones: Zones of its hosts.
+        machine_types: Machine types of its hosts.
+        proxy_zone: Zone of its proxies.
+    """
+
+    zones: tuple[int, ...] | None
+    machine_types: tuple[int, ...] | None
+    proxy_zone: int | None
+
+
+def build_tables(facts: StartFacts) -> list[RoutingTable]:
+    """Returns one table, and further ones for request classes that may not use every host."""
+    tables: dict[TableScope, RoutingTable] = {}
+    for request_class, class_facts in enumerate(facts.request_classes):
+        for scope in table_scopes(class_facts, facts.zones):
+            if scope not in tables:
+                tables[scope] = RoutingTable(
+                    len(tables), scope.zones, scope.machine_types, scope.proxy_zone
+                )
+            tables[scope].products.append(request_class)
     return list(tables.values())
+
+
+def table_scopes(class_facts: RequestClassFacts, zones: int) -> list[TableScope]:
+    """Returns the scopes of a request class: one, or one a zone if its requests stay in their zone."""
+    if not class_facts.stays_in_zone:
+        return [TableScope(class_facts.zones, class_facts.machine_types, None)]
+    scopes = []
+    for zone in range(zones):
+        is_open = not class_facts.zones or zone in class_facts.zones
+        scopes.append(TableScope((zone,) if is_open else (), class_facts.machine_types, zone))
+    return scopes
--- a/tests/test_decide.py
+++ b/tests/test_decide.py
@@ -23,8 +23,10 @@
 from plankroute.events import commands, events
 from plankroute.events.events import HealthCheckOutcome, ListKind
 from plankroute.events.facts import AdmissionUnit, PenaltyRates, ReportSource
-from plankroute.policy.host import Host
-from plankroute.policy.publisher import Publisher
+from plankroute.policy import drains
+from plankroute.policy.admission import OPEN_LIMITS
+from plankroute.policy.drains import Drains
+from plankroute.policy.health import HostHealth
 
 
 def test_one_shared_table_binds_each_proxy_once_and_sends_only_changes():
@@ -56,7 +58,7 @@
         turns = len(found)
         bench.give(changes(entry(100, DRAINING, zone=0, kind=0)))
         assert turns == 0 < len(found) and 100 not in bench.lines[0]
-        assert publisher.all_slots() == [
+        assert publisher.target.current() == [
             plain(publisher.tables[0], bench.controller.host_table, publisher.withdrawn)
         ]
     finally:
@@ -215,7 +217,7 @@
         feed(bench, 1, skip=tuple(range(100, 106)))
     assert bench.lines[0].keys() == set(range(106, 112))
     ejected = bench.controller.host_table.ejected
-    monkeypatch.setattr(Host, "suspect", lambda self, usual: True)
+    monkeypatch.setattr(HostHealth, "is_suspect", lambda self, usual: True)
     for others, spared in ((9, False), (8, True)):
         ejected[:] = [True] * others + [False] * (12 - others)
         bench.give(
@@ -370,7 +372,9 @@
             ]
         )
         bench.pass_time(SECOND // 2)
-        bench.controller.publisher.round = 100.0  # a channel that is busy with withdrawals
+        bench.controller.publisher.flow.round_trip_lines = (
+            100.0  # a channel that is busy with withdrawals
+        )
         bench.give(changes(entry(host, DRAINING)))
         bench.rate = 0.0
         bench.pass_time(SECOND // 2)
@@ -489,7 +493,7 @@
     bench.pass_time(8 * SECOND)
     bench.give(changes(*[entry(100 + i, GONE, i % 3) for i in range(12)]))
     bench.pass_time(4 * SECOND)
-    bench.controller.publisher.spare_us = 2 * SECOND  # binds of all take three
+    bench.controller.publisher.flow.grace_slack_us = 2 * SECOND  # binds of all take three
     bench.log.clear()
     bench.give(
         *[events.ProxyLeft(p) for p in range(100)],
@@ -504,7 +508,7 @@
 def test_a_warm_host_that_returns_keeps_its_line_while_the_fleet_drowns():
     bench = ready_bench(hosts=4, request_classes=(product(stays_in_zone=True),))
     feed(bench, 6, failed=lambda host: 8)
-    bench.controller.hosts[0].share = 0.25
+    bench.controller.hosts[0].ramp.readmission_share = 0.25
     bench.give(changes(entry(100)))
     bench.give(changes(entry(103, GONE)))
     bench.pass_time(SECOND)
@@ -526,7 +530,7 @@
         0.4 * whole < bench.levels[-1].limit < whole
     )  # one late answer is counted once, not every turn
     feed(bench, 25)
-    assert bench.levels[-1].limit == Publisher.OPEN[unit]
+    assert bench.levels[-1].limit == OPEN_LIMITS[unit]
 
 
 def test_levels_decline_nothing_for_lost_connections_and_no_more_than_is_lost():
@@ -733,7 +737,7 @@
     feed(bench, 8, skip=tuple(set(bench.hosts) - mine))
     host_table = bench.controller.host_table
     assert host_table.outside_subset and not any(
-        bench.controller.hosts[i].silent() for i in host_table.outside_subset
+        bench.controller.hosts[i].health.is_silent() for i in host_table.outside_subset
     )
     mean = sum(host_table.weight[i] for i in host_table.outside_subset) / len(
         host_table.outside_subset
@@ -884,7 +888,7 @@
 
 
 def test_the_model_objects_to_a_steward_that_forgets_drains(monkeypatch):
-    monkeypatch.setattr(Publisher, "tell_gone", lambda self, host, room: 0)
+    monkeypatch.setattr(Drains, "withdraw", lambda self, host, room: 0)
     bench = ready_bench()
     bench.give(changes(entry(100, DRAINING)))
     with pytest.raises(AssertionError, match="drained"):
@@ -981,7 +985,7 @@
     )
 
 
-def test_hosts_that_return_are_let_back_only_as_the_channel_has_room():
+def test_hosts_that_return_are_let_back_only_as_the_channel_has_room(monkeypatch):
     """Guards against a channel filled past its cap: a zone returns while hundreds of proxies wait."""
     facts = start_facts(
         proxy_count=100,
@@ -998,7 +1002,9 @@
     zone = range(100, 160, 3)
     bench.give(changes(*[entry(host, GONE) for host in zone]))
     publisher = bench.controller.publisher
-    publisher.IN_TIME = 0.0  # as if binds took too long: who joins is told of drains
+    monkeypatch.setattr(
+        drains, "MAX_BIND_PART_OF_GRACE", 0.0
+    )  # as if binds took too long: who joins is told of drains
     bench.give(*[events.ProxyJoined(p, p % 3, 10.0, False) for p in range(1, 100)])
     bench.pass_time(3 * SECOND)
     assert publisher.unbound and publisher.withdrawn
@@ -1019,7 +1025,7 @@
     bench.give(*[events.ProxyJoined(p, p % 3, 5.0, True) for p in range(100)])
     bench.pass_time(8 * SECOND)
     publisher = bench.controller.publisher
-    publisher.round, publisher.written_us = (
+    publisher.flow.round_trip_lines, publisher.written_us = (
         0.0,
         bench.now,
     )  # as if it had just written, and more still waits
@@ -1036,7 +1042,8 @@
     bench = parts_of(4, 200, 60)[0]
     host_table, publisher = bench.controller.host_table, bench.controller.publisher
     before = set(bench.lines[0])
-    publisher.start, publisher.seen = 0.1, []  # as if warm hosts had come and gone beside it
-    left = [change for change in publisher.changes() if not change.count]
+    publisher.subsetting.start = 0.1
+    publisher.target.invalidate()  # as if warm hosts had come and gone beside it
+    left = [change for change in publisher.slot_changes.list_changes(bench.now) if not change.count]
     assert 10 < len(left) < 30 and {host_table.host_ids[change.index] for change in left} < before
     assert not any(change.urgent for change in left)
