--- a/plankroute/policy/admission.py
+++ b/plankroute/policy/admission.py
@@ -12,8 +12,10 @@
 from plankroute.events.facts import AdmissionUnit, StartFacts
 from plankroute.policy.constants import SECOND_US
 from plankroute.policy.host_table import HostTable
+from plankroute.state.apportionment import even_rate_cap
 from plankroute.state.host_statistics import NO_CAP
-from plankroute.state.proxy_registry import ProxyRegistry, PublishedTable, even_rate_cap
+from plankroute.state.proxy_registry import ProxyRegistry
+from plankroute.state.published_table import PublishedTable
 from plankroute.state.scheduler import Actor, Scheduler, Tick
 
 # Limits that admit everything, by their unit; the rate is one that no proxy reaches.
--- a/plankroute/policy/drains.py
+++ b/plankroute/policy/drains.py
@@ -12,7 +12,8 @@
 from plankroute.policy.flow_control import FlowControl, write_slot
 from plankroute.policy.host_table import HostTable
 from plankroute.state.host_statistics import NO_CAP
-from plankroute.state.proxy_registry import Change, ProxyRegistry
+from plankroute.state.proxy_registry import ProxyRegistry
+from plankroute.state.published_table import Change
 
 # Time for which removed hosts are remembered: proxies back from the longest network partitions may still
 # name them. A guess.
--- a/plankroute/policy/fill.py
+++ b/plankroute/policy/fill.py
@@ -10,7 +10,7 @@
 from plankroute.policy.constants import STATS_HALF_LIFE_US
 from plankroute.policy.host_table import HostTable
 from plankroute.state.host_statistics import group_by
-from plankroute.state.proxy_registry import PublishedTable
+from plankroute.state.published_table import PublishedTable
 
 # Surcharge for slow hosts, as a power of the latency relative to the usual one: tuned in simulation.
 SLOWNESS_EXPONENT = 0.3
--- a/plankroute/policy/flow_control.py
+++ b/plankroute/policy/flow_control.py
@@ -8,7 +8,8 @@
 from plankroute.events.facts import StartFacts
 from plankroute.policy.constants import SECOND_US
 from plankroute.state.host_statistics import HostStatistics
-from plankroute.state.proxy_registry import Change, ProxyRegistry
+from plankroute.state.proxy_registry import ProxyRegistry
+from plankroute.state.published_table import Change
 
 # How often the publisher looks for work: well within any drain grace, and shorter than a one-way delay.
 # A guess.
--- a/plankroute/policy/publisher.py
+++ b/plankroute/policy/publisher.py
@@ -15,7 +15,8 @@
 from plankroute.policy.subsetting import SubsetPolicy
 from plankroute.state.channel import Channel
 from plankroute.state.host_statistics import NO_CAP
-from plankroute.state.proxy_registry import Change, ProxyRegistry
+from plankroute.state.proxy_registry import ProxyRegistry
+from plankroute.state.published_table import Change
 from plankroute.state.scheduler import Scheduler, Tick
 
 # Share of a zone's hosts that are removed, from which on proxies that wait there may have no endpoint left:
--- a/plankroute/policy/slot_changes.py
+++ b/plankroute/policy/slot_changes.py
@@ -11,7 +11,7 @@
 from plankroute.policy.slots import SLOTS_PER_HOST, RoutingTable
 from plankroute.policy.subsetting import SubsetPolicy
 from plankroute.state.host_statistics import NO_CAP
-from plankroute.state.proxy_registry import Change
+from plankroute.state.published_table import Change
 
 # The benefit grows with the third power of the mean latency, in latency objectives, times this. Guards
 # against a channel that is busy all day with the small moves of a calm day. Tuned in simulation.
--- a/plankroute/policy/slots.py
+++ b/plankroute/policy/slots.py
@@ -10,8 +10,9 @@
 from plankroute.events.facts import RequestClassFacts, StartFacts
 from plankroute.policy.host_table import HostTable
 from plankroute.policy.subsetting import ALL_HOSTS, Subset, hosts_of_subset
+from plankroute.state.apportionment import round_preserving_sum
 from plankroute.state.host_statistics import NO_CAP
-from plankroute.state.proxy_registry import PublishedTable, round_preserving_sum
+from plankroute.state.published_table import PublishedTable
 
 # Slots of a usual host: steps of 3% of a usual weight; finer ones cost lines and move nothing
 # (docs/design.md).
--- a/plankroute/policy/subsetting.py
+++ b/plankroute/policy/subsetting.py
@@ -13,7 +13,7 @@
 from plankroute.policy.constants import SECOND_US
 from plankroute.policy.host_table import HostTable
 from plankroute.state.host_statistics import NO_CAP, group_by
-from plankroute.state.proxy_registry import PublishedTable
+from plankroute.state.published_table import PublishedTable
 
 # Time in which all binds are to be written at most: a guess.
 MAX_BIND_US = 3 * SECOND_US
--- a/plankroute/policy/weights.py
+++ b/plankroute/policy/weights.py
@@ -13,7 +13,7 @@
 from plankroute.policy.host_table import HostTable
 from plankroute.policy.prior_knowledge import PriorKnowledge
 from plankroute.state.host_statistics import NO_CAP
-from plankroute.state.proxy_registry import PublishedTable
+from plankroute.state.published_table import PublishedTable
 from plankroute.state.scheduler import Actor, Scheduler, Tick
 
 # Gains of the PID controller: tuned in simulation. Fill is that of the present weight, so late statistics
