--- a/plankroute/policy/admission.py
+++ b/plankroute/policy/admission.py
@@ -1,7 +1,8 @@
 """Admission control: limits what proxies admit while answers are late, table by table.
 
-Load is shed early, so that the requests which are admitted are answered in time. No limit falls below the part
-of the requests that is served just now. Where proxies heed no limits nothing is decided.
+Load is shed early, so that the requests which are admitted are answered in time. No limit falls
+below the part of the requests that is served just now. Where proxies heed no limits nothing is
+decided.
 """
 
 from collections import deque
@@ -18,21 +19,22 @@
 
 # Limits that admit everything, by their unit; the rate is one that no proxy reaches.
 OPEN_LIMITS = {AdmissionUnit.NONE: 1.0, AdmissionUnit.SHARE: 1.0, AdmissionUnit.RATE: 1e6}
-# A proxy retries only on proof that the first attempt never ran: other retries doubled the load of late
-# hosts (docs/results.md).
+# A proxy retries only on proof that the first attempt never ran: other retries doubled the load of
+# late hosts (docs/results.md).
 RETRY_POLICY = commands.RetryPolicy.IF_NOT_EXECUTED
-# Mean latency, in latency objectives, beyond which load is shed: a mean near the objective leaves a long
-# tail past it. Tuned in simulation.
+# Mean latency, in latency objectives, beyond which load is shed: a mean near the objective leaves a
+# long tail past it. Tuned in simulation.
 LATE_MEAN = 0.55
 # Mean latency below which more is admitted: tuned in simulation.
 TIMELY_MEAN = 0.45
-# Factors a turn on the admitted share: quick enough for a burst, slow enough for late reports. Tuned in
-# simulation.
+# Factors a turn on the admitted share: quick enough for a burst, slow enough for late reports.
+# Tuned in simulation.
 DECREASE = 0.7
 INCREASE = 1.15
 # The least share that is admitted: a guess.
 MIN_SHARE = 0.1
-# Turns until a limit shows in the statistics: a decrease is counted from the share that was then in force.
+# Turns until a limit shows in the statistics: a decrease is counted from the share that was then in
+# force.
 TURNS_OF_DELAY = 4
 # Relative changes of a limit that are not worth their lines: a guess.
 MIN_CHANGE = 0.05
@@ -145,8 +147,8 @@
     def on_host_stats(self, stats: events.HostRequestStats) -> None:
         """Adds what proxies met at a host to the load of their tables.
 
-        A table goes by what its own proxies met: a zone behind a network partition may serve its own
-        requests all the same.
+        A table goes by what its own proxies met: a zone behind a network partition may serve its
+        own requests all the same.
         """
         host = self.host_table.index_of[stats.host]
         served = stats.attempts - stats.failed
--- a/plankroute/policy/composition.py
+++ b/plankroute/policy/composition.py
@@ -1,4 +1,4 @@
-"""Builds the policy of one controller from its parts; the entry point reaches every part from here."""
+"""Builds the policy of one controller from its parts, for the entry point."""
 
 from dataclasses import dataclass
 
@@ -14,8 +14,8 @@
 from plankroute.policy.weights import WeightController
 from plankroute.state.scheduler import Scheduler
 
-# Delay before a poll of the endpoint list that failed is repeated: a guess, well before the list counts as
-# known to be out of date.
+# Delay before a poll of the endpoint list that failed is repeated: a guess, well before the list
+# counts as known to be out of date.
 LIST_RETRY_DELAY_US = 2 * SECOND_US
 # How often the publisher looks for work between turns; flow control says why.
 PUBLISHER_PULSE_US = flow_control.PULSE_US
--- a/plankroute/policy/drains.py
+++ b/plankroute/policy/drains.py
@@ -1,8 +1,8 @@
 """Drains: hosts that drain or were removed are withdrawn from the proxies before all else.
 
-Where one table holds the host, its line is removed there; proxies that are not bound yet, and all of them where
-several tables hold it, are told to withdraw the host, once a connection. A withdrawn host is reinstated
-when it is ready again and no table names it.
+Where one table holds the host, its line is removed there; proxies that are not bound yet, and all
+of them where several tables hold it, are told to withdraw the host, once a connection. A withdrawn
+host is reinstated when it is ready again and no table names it.
 """
 
 from plankroute.events import commands, events
@@ -14,11 +14,11 @@
 from plankroute.state.host_statistics import NO_CAP
 from plankroute.state.proxy_registry import Change, ProxyRegistry
 
-# Time for which removed hosts are remembered: proxies back from the longest network partitions may still
-# name them. A guess.
+# Time for which removed hosts are remembered: proxies back from the longest network partitions may
+# still name them. A guess.
 REMOVED_HOST_TTL_US = 60 * SECOND_US
-# Part of the drain grace left after the longest one-way delay in which binds are to be written: those that
-# fit replace the proxies' old tables and need no withdrawals before them. A guess.
+# Part of the drain grace left after the longest one-way delay in which binds are to be written:
+# those that fit replace the proxies' old tables and need no withdrawals before them. A guess.
 MAX_BIND_PART_OF_GRACE = 0.75
 
 
@@ -102,14 +102,17 @@
                 registry.command(command, registry.unbound)
 
     def must_write_now(self, room: float) -> bool:
-        """Whether withdrawals do not wait for the channel: the first go at once, refused ones when all fit."""
+        """Whether withdrawals are written although the channel is busy.
+
+        The first go at once; those that were refused go when all of them fit.
+        """
         if self._has_refused and sum(map(self.registry.withdrawal_lines, self.pending)) <= room:
             return True
         since_us = self.registry.scheduler.now - self.last_written_us
         return bool(self.pending) and since_us >= self.flow.max_gap_us
 
     def write(self, room: float) -> float:
-        """Writes the pending withdrawals that there is room for, the newest first; returns the room left."""
+        """Writes the pending withdrawals that fit, the newest first; returns the room left."""
         for host in sorted(self.pending, key=self._urgency):
             self.last_written_us = self.registry.scheduler.now
             room -= self.withdraw(host, room)
@@ -158,4 +161,5 @@
         lines = registry.channel.unacknowledged + len(registry.unbound) * lines_per_bind
         waited_us = registry.scheduler.now - since_us
         left_us = MAX_BIND_PART_OF_GRACE * self.flow.grace_slack_us - waited_us
-        return lines <= left_us * self.flow.lines_per_us
+        lines_in_time = left_us * self.flow.lines_per_us
+        return bool(lines <= lines_in_time)
--- a/plankroute/policy/fill.py
+++ b/plankroute/policy/fill.py
@@ -1,10 +1,11 @@
 """Fill: which part of its capacity a host's present weight takes, compared to the other hosts.
 
-The source of the method has queue length over capacity. Here hosts are unlike, their queues are unknown and
-statistics come seconds late. A host's capacity is the requests in flight at it, or those that it works on at
-once if fewer wait, over its mean latency. Its stress is the rate that its present weight brings over that
-capacity; its fill is stress over stress plus the mean stress, so 0 to 1. Capacity hardly depends on the
-weight, so late reports do not make the loop swing (docs/design.md).
+The source of the method has queue length over capacity. Here hosts are unlike, their queues are
+unknown and statistics come seconds late. A host's capacity is the requests in flight at it, or
+those that it works on at once if fewer wait, over its mean latency. Its stress is the rate that its
+present weight brings over that capacity; its fill is stress over stress plus the mean stress, so 0
+to 1. Capacity hardly depends on the weight, so late reports do not make the loop swing
+(docs/design.md).
 """
 
 from plankroute.policy.constants import STATS_HALF_LIFE_US
@@ -12,15 +13,17 @@
 from plankroute.state.host_statistics import group_by
 from plankroute.state.proxy_registry import PublishedTable
 
-# Surcharge for slow hosts, as a power of the latency relative to the usual one: tuned in simulation.
+# Surcharge for slow hosts, as a power of the latency relative to the usual one: tuned in
+# simulation.
 SLOWNESS_EXPONENT = 0.3
-# Surcharge for queues, as a power of the requests in flight over the concurrency: tuned in simulation;
-# more made queues swing.
+# Surcharge for queues, as a power of the requests in flight over the concurrency: tuned in
+# simulation; more made queues swing.
 QUEUE_EXPONENT = 0.45
-# Requests that a usual host works on before any waits: measured in simulation. With more in flight these
-# tell its capacity.
+# Requests that a usual host works on before any waits: measured in simulation. With more in flight
+# these tell its capacity.
 USUAL_CONCURRENCY = 3.0
-# Weight of the prior, in attempts, that shrinks a host's mean latency to its machine type's: a guess.
+# Weight of the prior, in attempts, that shrinks a host's mean latency to its machine type's: a
+# guess.
 PRIOR_ATTEMPTS = 3.0
 # Least attempts, as a decayed sum, at which a machine type's latency is known: a guess.
 MIN_TYPE_ATTEMPTS = 0.5
@@ -42,7 +45,8 @@
         if host_table.reports[host] > MIN_REPORTS
     }
     stress: dict[int, float] = {}
-    # Hosts that serve the same request classes: others have another mix of work, and other attempts a weight.
+    # Hosts that serve the same request classes: others have another mix of work, and other attempts
+    # a weight.
     for hosts in group_by(
         latencies, lambda host: tuple(table.admits(host_table, host) for table in tables)
     ):
@@ -66,8 +70,8 @@
 ) -> float:
     """Returns the requests a microsecond that a weight of one brings.
 
-    By the requests in flight that hosts report, which come from all proxies, so that controllers do not
-    drift apart; without reports by the attempts of this controller's proxies alone.
+    By the requests in flight that hosts report, which come from all proxies, so that controllers do
+    not drift apart; without reports by the attempts of this controller's proxies alone.
     """
     reporting = [host for host in hosts if in_flight.get(host, 0.0) > 0]
     if reporting:
--- a/plankroute/policy/first_weights.py
+++ b/plankroute/policy/first_weights.py
@@ -1,9 +1,10 @@
 """First weights: the weights of hosts before the controller's own statistics can tell.
 
-Where the first proxy joins on tables of another controller, or of an earlier run, the weights follow the
-attempts that those tables bring each host: they were right. Otherwise, where the endpoint list gives no
-sizes, every host is checked once, and the weights follow the speed of the answers. Proxies are bound after
-that. Guards against even weights until the first reports come, seconds after the first requests.
+Where the first proxy joins on tables of another controller, or of an earlier run, the weights
+follow the attempts that those tables bring each host: they were right. Otherwise, where the
+endpoint list gives no sizes, every host is checked once, and the weights follow the speed of the
+answers. Proxies are bound after that. Guards against even weights until the first reports come,
+seconds after the first requests.
 """
 
 from dataclasses import dataclass
@@ -14,8 +15,8 @@
 from plankroute.policy.prior_knowledge import PriorKnowledge
 from plankroute.state.host_statistics import group_by
 
-# Longest wait for reports on old tables, if binding then still fits the drain grace: old tables name lost
-# hosts. A guess.
+# Longest wait for reports on old tables, if binding then still fits the drain grace: old tables
+# name lost hosts. A guess.
 MAX_WAIT_US = 5 * SECOND_US
 # Longest wait for the answers to health checks: a check that takes longer tells nothing of speed.
 CHECKS_WAIT_US = SECOND_US // 4
@@ -34,11 +35,11 @@
     """How far the first weights are.
 
     Attributes:
-        since_us: Since when proxies wait for the first weights; 0 while no proxy has joined, None once the
-            weights are decided.
+        since_us: Since when proxies wait for the first weights; 0 while no proxy has joined, None
+            once the weights are decided.
         timeout_us: How long they wait for reports on old tables at most.
-        from_old_tables: Whether the first proxy joined on tables that an earlier run or another controller
-            has written.
+        from_old_tables: Whether the first proxy joined on tables that an earlier run or another
+            controller has written.
     """
 
     since_us: int | None = 0
@@ -52,7 +53,7 @@
 
     @property
     def is_decided(self) -> bool:
-        """Whether the weights are decided, by what was learned or because nothing is to be learned."""
+        """Whether the weights are decided, or there is nothing to decide them by."""
         return self.since_us is None
 
     @property
@@ -69,7 +70,8 @@
             host_table: Statistics of all hosts.
             now: Present time.
             has_old_tables: Whether the proxy holds tables of an earlier run or another controller.
-            binding_slack_us: What the drain grace leaves beside the time that it takes to bind all proxies.
+            binding_slack_us: What the drain grace leaves beside the time that it takes to bind all
+                proxies.
         """
         has_listed_sizes = len(set(host_table.listed_weight)) > 1
         can_check = host_table.health_checks_allowed and not has_listed_sizes
@@ -82,7 +84,7 @@
     def try_decide(
         self, host_table: HostTable, prior: PriorKnowledge, eligible: list[int], now: int
     ) -> bool:
-        """Sets the first weights once enough is known, or the wait is over; returns whether it did."""
+        """Sets the first weights if enough is known or the wait is over; returns whether it did."""
         assert self.since_us is not None
         timeout_us = self.timeout_us if self.from_old_tables else CHECKS_WAIT_US
         is_late = now - self.since_us > timeout_us
@@ -161,10 +163,10 @@
 def weights_by_speed(
     hosts: list[int], speed: list[float], typical_speed: float
 ) -> dict[int, float]:
-    """Returns weights by the speed at which the hosts of a machine type answered their health checks.
+    """Returns weights by the speed at which hosts of a machine type answered health checks.
 
-    A type counts by its median speed, a host by the root of its own within bounds: single checks are off by
-    a factor of two. Not all hosts answer in time.
+    A type counts by its median speed, a host by the root of its own within bounds: single checks
+    are off by a factor of two. Not all hosts answer in time.
 
     Args:
         hosts: Hosts of one machine type.
--- a/plankroute/policy/flow_control.py
+++ b/plankroute/policy/flow_control.py
@@ -1,7 +1,8 @@
 """Flow control: how much may be written to the proxies, so that urgent lines never wait for long.
 
-A proxy's channel takes lines at a fixed pace, and every message costs an overhead beside its lines. Lines that
-wait in the channel delay all that comes after them, so changes that can wait are held back here instead.
+A proxy's channel takes lines at a fixed pace, and every message costs an overhead beside its lines.
+Lines that wait in the channel delay all that comes after them, so changes that can wait are held
+back here instead.
 """
 
 from plankroute.events import commands
@@ -10,18 +11,19 @@
 from plankroute.state.host_statistics import HostStatistics
 from plankroute.state.proxy_registry import Change, ProxyRegistry
 
-# How often the publisher looks for work: well within any drain grace, and shorter than a one-way delay.
-# A guess.
+# How often the publisher looks for work: well within any drain grace, and shorter than a one-way
+# delay. A guess.
 PULSE_US = SECOND_US // 10
 # Part of the backlog cap that changes which can wait may fill; the rest is for drains. A guess.
 ORDINARY_PART_OF_BACKLOG = 0.5
-# Part of the time that the drain grace leaves after the longest one-way delay, for the same. A guess.
+# Part of the time that the drain grace leaves after the longest one-way delay, for the same. A
+# guess.
 ORDINARY_PART_OF_GRACE = 0.4
-# Part of that allowance that binds may fill: they leave room for slots, so that proxies which come later
-# find the table right. A guess.
+# Part of that allowance that binds may fill: they leave room for slots, so that proxies which come
+# later find the table right. A guess.
 BIND_PART_OF_ALLOWANCE = 0.45
-# Time for which a moved slot stands, over which its line has to pay: tuned in simulation. A moved request
-# gains a tenth or so.
+# Time for which a moved slot stands, over which its line has to pay: tuned in simulation. A moved
+# request gains a tenth or so.
 SLOT_LIFETIME_US = 3 * SECOND_US // 2
 # Part of the drain grace that messages may be apart: leaves two thirds for the way.
 MAX_GAP_PART_OF_GRACE = 3
@@ -36,7 +38,8 @@
         grace_slack_us: What the drain grace leaves after the longest one-way delay.
         allowance: Lines that may be queued for what can wait.
         bind_allowance: The same for binds.
-        round_trip_lines: Lines that are in flight while a message and its acknowledgement are under way.
+        round_trip_lines: Lines that are in flight while a message and its acknowledgement are under
+            way.
         line_price: Penalty of a line at every proxy, in the unit of a change's benefit.
         max_gap_us: Longest time for which a busy channel gathers changes into one message.
         min_gap_us: Shortest time between messages that the settings permit.
@@ -87,7 +90,7 @@
 def write_slot(
     registry: ProxyRegistry, statistics: HostStatistics, change: Change, room: float
 ) -> int:
-    """Writes a changed slot to all proxies on its table if there is room; returns the lines it took."""
+    """Writes a changed slot to the proxies on its table if it fits; returns the lines it took."""
     table = change.table
     recipients = registry.recipients(table, change.index, statistics.possibly_withdrawn)
     if len(recipients) > room:
--- a/plankroute/policy/health.py
+++ b/plankroute/policy/health.py
@@ -1,8 +1,9 @@
 """Outlier detection: a suspected host is checked, ejected if it fails its checks, and readmitted.
 
-A host is suspected by its symptoms, whatever their cause: it fails far more attempts than the others, or
-nothing is heard of it while others are heard of. Only a failed health check ejects a suspect. An ejected
-host is readmitted after good checks in a row, and needs twice as many after each ejection.
+A host is suspected by its symptoms, whatever their cause: it fails far more attempts than the
+others, or nothing is heard of it while others are heard of. Only a failed health check ejects a
+suspect. An ejected host is readmitted after good checks in a row, and needs twice as many after
+each ejection.
 """
 
 from plankroute.events import events
@@ -14,12 +15,14 @@
 
 # A host is an outlier by its failures if these exceed, by more than this part of its attempts ...
 MAX_EXCESS_FAILURE_RATIO = 0.25
-# ... the usual failure ratio times this: where all fail much, a host that fails more is but fuller ...
+# ... the usual failure ratio times this: where all fail much, a host that fails more is but fuller
+# ...
 USUAL_FAILURES_FACTOR = 3.0
-# ... and are at least so many, as a decayed sum: with the excess they are beyond chance. All three guesses.
+# ... and are at least so many, as a decayed sum: with the excess they are beyond chance. All three
+# guesses.
 MIN_FAILURES = 3.0
-# Attempts that are expected of a host without any being heard of: by chance one time in fifty, and all
-# that follows is a health check.
+# Attempts that are expected of a host without any being heard of: by chance one time in fifty, and
+# all that follows is a health check.
 MAX_SILENT_ATTEMPTS = 4.0
 # Bad checks in a row that eject a suspect: a guess.
 BAD_CHECKS_TO_EJECT = 2
@@ -27,8 +30,8 @@
 GOOD_CHECKS_TO_READMIT = 2
 # Bound on these as they double: half a minute of checks.
 MAX_REQUIRED_CHECKS = 32
-# Share of the ready hosts that may be ejected: two zones of three may be out of reach, and fewer hosts
-# would only be overloaded.
+# Share of the ready hosts that may be ejected: two zones of three may be out of reach, and fewer
+# hosts would only be overloaded.
 MAX_EJECTED_SHARE = 0.75
 # Time after a mass disconnect in which one check that does not get through is enough: a guess.
 ALARM_US = 3 * SECOND_US
@@ -80,7 +83,7 @@
         return self._eject_or_check_again()
 
     def eject_on_prior_knowledge(self, required_checks: int) -> None:
-        """Ejects a host that was known as ejected, until it passes as many checks as it then needed."""
+        """Ejects a host that was known as ejected, until it passes the checks that it then needed."""
         self.host_table.ejected[self.index] = True
         self.ejected_at_us = self.scheduler.now
         self.prior.ejected.add(self.index)
@@ -123,7 +126,7 @@
         return (excess > 0 and failed >= MIN_FAILURES) or self.is_silent()
 
     def is_silent(self) -> bool:
-        """Whether nothing was heard of the host while others were, and its weight brings many attempts."""
+        """Whether nothing is heard of the host, unlike others, although it should get attempts."""
         host_table = self.host_table
         weight = host_table.capped_weight(self.index)
         attempts_per_us = host_table.attempts_per_weight * weight * LN_2 / STATS_HALF_LIFE_US
@@ -132,7 +135,7 @@
         return is_expected and self.index not in host_table.outside_subset
 
     def _eject_or_check_again(self) -> bool:
-        """After a bad check: ejects a suspect that has failed enough, or asks for the next check at once."""
+        """After a bad check: ejects a suspect that failed enough checks, or asks for the next one."""
         host_table = self.host_table
         if self.index not in host_table.eligible():
             return False
--- a/plankroute/policy/host.py
+++ b/plankroute/policy/host.py
@@ -30,8 +30,8 @@
         index: Index of the host in the table.
         health: Its health checks and ejection.
         ramp: Its warm-up.
-        found_out: Whether this controller has found out anything of the host's present process by itself.
-            Prior knowledge is not passed on.
+        found_out: Whether this controller has found out anything of the host's present process by
+            itself. Prior knowledge is not passed on.
     """
 
     def __init__(
@@ -95,7 +95,7 @@
         self.update_cap()
 
     def reset(self) -> None:
-        """Forgets the process before a restart: nothing that was heard of it counts for the new one."""
+        """Forgets the process before a restart: nothing of it counts for the new one."""
         host_table, index = self.host_table, self.index
         host_table.scale_sums(index, 0.0)
         host_table.error[index] = None
@@ -112,8 +112,8 @@
     def on_request_stats(self, stats: events.HostRequestStats) -> None:
         """Adds what proxies met at the host to its decayed sums.
 
-        Guards against hosts that fail requests fast and so look idle: a failed attempt counts as one that
-        took the latency objective.
+        Guards against hosts that fail requests fast and so look idle: a failed attempt counts as
+        one that took the latency objective.
         """
         host_table, index, now = self.host_table, self.index, self.scheduler.now
         failed = min(stats.failed, stats.attempts)
--- a/plankroute/policy/host_table.py
+++ b/plankroute/policy/host_table.py
@@ -1,4 +1,4 @@
-"""Host statistics with the aggregates over all hosts that the mechanisms compare single hosts to."""
+"""Host statistics, with the aggregates that single hosts are compared to."""
 
 from collections.abc import Iterable
 from statistics import fmean
@@ -13,21 +13,22 @@
 
 
 class HostTable(HostStatistics):
-    """Statistics of single hosts, and aggregates that `refresh` derives once a turn and once a list.
+    """Statistics of single hosts, and aggregates that are derived once a turn and once a list.
 
     Attributes:
         warmup_us: Time for which a host counts as cold after its start.
         initial_capacity_share: Share of its capacity that a host has at its start.
         health_checks_allowed: Whether the settings permit health checks.
-        always_health_check: Whether every host is checked each turn, as load reports come no other way.
-        latency_objective_us: Mean latency objective over the request classes; a failed attempt counts
-            as one that took this long.
+        always_health_check: Whether every host is checked each turn, as load reports come no other
+            way.
+        latency_objective_us: Mean latency objective over the request classes; a failed attempt
+            counts as one that took this long.
         failure_ratio: Failed attempts over attempts, of all hosts listed ready.
         best_failure_ratio: The same over the third of the eligible hosts that fails least.
         mean_latency_us: Mean latency of attempts at hosts listed ready.
         attempts_per_weight: Attempts, as a decayed sum, that a weight of one brings.
         attempt_rate_per_proxy: Attempts a second of one proxy at one host.
-        others_heard_at_us: When two thirds of the eligible hosts had last been heard of at the latest.
+        others_heard_at_us: Time since which a third of the eligible hosts have been heard of.
         warm_count: Hosts listed ready without a cap.
         warming_count: Hosts listed ready with a cap.
         usual_weight_by_type: Mean weight of the warm hosts, ejected ones included, by machine type.
--- a/plankroute/policy/prior_knowledge.py
+++ b/plankroute/policy/prior_knowledge.py
@@ -1,8 +1,8 @@
 """Prior knowledge of hosts: what an earlier run of this controller, or another controller, knew.
 
-It moves where the controller starts from and no more: own request statistics know better. Hosts that fail
-every request would otherwise get their full share again after a restart. Harm: a host that recovered
-meanwhile waits for its health checks, or grows back from a small weight.
+It moves where the controller starts from and no more: own request statistics know better. Hosts
+that fail every request would otherwise get their full share again after a restart. Harm: a host
+that recovered meanwhile waits for its health checks, or grows back from a small weight.
 """
 
 from dataclasses import dataclass, field
@@ -15,16 +15,17 @@
 PRIOR_HALF_LIFE_US = 60 * SECOND_US
 # Knowledge of a fault counts while more than this of its certainty is left: one half-life.
 MIN_CERTAINTY = 0.5
-# Share of the ready hosts that prior knowledge alone may eject: a guess; beyond it the knowledge is wrong.
+# Share of the ready hosts that prior knowledge alone may eject: a guess; beyond it the knowledge is
+# wrong.
 MAX_EJECTED_SHARE = 1 / 3
-# Contradictions from which on all prior knowledge is dropped if they outnumber the confirmations: a guess;
-# a single one may be chance.
+# Contradictions from which on all prior knowledge is dropped if they outnumber the confirmations: a
+# guess; a single one may be chance.
 MIN_CONTRADICTIONS = 2
 
 
 @dataclass(slots=True)
 class PriorKnowledge:
-    """Prior knowledge by host index, and how it has compared to what the controller found out itself.
+    """Prior knowledge by host index, and how it compared to what the controller found out.
 
     Attributes:
         weights: Weights to start from.
@@ -71,8 +72,8 @@
     def compare(self, statistics: HostStatistics, index: int, is_unhealthy: bool) -> None:
         """Compares prior knowledge of a host to what the controller found out itself.
 
-        A healthy host that was known as healthy proves nothing. Guards against wrong knowledge: all of it
-        stands or falls together.
+        A healthy host that was known as healthy proves nothing. Guards against wrong knowledge: all
+        of it stands or falls together.
         """
         confirms = is_unhealthy == (index in self.unhealthy)
         is_evidence = is_unhealthy or not confirms
--- a/plankroute/policy/publisher.py
+++ b/plankroute/policy/publisher.py
@@ -18,8 +18,9 @@
 from plankroute.state.proxy_registry import Change, ProxyRegistry
 from plankroute.state.scheduler import Scheduler, Tick
 
-# Share of a zone's hosts that are removed, from which on proxies that wait there may have no endpoint left:
-# the few hosts of the table that a proxy starts with are drawn from its zone. A guess.
+# Share of a zone's hosts that are removed, from which on proxies that wait there may have no
+# endpoint left: the few hosts of the table that a proxy starts with are drawn from its zone. A
+# guess.
 REMOVED_SHARE_WITHOUT_ENDPOINTS = 0.1
 
 LimitKey = tuple[int | None, tuple[int, ...] | None]
@@ -36,8 +37,8 @@
 class Publisher(ProxyRegistry):
     """Keeps the proxies and their tables, and decides what is written when.
 
-    Drains come first and at once, then urgent slots; admission limits and the slots that move most follow
-    in the turns that can afford them, and binds at the channel's regular pace.
+    Drains come first and at once, then urgent slots; admission limits and the slots that move most
+    follow in the turns that can afford them, and binds at the channel's regular pace.
 
     Attributes:
         flow: What the channel can take.
@@ -137,7 +138,7 @@
         self.binder.bind_waiting(self.withdrawn, self._proxies_may_lack_endpoints)
 
     def write(self, is_turn: bool) -> None:
-        """Writes what is urgent as soon as a message can go; the rest in the turns that can afford it."""
+        """Writes what is urgent as soon as a message can go, the rest once a turn if it fits."""
         now = self.scheduler.now
         overhead_lines = len(self.zone_of_proxy) * self.channel.message_overhead
         self._note_channel_state(overhead_lines)
@@ -163,7 +164,7 @@
             self.written_us = now
 
     def _note_channel_state(self, overhead_lines: int) -> None:
-        """Tells the host table how dear lines are: weights keep nearer to their slots where they are."""
+        """Notes how dear lines are: where they are dear, weights keep nearer to their slots."""
         all_lines = sum(len(self.users(table)) * len(table.published) for table in self.tables)
         self.host_table.proxies = len(self.zone_of_proxy)
         self.host_table.channel_constrained = all_lines + overhead_lines > self.flow.allowance
@@ -176,7 +177,7 @@
         return self.flow.max_gap_us
 
     def _write_ordinary(self, changes: list[Change], room: float) -> None:
-        """Writes admission limits and the slots that move most, if they are worth the messages' overhead."""
+        """Writes admission limits, and the slots that move most if they are worth a message."""
         price = self.flow.line_price
         overhead = 0 if self.channel.batch else self.channel.message_overhead
         worthwhile = [
@@ -202,6 +203,6 @@
         return room
 
     def _fill_unused_tables(self) -> None:
-        """Sets all slots while no proxy is bound: nobody is written them, and binds carry the newest."""
+        """Sets all slots while no proxy is bound: that costs no lines, and binds carry them."""
         for change in self.slot_changes.list_changes(self.scheduler.now):
             write_slot(self, self.host_table, change, NO_CAP)
--- a/plankroute/policy/slot_changes.py
+++ b/plankroute/policy/slot_changes.py
@@ -1,7 +1,7 @@
-"""Slot changes: how the slots that tables should have differ from the published ones, and what that is worth.
+"""Slot changes: how target slots differ from the published ones, and what each change is worth.
 
-The benefit of a change is the part of a proxy's requests that it moves, times the part by which the slot moves.
-It is compared to the price of a line.
+The benefit of a change is the part of a proxy's requests that it moves, times the part by which the
+slot moves. It is compared to the price of a line.
 """
 
 from plankroute.events.events import HostState
@@ -13,11 +13,13 @@
 from plankroute.state.host_statistics import NO_CAP
 from plankroute.state.proxy_registry import Change
 
-# The benefit grows with the third power of the mean latency, in latency objectives, times this. Guards
-# against a channel that is busy all day with the small moves of a calm day. Tuned in simulation.
+# The benefit grows with the third power of the mean latency, in latency objectives, times this.
+# Guards against a channel that is busy all day with the small moves of a calm day. Tuned in
+# simulation.
 LATENCY_FACTOR = 6.0
 LATENCY_EXPONENT = 3
-# Factor on the benefit of a host's first slot: the other hosts carry its requests. Tuned in simulation.
+# Factor on the benefit of a host's first slot: the other hosts carry its requests. Tuned in
+# simulation.
 NEW_SLOT_FACTOR = 4.0
 # Part of the published slot below which the lower slot of a warming host does not wait: a guess.
 URGENT_FALL = 0.75
@@ -28,8 +30,8 @@
 class TargetSlots:
     """The slots that the tables should have.
 
-    They are worked out anew only when something has moved that they follow from: the publisher looks ten
-    times a second, and most looks find nothing new.
+    They are worked out anew only when something has moved that they follow from: the publisher
+    looks ten times a second, and most looks find nothing new.
     """
 
     def __init__(
@@ -97,7 +99,7 @@
         self.flow = flow
 
     def list_changes(self, now: int) -> list[Change]:
-        """Returns all changes, table by table; raises the host table's least change that pays to match."""
+        """Returns all changes, table by table; notes in the host table the least that pays."""
         host_table = self.host_table
         class_count = sum(len(table.products) for table in self.tables)
         urgency = self._urgency_by_latency()
@@ -122,7 +124,7 @@
         return changes
 
     def _urgency_by_latency(self) -> float:
-        """Returns the factor on all benefits: a change is worth more where answers are late already."""
+        """Returns the factor on all benefits: changes are worth more where answers are late."""
         latency = LATENCY_FACTOR * self.host_table.mean_latency_us
         lateness: float = latency / self.host_table.latency_objective_us
         return max(1.0, lateness**LATENCY_EXPONENT)
@@ -144,7 +146,7 @@
         return has_fallen or (not count and host not in self.host_table.outside_subset)
 
     def _gain_of_withdrawn(self, host: int, now: int) -> float:
-        """Returns 1 if the line of a host that nobody sends to should go as it is soon forgotten, else 0."""
+        """Returns the gain of removing an unused line: 1 if the host soon expires, else 0."""
         removed_us = now - self.host_table.heard_at_us[host]
         return float(2 * removed_us > REMOVED_HOST_TTL_US)
 
--- a/plankroute/policy/slots.py
+++ b/plankroute/policy/slots.py
@@ -1,8 +1,8 @@
 """Integer slots: what a routing table has for each host, from the weights by largest remainders.
 
-Request classes that may use the same hosts share a table. Proxies spread requests over a table in proportion
-to its slots. Only changed slots are written, so hosts that stay keep the sum of their slots: one that comes or
-goes moves no other's.
+Request classes that may use the same hosts share a table. Proxies spread requests over a table in
+proportion to its slots. Only changed slots are written, so hosts that stay keep the sum of their
+slots: one that comes or goes moves no other's.
 """
 
 from dataclasses import dataclass
@@ -24,7 +24,7 @@
     def slots(
         self, host_table: HostTable, withdrawn: set[int], subset: Subset = ALL_HOSTS
     ) -> dict[int, int]:
-        """Returns the slots that the table should have, by host; each host of the table has one at least.
+        """Returns the slots that the table should have, by host: at least one each.
 
         Sets the effective weight of the hosts whose slots are published.
 
@@ -46,8 +46,9 @@
     def _hosts(self, host_table: HostTable, withdrawn: set[int], subset: Subset) -> list[int]:
         """Returns the hosts that the table should hold.
 
-        Guards against a table without hosts, and against all requests on a few hosts or on cold ones: where
-        ejected hosts are at least twice as many as warm ones, those within reach are used all the same.
+        Guards against a table without hosts, and against all requests on a few hosts or on cold
+        ones: where ejected hosts are at least twice as many as warm ones, those within reach are
+        used all the same.
         """
         candidates = [
             host
@@ -114,7 +115,7 @@
 
 
 def table_scopes(class_facts: RequestClassFacts, zones: int) -> list[TableScope]:
-    """Returns the scopes of a request class: one, or one a zone if its requests stay in their zone."""
+    """Returns the scopes of a request class: one, or one a zone if requests stay in their zone."""
     if not class_facts.stays_in_zone:
         return [TableScope(class_facts.zones, class_facts.machine_types, None)]
     scopes = []
--- a/plankroute/policy/subsetting.py
+++ b/plankroute/policy/subsetting.py
@@ -1,9 +1,10 @@
 """Deterministic subsetting: which part of the hosts the tables of one controller hold.
 
-Binding a proxy takes a line for each host of its table. Where binding all proxies to whole tables would take
-too long, a controller's table holds an arc of a ring of the hosts. From the field's deterministic subsetting
-(SRE book); it follows from the settings and the endpoint list alone, never from who is believed to live or
-how many proxies came: a table that widens costs a line a host at every proxy on it, just when most wait.
+Binding a proxy takes a line for each host of its table. Where binding all proxies to whole tables
+would take too long, a controller's table holds an arc of a ring of the hosts. From the field's
+deterministic subsetting (SRE book); it follows from the settings and the endpoint list alone, never
+from who is believed to live or how many proxies came: a table that widens costs a line a host at
+every proxy on it, just when most wait.
 """
 
 import math
@@ -21,8 +22,8 @@
 MAX_BIND_SHARE_OF_GRACE = 0.5
 # Warm hosts that a subset holds at least: with fewer, proxies would hang on single hosts. A guess.
 MIN_WARM_HOSTS = 24
-# Controllers from which on there are subsets: of two, either may be left with all proxies, which half of
-# the hosts would not bear.
+# Controllers from which on there are subsets: of two, either may be left with all proxies, which
+# half of the hosts would not bear.
 MIN_CONTROLLERS = 3
 
 
@@ -70,7 +71,8 @@
     def share(self, ready_hosts: int, grace_slack_us: float) -> float:
         """Returns the share of the hosts that can be bound in time.
 
-        It is a multiple of one share a controller, so that each host is in as many tables as any other.
+        It is a multiple of one share a controller, so that each host is in as many tables as any
+        other.
 
         Args:
             ready_hosts: Hosts listed ready.
@@ -84,7 +86,7 @@
         return min(1.0, shares / self._controllers)
 
     def bind_us(self, share: float, ready_hosts: int) -> float:
-        """Returns the time that it takes to bind an even share of all proxies to this share of the hosts."""
+        """Returns the time to bind an even share of all proxies to this share of the hosts."""
         lines = share * ready_hosts + self._message_overhead
         return self._proxies / self._controllers * lines / self._lines_per_us
 
@@ -94,9 +96,9 @@
 ) -> list[int]:
     """Returns those of the candidates that are in a subset, in ascending order.
 
-    The arcs of controllers lie beside each other, so that each host is in as many tables as any other, and a
-    host that comes or goes moves the ends of the arcs alone. All candidates are returned where the subset
-    would hold over a half of the warm ones: it would save little.
+    The arcs of controllers lie beside each other, so that each host is in as many tables as any
+    other, and a host that comes or goes moves the ends of the arcs alone. All candidates are
+    returned where the subset would hold over a half of the warm ones: it would save little.
 
     Args:
         host_table: Statistics of all hosts.
@@ -128,7 +130,8 @@
 def ring_of_hosts(host_table: HostTable, table: PublishedTable) -> list[int]:
     """Returns the hosts that a table admits in an order that is the same at every controller.
 
-    The hosts of each zone and machine type are spread evenly over the ring, in the order of their names.
+    The hosts of each zone and machine type are spread evenly over the ring, in the order of their
+    names.
     """
     admitted = [host for host in host_table.ready() if table.admits(host_table, host)]
     admitted.sort(key=lambda host: host_table.name_order[host])
--- a/plankroute/policy/warmup.py
+++ b/plankroute/policy/warmup.py
@@ -1,10 +1,10 @@
-"""Warm-up: the cap on the weight of a host that has just started, or was readmitted after its ejection.
+"""Warm-up: the cap on the weight of a host that has just started or was readmitted.
 
-A host that starts has a part of its capacity, which rises linearly over the warm-up time of the settings. A
-readmitted host enters with a quarter of its weight, which rises turn by turn.
+A host that starts has a part of its capacity, which rises linearly over the warm-up time of the
+settings. A readmitted host enters with a quarter of its weight, which rises turn by turn.
 
-Guards against a host that is overloaded as it starts: where attempts fail, proxies flock to the host that
-still answers (herd effect). Harm: a host that warms up faster could take more.
+Guards against a host that is overloaded as it starts: where attempts fail, proxies flock to the
+host that still answers (herd effect). Harm: a host that warms up faster could take more.
 """
 
 from dataclasses import dataclass
@@ -16,17 +16,19 @@
 READMISSION_SHARE = 0.25
 # Factor a turn by which that share rises: tuned in simulation.
 READMISSION_GROWTH = 1.5
-# Weight of the failure ratio's third power against the herd effect: it takes a third off at a half failed,
-# three quarters at nine tenths. Tuned in simulation: with less, warming hosts were overloaded.
+# Weight of the failure ratio's third power against the herd effect: it takes a third off at a half
+# failed, three quarters at nine tenths. Tuned in simulation: with less, warming hosts were
+# overloaded.
 HERD_FACTOR = 4.0
-# Failure ratio at which all requests soon flock to a new host, whatever else holds: measured in simulation.
+# Failure ratio at which all requests soon flock to a new host, whatever else holds: measured in
+# simulation.
 OVERLOAD_FAILURE_RATIO = 0.5
 # The same where answers are late already: measured in simulation.
 LATE_OVERLOAD_FAILURE_RATIO = 0.3
 # Answers are late from this part of the latency objective on: a guess.
 LATE_PART_OF_OBJECTIVE = 0.8
-# Attempts a second of one proxy at one host, from which on proxies shun failing hosts and so flock to
-# others: measured in simulation.
+# Attempts a second of one proxy at one host, from which on proxies shun failing hosts and so flock
+# to others: measured in simulation.
 MIN_RATE_FOR_HERD = 0.3
 # The least part of its type's usual weight that a capped host keeps: a guess.
 MIN_CAPACITY_SHARE = 0.01
@@ -55,7 +57,7 @@
     def weight_cap(self, host_table: HostTable, index: int, now: int) -> float:
         """Returns the most that the host's weight counts for; 0 keeps it out of the tables."""
         age_us = max(0, now - self.started_us)
-        is_cold = 0 < self.started_us and age_us < host_table.warmup_us
+        is_cold = self.started_us > 0 and age_us < host_table.warmup_us
         share = self.readmission_share
         if is_cold:
             initial = host_table.initial_capacity_share
--- a/plankroute/policy/weights.py
+++ b/plankroute/policy/weights.py
@@ -1,8 +1,9 @@
 """Weights: a leaky PID controller on fill moves the weight of each host once a turn.
 
-The method is Howard et al., "Control Simulation for an ESnet-JLab FPGA Accelerated Transport Load Balancer";
-docs/design.md has what is kept of it, what is changed and why. The error of a host is the mean fill less its
-own fill. Statistics trail the published slots, so a weight stays near the slot that is in force.
+The method is Howard et al., "Control Simulation for an ESnet-JLab FPGA Accelerated Transport Load
+Balancer"; docs/design.md has what is kept of it, what is changed and why. The error of a host is
+the mean fill less its own fill. Statistics trail the published slots, so a weight stays near the
+slot that is in force.
 """
 
 from dataclasses import dataclass
@@ -16,8 +17,8 @@
 from plankroute.state.proxy_registry import PublishedTable
 from plankroute.state.scheduler import Actor, Scheduler, Tick
 
-# Gains of the PID controller: tuned in simulation. Fill is that of the present weight, so late statistics
-# bound the gains less than in the source of the method.
+# Gains of the PID controller: tuned in simulation. Fill is that of the present weight, so late
+# statistics bound the gains less than in the source of the method.
 PROPORTIONAL_GAIN = 0.12
 INTEGRAL_GAIN = 0.01
 DERIVATIVE_GAIN = 0.02
@@ -25,20 +26,22 @@
 INTEGRAL_LEAK = 0.10
 # Factor from the controller's output to weight, in mean weights: the design's value.
 OUTPUT_SCALE = 4
-# Additional gain in the first turn where the list gives no sizes, so that all is to be learned; it falls
-# with the number of the turn. Tuned in simulation.
+# Additional gain in the first turn where the list gives no sizes, so that all is to be learned; it
+# falls with the number of the turn. Tuned in simulation.
 FIRST_TURN_GAIN = 6.0
-# Turn to go on from where weights were taken over from old tables: those have learned already. A guess.
+# Turn to go on from where weights were taken over from old tables: those have learned already. A
+# guess.
 TURN_AFTER_OLD_TABLES = 6
 # How far a weight may be ahead of its published slot, as a part of it: tuned in simulation.
 MAX_LEAD = 0.6
-# The same where a turn can not write all slots: at 0.6 the weights swung between zones (docs/design.md).
+# The same where a turn can not write all slots: at 0.6 the weights swung between zones
+# (docs/design.md).
 MAX_LEAD_CONSTRAINED = 0.3
-# The lead covers the least change that is worth its line times this: a shorter one would keep a slot for
-# good. A guess.
+# The lead covers the least change that is worth its line times this: a shorter one would keep a
+# slot for good. A guess.
 LEAD_OVER_MIN_CHANGE = 1.2
-# Fill from which on a host that falls silent counts as still overloaded and not as idle: a stress of three
-# times the mean.
+# Fill from which on a host that falls silent counts as still overloaded and not as idle: a stress
+# of three times the mean.
 STALLED_FILL = 0.75
 # Turns keep this far behind the statistics that come together: a guess.
 LAG_BEHIND_STATS_US = SECOND_US // 10
@@ -84,7 +87,8 @@
     def pause_us(self) -> int:
         """Returns the time to the next turn.
 
-        Guards against statistics that wait up to a turn: turns keep just behind those that come together.
+        Guards against statistics that wait up to a turn: turns keep just behind those that come
+        together.
         """
         if self.host_table.stats_burst_us <= 0:
             return TURN_US
@@ -114,8 +118,9 @@
         self.turns += 1
         scale = self._turn_scale(eligible, fill_of)
         for host in eligible:
-            # No statistics, no error: hosts that were not heard of count as average, so the weights of a
-            # controller that hears nothing stay. A stalled host is silent because it still is stalled.
+            # No statistics, no error: hosts that were not heard of count as average, so the weights
+            # of a controller that hears nothing stay. A stalled host is silent because it still is
+            # stalled.
             fill = fill_of.get(host)
             is_stalled = fill is not None and fill > STALLED_FILL
             error = 0.0
@@ -155,7 +160,8 @@
     def _bounded_weight(self, host: int, output: float, scale: TurnScale) -> float:
         """Returns the new weight, within the floor and, for a warm host, near its published slot.
 
-        Guards against a weight that runs on while its slot waits: statistics are of the published slot.
+        Guards against a weight that runs on while its slot waits: statistics are of the published
+        slot.
         """
         host_table = self.host_table
         moved = host_table.weight[host] + OUTPUT_SCALE * scale.mean_weight * scale.gain * output
