--- a/plankroute/events/events.py
+++ b/plankroute/events/events.py
@@ -1,35 +1,56 @@
-"""Notes that reach a steward. Ids are those of the outside; times are whole microseconds."""
+"""Events that reach a controller.
+
+Hosts, proxies, zones and machine types are named by the numbers that the adapter uses outside;
+request classes (the operators' products) by their index in `StartFacts.request_classes`. Times
+whose name ends in `_us` are in microseconds.
+
+The values of `HostState` and `HealthCheckOutcome` are sent between controllers and to the log: they
+must not change, whatever the members are called.
+"""
 
 from dataclasses import dataclass
 from enum import Enum
 
 
 class HostState(Enum):
+    """State of a host in the host list; values are sent between controllers."""
+
     READY = "ready"
-    DRAINING = "draining"
-    GONE = "gone"
+    DRAINING = "draining"  # it shuts down: no new requests
+    GONE = "gone"  # no longer listed, or said to be gone
 
 
 class ListKind(Enum):
-    CACHED = "cached"
-    FULL = "full"
-    CHANGES = "changes"
-    FAILED = "failed"
+    """What a host list holds; values appear in the log."""
+
+    CACHED = "cached"  # the whole list as it was kept from earlier, maybe out of date
+    FULL = "full"  # the whole list as it is now
+    CHANGES = "changes"  # only the entries that have changed
+    FAILED = "failed"  # nothing: the list could not be had
 
 
 class HealthCheckOutcome(Enum):
-    """How a probe ended."""
+    """How a health check of a host ended; values are sent between controllers."""
 
     ANSWERED = "answered"
-    ERROR = "error"
-    REJECTED = "turned away"
-    TIMED_OUT = "silent"
-    UNREACHABLE = "unreached"
+    ERROR = "error"  # an answer that tells of a fault
+    REJECTED = "turned away"  # it drains, or is asked too often
+    TIMED_OUT = "silent"  # connected, but no answer in time
+    UNREACHABLE = "unreached"  # no connection
 
 
 @dataclass(frozen=True, slots=True)
 class LoadReport:
-    """A host's own figures; None where the report does not hold one."""
+    """A host's own figures; None where the report does not hold one.
+
+    Attributes:
+        in_flight: Requests that it works on.
+        queue_length: Requests that wait in it.
+        utilization: Share of its capacity in use.
+        service_time_us: Mean time that it takes for a request, in microseconds.
+        request_rate: Requests a second.
+        error_rate: Failed requests a second.
+    """
 
     in_flight: float | None = None
     queue_length: float | None = None
@@ -41,8 +62,18 @@
 
 @dataclass(frozen=True, slots=True)
 class HostEntry:
-    """One host as the list has it; started_us is 0 where the start lies long ago. `mark`: hosts are ordered
-    by it as by their names, the same at every steward; 0: its id is."""
+    """One host as the host list has it.
+
+    Attributes:
+        host: Its id.
+        state: Whether it may be used.
+        zone: Where it is.
+        machine_type: What it runs on.
+        cell: A few hosts of one zone that share idempotency keys.
+        listed_weight: Its stated size, or 0 if none is stated.
+        started_us: When it started, on the controller's clock; 0 where that lies long ago.
+        name_order: Orders hosts as their names do, the same at every controller; 0: its id does.
+    """
 
     host: int
     state: HostState
@@ -56,13 +87,28 @@
 
 @dataclass(frozen=True, slots=True)
 class HostList:
+    """The host list, or changes of it.
+
+    Attributes:
+        kind: What the entries are; a host that a whole list does not name is gone.
+        entries: The hosts.
+    """
+
     kind: ListKind
     entries: tuple[HostEntry, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class ProxyJoined:
-    """fresh: it holds only its standing tables."""
+    """A proxy opened its stream to this controller.
+
+    Attributes:
+        proxy: Its id.
+        zone: Where it is.
+        usual_rate: Requests a second that it usually gets, or 0 if unknown.
+        fresh: It holds only the tables that it began with; otherwise what this or another
+            controller has sent it before.
+    """
 
     proxy: int
     zone: int
@@ -72,12 +118,24 @@
 
 @dataclass(frozen=True, slots=True)
 class ProxyLeft:
+    """A proxy's stream ended."""
+
     proxy: int
 
 
 @dataclass(frozen=True, slots=True)
 class HostRequestStats:
-    """What the joined proxies of a zone met at a host over span_us."""
+    """What the joined proxies of a zone met at a host.
+
+    Attributes:
+        host: The host.
+        zone: The proxies' zone.
+        attempts: Attempts that ended in the span.
+        failed: Those of them that failed.
+        mean_latency_us: Mean latency of the others, in microseconds.
+        span_us: The time that the sums cover.
+        report: The host's last load report, if its responses carry any.
+    """
 
     host: int
     zone: int
@@ -90,7 +148,15 @@
 
 @dataclass(frozen=True, slots=True)
 class ProxyRequestStats:
-    """Txns of a product that came to a proxy; voided: let in and not answered."""
+    """Requests of one class that came to a proxy.
+
+    Attributes:
+        proxy: The proxy.
+        product: The request class.
+        arrived: Requests that came in the span.
+        failed: Requests that were admitted and not served.
+        span_us: The time that the sums cover.
+    """
 
     proxy: int
     product: int
@@ -101,6 +167,16 @@
 
 @dataclass(frozen=True, slots=True)
 class SliceRequestStats:
+    """Requests of one class whose keys fall into a slice; sites with slices only.
+
+    Attributes:
+        slice: The slice of the key space.
+        product: The request class.
+        arrived: Requests that came in the span.
+        failed: Requests that were admitted and not served.
+        span_us: The time that the sums cover.
+    """
+
     slice: int
     product: int
     arrived: int
@@ -110,7 +186,12 @@
 
 @dataclass(frozen=True, slots=True)
 class SliceAssignment:
-    """A slice comes into this steward's charge, or leaves it."""
+    """A slice is assigned to this controller, or taken from it.
+
+    Attributes:
+        slice: The slice of the key space.
+        given: Whether it is this controller's from now on.
+    """
 
     slice: int
     given: bool
@@ -118,7 +199,13 @@
 
 @dataclass(frozen=True, slots=True)
 class SliceRoute:
-    """A line that a slice just given already has in the store."""
+    """A route that the store already has for a slice that was just assigned.
+
+    Attributes:
+        slice: The slice of the key space.
+        host: The host.
+        weight: Its weight.
+    """
 
     slice: int
     host: int
@@ -127,6 +214,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Acknowledged:
+    """A proxy applied all that was written to it up to a `RequestAcknowledgement`.
+
+    Attributes:
+        proxy: The proxy.
+        sequence_number: As in the request.
+        elapsed_us: The time from the request to the proxy's having applied it.
+    """
+
     proxy: int
     sequence_number: int
     elapsed_us: int
@@ -134,7 +229,15 @@
 
 @dataclass(frozen=True, slots=True)
 class HealthCheckResult:
-    """`age_us`: how long ago it was, where another steward's probe told it."""
+    """How a health check ended.
+
+    Attributes:
+        host: The host.
+        outcome: How it ended.
+        elapsed_us: The time that it took.
+        report: The load report in the answer, if there is one.
+        age_us: How long ago it was, where another controller's check told it.
+    """
 
     host: int
     outcome: HealthCheckOutcome
@@ -145,31 +248,56 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerMessage:
+    """Bytes from another controller.
+
+    Attributes:
+        sender: Its rank.
+        data: The bytes.
+    """
+
     sender: int
     data: bytes
 
 
 class ControllerState(Enum):
+    """What membership makes of another controller."""
+
     ALIVE = "alive"
     SUSPECTED = "suspected"
-    GONE = "gone"
-    LEFT = "left"
+    GONE = "gone"  # held to have crashed or been cut off
+    LEFT = "left"  # it said that it leaves
 
 
 @dataclass(frozen=True, slots=True)
 class ControllerStatus:
-    """What membership makes of another steward. It may be wrong: no rule may come to rest on it."""
+    """What membership makes of another controller. It may be wrong: no decision may rest on it.
+
+    Attributes:
+        controller: A number made from its name.
+        state: Its state.
+    """
 
-    steward: int
+    controller: int
     state: ControllerState
 
 
 @dataclass(frozen=True, slots=True)
 class HostPriorKnowledge:
-    """What an earlier life of this steward, or another one, knew of a host's present start. It may be wrong.
-
-    `weight`: 1 is the mean of its fleet; `tries`, `voided`: fading sums as they stood then; `needed`: good
-    probes that bring it back if it is shut; the ages: since its health, and its powers, were heard of."""
+    """What was known of a host's present start before, here or at another controller.
+
+    It may be wrong.
+
+    Attributes:
+        host: The host.
+        weight: Its weight by the control loop; 1 is the mean.
+        attempts: Decayed sum of attempts as it stood then.
+        failed: Decayed sum of failed attempts as it stood then.
+        mean_latency_us: Mean latency, in microseconds.
+        ejected: It was ejected for its health.
+        required_checks: Good health checks in a row that readmit it if it is ejected.
+        health_age_us: Time since its health was last heard of.
+        capacity_age_us: Time since its capacity was last heard of.
+    """
 
     host: int
     weight: float
@@ -184,6 +312,8 @@
 
 @dataclass(frozen=True, slots=True)
 class TimerExpired:
+    """A timer expired; `token` is that of its `SetTimer`."""
+
     token: int
 
 
@@ -203,3 +333,4 @@
     | HostPriorKnowledge
     | TimerExpired
 )
+"""All that a controller may be told after its start."""
--- a/plankroute/events/settings.py
+++ b/plankroute/events/settings.py
@@ -1,4 +1,9 @@
-"""The settings that operators hand a steward, as start facts: what both adapters need."""
+"""Codec of the settings that operators hand a controller: JSON with themed keys to start facts.
+
+This is the one place that knows the settings' keys and words; both adapters, the network's and the
+simulator's, use it. Each key stands once, beside the fact that it becomes. A missing key takes its
+safe meaning: nothing is permitted, and names that are not known assume nothing.
+"""
 
 import math
 from collections.abc import Iterable
@@ -15,23 +20,32 @@
     StartFacts,
 )
 
-REPEATS = {
+US_PER_MS = 1000
+
+JsonObject = dict[str, Any]  # of settings, which hold values of any kind
+
+# The settings' words for our enums
+IDEMPOTENCY_BY_WORD = {
     "retryable": Idempotency.IDEMPOTENT,
     "dedup": Idempotency.DEDUPLICATED,
     "fragile": Idempotency.NON_IDEMPOTENT,
 }
-SCOPES = {
+SCOPE_BY_WORD = {
     "all": DeduplicationScope.ALL,
     "zone": DeduplicationScope.ZONE,
     "cell": DeduplicationScope.CELL,
 }
-LEVELS = {"ratio": AdmissionUnit.SHARE, "rps": AdmissionUnit.RATE, "silent": AdmissionUnit.NONE}
-REPORTS = {
+ADMISSION_UNIT_BY_WORD = {
+    "ratio": AdmissionUnit.SHARE,
+    "rps": AdmissionUnit.RATE,
+    "silent": AdmissionUnit.NONE,
+}
+REPORT_SOURCE_BY_WORD = {
     "piggyback": ReportSource.RESPONSES,
     "pull": ReportSource.HEALTH_CHECKS,
     "silent": ReportSource.NONE,
 }
-REPORT_FIELDS = {
+REPORT_FIELDS = {  # fields of a load report by the settings' names
     "rif": "in_flight",
     "q": "queue_length",
     "busy": "utilization",
@@ -39,129 +53,157 @@
     "rate": "request_rate",
     "fail_rate": "error_rate",
 }
+UNKNOWN_REPORT_FIELD = ""
+
+
+class SettingsError(Exception):
+    """What a controller is handed at its start can't be read."""
 
 
 def microseconds(ms: float) -> int:
-    return round(ms * 1000) if math.isfinite(ms) else 0
+    """Converts milliseconds to whole microseconds; what is no number says nothing: 0."""
+    return round(ms * US_PER_MS) if math.isfinite(ms) else 0
 
 
 def finite(value: float) -> float:
-    """A figure that is no number, or is negative, says nothing: 0."""
+    """Returns a figure, or 0 for one that is negative or no number and so says nothing."""
     return value if math.isfinite(value) and value > 0 else 0.0
 
 
 def load_report(named: Iterable[tuple[str, float]]) -> LoadReport:
-    """A report by our names; what is not known, negative or no number is left out."""
-    kept = {
-        name: value * 1000 if name == "service_time_us" else value
-        for name, value in named
-        if name and math.isfinite(value) and value >= 0
-    }
-    return LoadReport(**kept)
+    """Makes a load report.
 
+    Args:
+        named: Pairs of a field's name in `LoadReport`, or UNKNOWN_REPORT_FIELD, and its value; the
+            service time is in milliseconds. Values that are negative or no number are left out.
+    """
+    fields: dict[str, float] = {}
+    for name, value in named:
+        if name == UNKNOWN_REPORT_FIELD or not math.isfinite(value) or value < 0:
+            continue
+        fields[name] = value * US_PER_MS if name == "service_time_us" else value
+    return LoadReport(**fields)
 
-class SettingsError(Exception):
-    """What a steward is handed at its start can't be read."""
 
+def parse_settings(raw: object) -> tuple[StartFacts, tuple[str, ...]]:
+    """Reads the settings.
+
+    Args:
+        raw: The settings as decoded from JSON.
+
+    Returns:
+        The start facts, and the names in `LoadReport` of the fields of the load reports that the
+        simulator sends as bare numbers, in their order; UNKNOWN_REPORT_FIELD for those not known.
 
-def parse_settings(raw: Any) -> tuple[StartFacts, tuple[str, ...]]:
-    """The start facts, and our names of a load report's fields in their order ("" for those not known)."""
+    Raises:
+        SettingsError: The settings hold a value of the wrong kind.
+    """
     if not isinstance(raw, dict):
         raise SettingsError("settings are not a JSON object")
     try:
-        fields = tuple(
-            REPORT_FIELDS.get(name, "") for name in group(raw, "report").get("fields") or ()
-        )
-        return start_facts(raw), fields
+        names = _section(raw, "report").get("fields") or ()
+        fields = tuple(REPORT_FIELDS.get(name, UNKNOWN_REPORT_FIELD) for name in names)
+        return _start_facts(raw), fields
     except (TypeError, ValueError, AttributeError) as error:
         raise SettingsError(f"settings hold a value of the wrong kind: {error}") from error
 
 
-def group(raw: dict[str, Any], name: str) -> dict[str, Any]:
-    return raw.get(name) or {}
+def _section(raw: JsonObject, name: str) -> JsonObject:
+    section: JsonObject = raw.get(name) or {}
+    return section
 
 
-def start_facts(raw: dict[str, Any]) -> StartFacts:
-    """Missing keys take the safe meaning: nothing permitted, a known name for nothing assumed."""
-    fam, safety, caps, penalty_rates = (
-        group(raw, name) for name in ("familyInfo", "safety", "caps", "prices")
-    )
+def _duration_us(section: JsonObject, key: str, default_ms: float) -> int:
+    return microseconds(float(section.get(key, default_ms)))
 
-    def span(keys: dict[str, Any], name: str, default_ms: float) -> int:
-        return microseconds(float(keys.get(name, default_ms)))
 
-    products = tuple(
-        product_facts(item, place, fam) for place, item in enumerate(raw.get("classes") or ())
-    )
+def _start_facts(raw: JsonObject) -> StartFacts:
+    family = _section(raw, "familyInfo")
+    safety = _section(raw, "safety")
+    permissions = _section(raw, "caps")
+    report = _section(raw, "report")
+    request_classes = raw.get("classes") or ()
     return StartFacts(
-        request_classes=products,
+        request_classes=tuple(
+            _request_class_facts(item, index, family) for index, item in enumerate(request_classes)
+        ),
         zones=len(raw.get("dcs") or ()) or 1,
         own_zone=int(raw.get("zone", 0)),
         controller_rank=int(raw.get("rank", 0)),
         controller_count=max(1, int(raw.get("instances", 1))),
-        proxy_count=int(fam.get("proxies", 0)),
-        penalty_rates=price_facts(penalty_rates, fam),
-        channel_lines_per_s=float(fam.get("pushRate", 1000.0)),
-        message_overhead_lines=math.ceil(fam.get("envelope", 1)),
-        backlog_cap_lines=int(fam.get("queueCap", 1000)),
-        max_messages_per_window=int(fam.get("reloadsMax", 0)),
-        message_window_us=span(fam, "updateWindowMs", 10000),
-        bind_reinstates_hosts=False,
-        one_way_delay_us=span(fam, "lateMs", 0),
-        max_one_way_delay_us=span(fam, "transitMaxMs", 0),
-        max_unbound_us=span(fam, "bareMs", 1000),
-        drain_grace_us=span(safety, "drainGraceMs", 1000),
-        warmup_us=span(safety, "coldMs", 0),
+        proxy_count=int(family.get("proxies", 0)),
+        penalty_rates=_penalty_rates(_section(raw, "prices"), family),
+        channel_lines_per_s=float(family.get("pushRate", 1000.0)),
+        message_overhead_lines=math.ceil(family.get("envelope", 1)),
+        backlog_cap_lines=int(family.get("queueCap", 1000)),
+        max_messages_per_window=int(family.get("reloadsMax", 0)),
+        message_window_us=_duration_us(family, "updateWindowMs", 10000),
+        bind_reinstates_hosts=False,  # on sockets only, where the network's adapter sets it
+        one_way_delay_us=_duration_us(family, "lateMs", 0),
+        max_one_way_delay_us=_duration_us(family, "transitMaxMs", 0),
+        max_unbound_us=_duration_us(family, "bareMs", 1000),
+        drain_grace_us=_duration_us(safety, "drainGraceMs", 1000),
+        warmup_us=_duration_us(safety, "coldMs", 0),
         initial_capacity_share=float(safety.get("startCapacity", 1.0)),
         overload_multiple=float(safety.get("fallMultiple", 1.0)),
-        overload_window_us=span(safety, "tipAfterMs", 1000),
+        overload_window_us=_duration_us(safety, "tipAfterMs", 1000),
         only_draining_is_binding=bool(safety.get("droppedStayOpen", False)),
-        list_poll_deadline_us=span(safety, "mustAskInMs", 10000),
-        admission_unit=LEVELS.get(fam.get("throttleBy", "silent"), AdmissionUnit.NONE),
-        default_retry=int(fam.get("usualHow", 0)),
-        retry_wait_factor=float(fam.get("tryFactor", 1.0)),
-        health_checks_allowed=bool(caps.get("mayProbe", False)),
-        peer_messages_allowed=bool(caps.get("mayTell", False)),
-        report_source=REPORTS.get(group(raw, "report").get("via", "silent"), ReportSource.NONE),
-        report_period_us=span(fam, "cycleMs", 1000),
+        list_poll_deadline_us=_duration_us(safety, "mustAskInMs", 10000),
+        admission_unit=ADMISSION_UNIT_BY_WORD.get(
+            family.get("throttleBy", "silent"), AdmissionUnit.NONE
+        ),
+        default_retry=int(family.get("usualHow", 0)),
+        retry_wait_factor=float(family.get("tryFactor", 1.0)),
+        health_checks_allowed=bool(permissions.get("mayProbe", False)),
+        peer_messages_allowed=bool(permissions.get("mayTell", False)),
+        report_source=REPORT_SOURCE_BY_WORD.get(report.get("via", "silent"), ReportSource.NONE),
+        report_period_us=_duration_us(family, "cycleMs", 1000),
         must_subscribe=raw.get("discovery") == "subscribe",
-        slices=int(fam.get("keyRanges", 0)),
-        slices_exclusive=bool(fam.get("exclusive", False)),
+        slices=int(family.get("keyRanges", 0)),
+        slices_exclusive=bool(family.get("exclusive", False)),
     )
 
 
-def product_facts(item: dict[str, Any], place: int, fam: dict[str, Any]) -> RequestClassFacts:
-    def flag(name: str) -> bool:
-        flags = fam.get(name) or ()
-        return place < len(flags) and bool(flags[place])
-
-    def places(name: str) -> tuple[int, ...] | None:
-        return tuple(int(value) for value in item[name]) if item.get(name) else None
-
+def _request_class_facts(item: JsonObject, index: int, family: JsonObject) -> RequestClassFacts:
     return RequestClassFacts(
-        latency_objective_us=microseconds(float(item.get("onTimeMs", 1000))),
-        deadline_us=microseconds(float(item.get("deadlineMs", 1000))),
+        latency_objective_us=_duration_us(item, "onTimeMs", 1000),
+        deadline_us=_duration_us(item, "deadlineMs", 1000),
         value=float(item.get("importance", 1.0)),
         late_value_share=float(item.get("lateWorth", 0.0)),
-        idempotency=REPEATS.get(item.get("idempotency", "fragile"), Idempotency.NON_IDEMPOTENT),
-        deduplication_scope=SCOPES.get(item.get("keyScope", "cell"), DeduplicationScope.CELL),
-        deduplication_window_us=microseconds(float(item.get("windowMs", 0))),
-        stays_in_zone=flag("staysLocal"),
-        is_write=flag("classWrites"),
-        zones=places("onlyZones"),
-        machine_types=places("onlyKinds"),
+        idempotency=IDEMPOTENCY_BY_WORD.get(
+            item.get("idempotency", "fragile"), Idempotency.NON_IDEMPOTENT
+        ),
+        deduplication_scope=SCOPE_BY_WORD.get(
+            item.get("keyScope", "cell"), DeduplicationScope.CELL
+        ),
+        deduplication_window_us=_duration_us(item, "windowMs", 0),
+        stays_in_zone=_flag_of_class(family, "staysLocal", index),
+        is_write=_flag_of_class(family, "classWrites", index),
+        zones=_allowed_numbers(item, "onlyZones"),
+        machine_types=_allowed_numbers(item, "onlyKinds"),
     )
 
 
-def price_facts(penalty_rates: dict[str, Any], fam: dict[str, Any]) -> PenaltyRates:
-    names = {
-        "zone_crossing": "crossZone",
-        "wasted_attempt": "waste",
-        "connection": "connection",
-        "handshake": "handshake",
-        "health_check": "probe",
-        "peer_message": "peer",
-        "late_failure": "lateFail",
-    }
-    values = {ours: float(penalty_rates.get(theirs, 0.0)) for ours, theirs in names.items()}
-    return PenaltyRates(**values, command_line=float(fam.get("costPerLine", 0.0)))
+def _flag_of_class(family: JsonObject, key: str, index: int) -> bool:
+    """Reads a flag that stands in a list with one element a request class, which may be short."""
+    flags = family.get(key) or ()
+    return index < len(flags) and bool(flags[index])
+
+
+def _allowed_numbers(item: JsonObject, key: str) -> tuple[int, ...] | None:
+    """Reads a list of allowed numbers; one that is missing or empty allows all: None."""
+    numbers = item.get(key)
+    return tuple(int(number) for number in numbers) if numbers else None
+
+
+def _penalty_rates(prices: JsonObject, family: JsonObject) -> PenaltyRates:
+    return PenaltyRates(
+        zone_crossing=float(prices.get("crossZone", 0.0)),
+        wasted_attempt=float(prices.get("waste", 0.0)),
+        connection=float(prices.get("connection", 0.0)),
+        handshake=float(prices.get("handshake", 0.0)),
+        health_check=float(prices.get("probe", 0.0)),
+        peer_message=float(prices.get("peer", 0.0)),
+        late_failure=float(prices.get("lateFail", 0.0)),
+        command_line=float(family.get("costPerLine", 0.0)),
+    )
