--- a/plankroute/config/__init__.py
+++ b/plankroute/config/__init__.py
@@ -1,1 +1,1 @@
-"""Settings: the platform's and our own JSON file."""
+"""The feature file: optional features and their limits."""
