--- a/plankroute/cli/__init__.py
+++ b/plankroute/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The command line; `run` alone is what operators start, the rest is for people and the laboratory."""
+"""The command line: `run` is what operators start, the rest is for people and the testbed."""
--- a/plankroute/cli/members.py
+++ b/plankroute/cli/members.py
@@ -1,29 +1,46 @@
-"""Asks a running steward for its view, by datagrams to its membership address, and prints it.
+"""Asks a running controller for the members it knows, and prints them.
 
-By datagrams, since the address is there anyway: no further listener, no file that a read-only tree would
-refuse, and
-the steward answers only what is asked from its own machine."""
+By datagrams to its membership address, since that is there anyway: no further listener, and no
+file that a read-only file system would refuse. A controller answers only what is asked from its
+own machine.
+"""
 
 import socket
 
 import orjson
 
+from plankroute.cli.text_table import text_table
 from plankroute.membership.codec import Codec
 from plankroute.membership.facts import MOST_DATAGRAM
 from plankroute.membership.messages import Line, ViewAsked, ViewPiece
 from plankroute.membership.records import Standing
 from plankroute.net.process.address import host_and_port
 
-TRIES = 3  # for each part: a datagram may be lost, also on one machine
+MAX_ATTEMPTS = 3  # for each part: a datagram may be lost, also on one machine
+HEADINGS = ("name", "state", "for", "zone", "address", "incarnation")
 
 
 def ask(address: str, group: str, wait_s: float) -> list[Line] | None:
-    """All lines, the steward's own first; None where nobody answers. Raises ValueError for no address."""
-    where, codec, lines = host_and_port(address), Codec(group), list[Line]()
-    with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as asking:
-        asking.settimeout(wait_s)
+    """Asks a controller for its members.
+
+    Args:
+        address: Its membership address.
+        group: The name of the group.
+        wait_s: Limit of each attempt, in seconds.
+
+    Returns:
+        A line for each member, the controller's own first; None: nobody answers.
+
+    Raises:
+        ValueError: The address is none.
+    """
+    server = host_and_port(address)
+    codec = Codec(group)
+    lines: list[Line] = []
+    with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as client:
+        client.settimeout(wait_s)
         while True:
-            piece = ask_piece(asking, where, codec, len(lines))
+            piece = ask_piece(client, server, codec, len(lines))
             if piece is None:
                 return None
             lines += piece.lines
@@ -32,60 +49,57 @@
 
 
 def ask_piece(
-    asking: socket.socket, where: tuple[str, int], codec: Codec, first: int
+    client: socket.socket, server: tuple[str, int], codec: Codec, first: int
 ) -> ViewPiece | None:
-    for _ in range(TRIES):
+    """The lines from `first` on that fit into a datagram; None: no answer to any attempt."""
+    for _ in range(MAX_ATTEMPTS):
         try:
-            asking.sendto(codec.write(ViewAsked(first)), where)
+            client.sendto(codec.write(ViewAsked(first)), server)
             while True:
-                said = codec.read(asking.recv(MOST_DATAGRAM + 1))
-                if isinstance(said, ViewPiece) and said.first == first:
-                    return said
+                message = codec.read(client.recv(MOST_DATAGRAM + 1))
+                if isinstance(message, ViewPiece) and message.first == first:
+                    return message
         except OSError:
             continue
     return None
 
 
 def state_of(line: Line) -> str:
+    """The state of a member, as the controller has it."""
     return Standing(line.told).name.lower()
 
 
 def as_json_text(lines: list[Line]) -> str:
-    return orjson.dumps(
+    """One JSON object for machines; its keys are part of the interface."""
+    members = [
         {
-            "steward": lines[0].record.name if lines else None,
-            "members": [
-                {
-                    "name": line.record.name,
-                    "address": line.record.address,
-                    "zone": line.record.zone,
-                    "state": state_of(line),
-                    "for_s": round(line.for_us / 1e6, 3),
-                    "life": line.record.life,
-                    "incarnation": line.record.incarnation,
-                }
-                for line in lines
-            ],
-        },
-        option=orjson.OPT_INDENT_2,
-    ).decode()
+            "name": line.record.name,
+            "address": line.record.address,
+            "zone": line.record.zone,
+            "state": state_of(line),
+            "for_s": round(line.for_us / 1e6, 3),
+            "life": line.record.life,
+            "incarnation": line.record.incarnation,
+        }
+        for line in lines
+    ]
+    own_name = lines[0].record.name if lines else None
+    text = orjson.dumps({"steward": own_name, "members": members}, option=orjson.OPT_INDENT_2)
+    return text.decode()
 
 
 def as_table(lines: list[Line]) -> str:
-    rows = [("name", "state", "for", "zone", "address", "incarnation")]
-    rows += [
-        (
-            line.record.name,
-            state_of(line),
-            f"{line.for_us / 1e6:.1f} s",
-            line.record.zone,
-            line.record.address,
-            str(line.record.incarnation),
-        )
-        for line in lines
-    ]
-    widths = [max(len(row[column]) for row in rows) for column in range(len(rows[0]))]
-    return "\n".join(
-        "  ".join(cell.ljust(width) for cell, width in zip(row, widths, strict=True)).rstrip()
-        for row in rows
+    """A table for people."""
+    return text_table([HEADINGS, *(table_row(line) for line in lines)])
+
+
+def table_row(line: Line) -> tuple[str, ...]:
+    """One member under `HEADINGS`."""
+    return (
+        line.record.name,
+        state_of(line),
+        f"{line.for_us / 1e6:.1f} s",
+        line.record.zone,
+        line.record.address,
+        str(line.record.incarnation),
     )
--- a/plankroute/cli/state.py
+++ b/plankroute/cli/state.py
@@ -1,4 +1,4 @@
-"""What a steward has learned, from its file or from the steward itself: as a table, or as JSON."""
+"""What a controller knows of hosts, from its file or asked of it as it runs: a table, or JSON."""
 
 import asyncio
 import time
@@ -7,29 +7,42 @@
 
 import msgspec
 
+from plankroute.cli.text_table import text_table
 from plankroute.cold_start.link_codec import VERSION, Ask, FrameCutter, write_frame
 from plankroute.net.peers.links import read_views
 from plankroute.net.process.address import host_and_port
 from plankroute.net.process.file_store import Disk
-from plankroute.warm_start.codec import MOST_BYTES, Unusable, read_file, read_view
-from plankroute.warm_start.facts import HostFacts, View
+from plankroute.warm_start.codec import MAX_FILE_BYTES, FileProblem, decode_file, decode_snapshot
+from plankroute.warm_start.snapshot import HostKnowledge, Snapshot
 
-WAIT_S = 2.0
-ASKER = "state-show"  # no steward's name: nothing was left for it
+ANSWER_TIMEOUT_S = 2.0  # a guess: a controller answers within milliseconds
+ASKING_NAME = "state-show"  # no controller's name: nothing was handed over for it
+HEADINGS = ("host", "age", "weight", "failed", "ejected", "counts for")
 
 
 @dataclass(frozen=True, slots=True)
-class Found:
-    view: View
-    age_us: int | None  # since it was written down; None: nobody knows
+class FoundSnapshot:
+    """A snapshot that was read.
 
+    Attributes:
+        snapshot: What it holds.
+        age_us: Microseconds since it was written down; None: unknown.
+    """
 
-@dataclass(frozen=True, slots=True)
-class Unread:
-    why: str
+    snapshot: Snapshot
+    age_us: int | None
+
+    def age_s_of(self, host: HostKnowledge) -> float | None:
+        """Seconds since a host was observed; None: unknown."""
+        return None if self.age_us is None else (host.age_us + self.age_us) / 1e6
+
+
+class StateError(Exception):
+    """There is no snapshot to be had; the message says why."""
 
 
 def is_address(where: str) -> bool:
+    """Whether it looks like an IPv4 address and port."""
     try:
         host, _ = host_and_port(where)
     except ValueError:
@@ -37,106 +50,122 @@
     return host.replace(".", "").isdigit()
 
 
-def from_file(path: Path) -> list[Found] | Unread:
-    """Under whatever name it was kept: whose it is, is shown."""
+def read_file(path: Path) -> FoundSnapshot:
+    """Reads a snapshot file, whichever controller wrote it.
+
+    Raises:
+        StateError: It can't be read or used.
+    """
     try:
-        data = Disk().read(path, MOST_BYTES)
+        data = Disk().read(path, MAX_FILE_BYTES)
     except OSError as error:
-        return Unread(error.strerror or str(error))
+        raise StateError(error.strerror or str(error)) from error
     if data is None:
-        return Unread("no such file")
-    unix_ms = time.time_ns() // 1_000_000
-    kept = read_file(data, None, unix_ms)
-    return Unread(kept.value) if isinstance(kept, Unusable) else [Found(kept.view, kept.age_us)]
-
-
-def from_address(where: str, group: str) -> list[Found] | Unread:
-    """Asks a running steward, as another steward would."""
-
-    async def ask() -> list[Found]:
-        found = []
-        async with asyncio.timeout(WAIT_S):
-            reader, writer = await asyncio.open_connection(*host_and_port(where))
-            try:
-                writer.write(write_frame(Ask(VERSION, group, ASKER)))
-                async for _, age_us, data in read_views(reader, FrameCutter(), MOST_BYTES):
-                    if (view := read_view(data)) is not None:
-                        found.append(Found(view, age_us))
-            finally:
-                writer.transport.abort()
-        return found
-
-    try:
-        return asyncio.run(ask()) or Unread(
-            "no answer; is it of this group, with a learned section?"
-        )
-    except (OSError, TimeoutError) as error:
-        return Unread(f"no answer: {error}".strip(": "))
+        raise StateError("no such file")
+    stored = decode_file(data, None, time.time_ns() // 1_000_000)
+    if isinstance(stored, FileProblem):
+        raise StateError(stored.value)
+    return FoundSnapshot(stored.snapshot, stored.age_us)
 
 
-def age_of(facts: HostFacts, found: Found) -> float | None:
-    """Seconds since the fact was heard."""
-    return None if found.age_us is None else (facts.age_us + found.age_us) / 1e6
+def ask_controller(address: str, group: str) -> list[FoundSnapshot]:
+    """Asks a running controller, as another controller would.
 
-
-def counts_for(facts: HostFacts, found: Found, limit_s: float) -> str:
-    age_s = age_of(facts, found)
-    if age_s is None or age_s >= limit_s:
+    Raises:
+        StateError: It does not answer.
+    """
+    try:
+        found = asyncio.run(request_snapshots(address, group))
+    except (OSError, TimeoutError) as error:
+        raise StateError(f"no answer: {error}".strip(": ")) from error
+    if not found:
+        raise StateError("no answer; is it of this group, with a learned section?")
+    return found
+
+
+async def request_snapshots(address: str, group: str) -> list[FoundSnapshot]:
+    """All snapshots that a running controller sends.
+
+    Raises:
+        OSError: The link could not be opened, or broke.
+        TimeoutError: It took too long.
+    """
+    found: list[FoundSnapshot] = []
+    async with asyncio.timeout(ANSWER_TIMEOUT_S):
+        reader, writer = await asyncio.open_connection(*host_and_port(address))
+        try:
+            writer.write(write_frame(Ask(VERSION, group, ASKING_NAME)))
+            async for _, age_us, data in read_views(reader, FrameCutter(), MAX_FILE_BYTES):
+                snapshot = decode_snapshot(data)
+                if snapshot is not None:
+                    found.append(FoundSnapshot(snapshot, age_us))
+        finally:
+            writer.transport.abort()
+    return found
+
+
+def effect_on_start(host: HostKnowledge, found: FoundSnapshot, max_age_s: float) -> str:
+    """What the knowledge of a host would do at a start now."""
+    age_s = found.age_s_of(host)
+    if age_s is None or age_s >= max_age_s:
         return "nothing"
-    if facts.is_shut:
-        return "starts shut, is probed"
-    return "starts at the floor" if facts.is_bad() else f"starts near {facts.weight:.2f}"
-
-
-def as_table(found: Found, limit_s: float) -> str:
-    view = found.view
-    written = "nobody knows when" if found.age_us is None else f"{found.age_us / 1e6:.1f} s ago"
-    head = f"{view.name}: written down {written}; list of revision {view.revision}, {len(view.hosts)} hosts"
-    rows = [("host", "age", "weight", "voided", "shut", "counts for")]
-    for facts in sorted(view.hosts, key=lambda facts: (not facts.is_bad(), facts.uid)):
-        age_s, part = age_of(facts, found), facts.failed / facts.attempts if facts.attempts else 0.0
-        rows.append(
-            (
-                facts.uid,
-                "?" if age_s is None else f"{age_s:.1f} s",
-                f"{facts.weight:.2f}",
-                f"{part:.0%}",
-                "yes" if facts.is_shut else "no",
-                counts_for(facts, found, limit_s),
-            )
-        )
-    widths = [max(len(row[column]) for row in rows) for column in range(len(rows[0]))]
-    lines = [
-        "  ".join(cell.ljust(width) for cell, width in zip(row, widths, strict=True)).rstrip()
-        for row in rows
-    ]
-    closed = [f"{uid}: {state.lower()} by the list" for uid, state in view.closed]
-    return "\n".join([head, *lines, *closed])
-
-
-def as_json_text(found: Found, limit_s: float) -> str:
-    view = found.view
+    if host.ejected:
+        return "starts ejected, with health checks"
+    if host.is_unhealthy():
+        return "starts at the lowest weight"
+    return f"starts near {host.weight:.2f}"
+
+
+def as_table(found: FoundSnapshot, max_age_s: float) -> str:
+    """A table for people, unhealthy hosts first."""
+    snapshot = found.snapshot
+    written = "at an unknown time" if found.age_us is None else f"{found.age_us / 1e6:.1f} s ago"
+    head = (
+        f"{snapshot.controller}: written {written}; list of revision {snapshot.list_revision}, "
+        f"{len(snapshot.hosts)} hosts"
+    )
+    hosts = sorted(snapshot.hosts, key=lambda host: (not host.is_unhealthy(), host.uid))
+    rows = [HEADINGS, *(table_row(host, found, max_age_s) for host in hosts)]
+    withdrawn = [f"{uid}: {word.lower()} by the list" for uid, word in snapshot.withdrawn]
+    return "\n".join([head, text_table(rows), *withdrawn])
+
+
+def table_row(host: HostKnowledge, found: FoundSnapshot, max_age_s: float) -> tuple[str, ...]:
+    """One host under `HEADINGS`."""
+    age_s = found.age_s_of(host)
+    failure_ratio = host.failed / host.attempts if host.attempts else 0.0
+    return (
+        host.uid,
+        "?" if age_s is None else f"{age_s:.1f} s",
+        f"{host.weight:.2f}",
+        f"{failure_ratio:.0%}",
+        "yes" if host.ejected else "no",
+        effect_on_start(host, found, max_age_s),
+    )
+
+
+def as_json_text(found: FoundSnapshot, max_age_s: float) -> str:
+    """One JSON object for machines; its keys are part of the interface."""
+    snapshot = found.snapshot
     hosts = [
         {
-            "host": facts.uid,
-            "boot_ms": facts.boot_ms,
-            "age_s": age_of(facts, found),
-            "weight": facts.weight,
-            "tries": facts.attempts,
-            "voided": facts.failed,
-            "shut": facts.is_shut,
-            "needed": facts.required_checks,
-            "counts_for": counts_for(facts, found, limit_s),
+            "host": host.uid,
+            "boot_ms": host.boot_ms,
+            "age_s": found.age_s_of(host),
+            "weight": host.weight,
+            "tries": host.attempts,
+            "voided": host.failed,
+            "shut": host.ejected,
+            "needed": host.required_checks,
+            "counts_for": effect_on_start(host, found, max_age_s),
         }
-        for facts in view.hosts
+        for host in snapshot.hosts
     ]
-    written_s = None if found.age_us is None else found.age_us / 1e6
-    return msgspec.json.encode(
-        {
-            "steward": view.name,
-            "revision": view.revision,
-            "written_s_ago": written_s,
-            "hosts": hosts,
-            "closed": dict(view.closed),
-        }
-    ).decode()
+    state = {
+        "steward": snapshot.controller,
+        "revision": snapshot.list_revision,
+        "written_s_ago": None if found.age_us is None else found.age_us / 1e6,
+        "hosts": hosts,
+        "closed": dict(snapshot.withdrawn),
+    }
+    return msgspec.json.encode(state).decode()
--- /dev/null
+++ b/plankroute/cli/testbed_commands.py
@@ -0,0 +1,282 @@
+"""`testbed` runs real controllers on loopback under faults, and measures."""
+
+import asyncio
+import os
+import sys
+from pathlib import Path
+
+import click
+import msgspec
+
+from plankroute.cli.common import EXIT_FAILED, FILE_PATH, CommandGroup, reject_unknown
+
+
+@click.group(cls=CommandGroup)
+def testbed() -> None:
+    """Run measurements and fault-injection trials; running controllers are not touched."""
+
+
+def write_json(path: Path, rows: object) -> None:
+    """Writes figures as indented JSON."""
+    path.write_bytes(msgspec.json.format(msgspec.json.encode(rows), indent=2) + b"\n")
+
+
+def show_progress(text: str) -> None:
+    """Prints a line for a person who waits; nothing where nobody watches."""
+    if sys.stderr.isatty():
+        click.echo(text, err=True)
+
+
+@testbed.command("membership")
+@click.option(
+    "--members",
+    "sizes",
+    multiple=True,
+    type=click.IntRange(2, 2000),
+    default=(12, 300),
+    show_default=True,
+    help="Size of a group in simulated time; may be repeated.",
+)
+@click.option(
+    "--seeds", default=3, show_default=True, type=click.IntRange(1, 100), help="Runs of each kind."
+)
+@click.option(
+    "--minutes",
+    default=1.0,
+    show_default=True,
+    help="Simulated length of the runs with packet loss.",
+)
+@click.option(
+    "--ways",
+    default="plankroute,heartbeats,swim,lifeguard",
+    show_default=True,
+    help="Failure detectors to compare, separated by commas.",
+)
+@click.option(
+    "--parts",
+    default="killed,lossy,paused,healed,load",
+    show_default=True,
+    help="What to measure, separated by commas.",
+)
+@click.option(
+    "--jobs", default=os.cpu_count() or 1, show_default=True, help="Processes that run at once."
+)
+@click.option("--json", "json_path", type=FILE_PATH, help="Write all figures to this file as well.")
+def membership(
+    sizes: tuple[int, ...],
+    seeds: int,
+    minutes: float,
+    ways: str,
+    parts: str,
+    jobs: int,
+    json_path: Path | None,
+) -> None:
+    """Compare failure detectors with the same seeds and faults, in simulated time."""
+    from plankroute.testbed.membership_benchmark import KINDS, WAYS, measure, table
+
+    chosen_ways = ways.split(",")
+    chosen_parts = parts.split(",")
+    reject_unknown(chosen_ways, {"ways": list(WAYS)})
+    reject_unknown(chosen_parts, {"parts": list(KINDS)})
+    figures = measure(
+        sizes, seeds, minutes, chosen_ways, chosen_parts, jobs, progress=sys.stderr.isatty()
+    )
+    click.echo(table(figures))
+    if json_path:
+        json_path.write_bytes(figures.to_json())
+    if figures.failed():
+        sys.exit(EXIT_FAILED)
+
+
+@testbed.command("trial")
+@click.option("--scenario", "names", multiple=True, help="Name of a scenario; may be repeated.")
+@click.option(
+    "--processes",
+    default=12,
+    show_default=True,
+    type=click.IntRange(4, 300),
+    help="Controllers in each scenario.",
+)
+@click.option("--seed", default=1, show_default=True, help="Seed of the injected faults.")
+@click.option(
+    "--full", is_flag=True, help="Pause processes for 39 s, as operators have seen, not for 13 s."
+)
+@click.option("--json", "as_json", is_flag=True, help="Print JSON.")
+def trial(names: tuple[str, ...], processes: int, seed: int, full: bool, as_json: bool) -> None:
+    """Run real controllers on loopback with faulty links between them, and judge what they do."""
+    from plankroute.testbed.scenarios import SCENARIOS, report, run_all
+
+    reject_unknown(list(names), {"scenarios": list(SCENARIOS)})
+    results = asyncio.run(run_all(names or tuple(SCENARIOS), processes, seed, full))
+    click.echo(report(results, as_json))
+    if any(result.objections for result in results):
+        sys.exit(EXIT_FAILED)
+
+
+@testbed.command("cold-start")
+@click.option(
+    "--controllers",
+    default=30,
+    show_default=True,
+    type=click.IntRange(2, 300),
+    help="Controllers that start.",
+)
+@click.option(
+    "--hosts", default=500, show_default=True, type=click.IntRange(1, 2000), help="Listed hosts."
+)
+@click.option(
+    "--rate",
+    default=20.0,
+    show_default=True,
+    help="Calls that the discovery service answers in a second.",
+)
+@click.option(
+    "--outage",
+    default=0.0,
+    show_default=True,
+    help="Seconds for which the discovery service is down at first.",
+)
+@click.option(
+    "--peers/--alone",
+    default=True,
+    show_default=True,
+    help="Whether controllers talk to each other.",
+)
+@click.option(
+    "--today/--no-today",
+    default=True,
+    show_default=True,
+    help="Also run a start without a feature file, for comparison.",
+)
+@click.option("--seed", default=1, show_default=True, help="Seed of all that is drawn.")
+@click.option("--json", "json_path", type=FILE_PATH, help="Write all figures to this file as well.")
+@click.option("--report", "report_path", type=FILE_PATH, help="Write an HTML page with curves.")
+def cold_start(  # noqa: PLR0913, PLR0917 - a parameter for each option
+    controllers: int,
+    hosts: int,
+    rate: float,
+    outage: float,
+    peers: bool,
+    today: bool,
+    seed: int,
+    json_path: Path | None,
+    report_path: Path | None,
+) -> None:
+    """Start all controllers of a site at one moment, and count calls and health checks."""
+    from plankroute.testbed import cold_start_report
+    from plankroute.testbed.cold_start import Case, down_until, run_case
+
+    ways = ["peers" if peers else "alone"]
+    if today:
+        ways.append("today")
+    rows = []
+    for way in ways:
+        show_progress(f"{way}: {controllers} controllers ...")
+        case = Case(way, controllers, hosts, down_until(outage, rate), seed, with_hosts=True)
+        rows.append(asyncio.run(run_case(case)))
+    click.echo(cold_start_report.table(rows))
+    if json_path:
+        write_json(json_path, rows)
+    if report_path:
+        report_path.write_text(cold_start_report.page(rows))
+    if any(result.last_s is None for result in rows if result.way != "today"):
+        sys.exit(EXIT_FAILED)
+
+
+@testbed.command("warm-restart")
+@click.option(
+    "--ways",
+    default="nothing,snapshot,peer,both,wrong",
+    show_default=True,
+    help="Sources of prior knowledge to compare, separated by commas.",
+)
+@click.option(
+    "--hosts", default=50, show_default=True, type=click.IntRange(5, 500), help="Listed hosts."
+)
+@click.option(
+    "--bad", default=0.2, show_default=True, help="Share of the hosts that fail all requests."
+)
+@click.option(
+    "--warm", "warm_s", default=20.0, show_default=True, help="Seconds before the restart."
+)
+@click.option(
+    "--seeds", default=1, show_default=True, type=click.IntRange(1, 20), help="Runs of each kind."
+)
+@click.option(
+    "--kill/--term",
+    "is_killed",
+    default=False,
+    show_default=True,
+    help="End the controller by SIGKILL instead of SIGTERM.",
+)
+@click.option(
+    "--proxies-too/--proxies-stay",
+    default=False,
+    show_default=True,
+    help="Restart the proxies as well, with empty tables.",
+)
+@click.option(
+    "--probes-fail/--probes-good",
+    default=True,
+    show_default=True,
+    help="Whether hosts that fail all requests also fail health checks.",
+)
+@click.option("--json", "json_path", type=FILE_PATH, help="Write all figures to this file as well.")
+@click.option("--report", "report_path", type=FILE_PATH, help="Write an HTML page with curves.")
+def warm_restart(  # noqa: PLR0913, PLR0917 - a parameter for each option
+    ways: str,
+    hosts: int,
+    bad: float,
+    warm_s: float,
+    seeds: int,
+    is_killed: bool,
+    proxies_too: bool,
+    probes_fail: bool,
+    json_path: Path | None,
+    report_path: Path | None,
+) -> None:
+    """Measure what the restart of a controller costs, with and without prior knowledge."""
+    from plankroute.testbed import warm_restart as restart
+    from plankroute.testbed.traffic import Mix
+
+    chosen_ways = tuple(ways.split(","))
+    reject_unknown(list(chosen_ways), {"ways": list(restart.WAYS)})
+    rows = []
+    for seed in range(1, seeds + 1):
+        show_progress(f"seed {seed} of {seeds}: {warm_s + restart.LOOK_S:.0f} s ...")
+        outcomes = restart.run_ways(
+            chosen_ways,
+            hosts=hosts,
+            bad_part=bad,
+            warm_s=warm_s,
+            seed=seed,
+            is_killed=is_killed,
+            proxies_too=proxies_too,
+            mix=Mix(probes_fail=probes_fail),
+        )
+        rows.append(asyncio.run(outcomes))
+    summed = restart.summed(rows)
+    click.echo(restart.table(summed))
+    if json_path:
+        write_json(json_path, rows)
+    if report_path:
+        report_path.write_text(restart.page(summed))
+
+
+@testbed.command("write-kills")
+@click.option(
+    "--kills",
+    default=1000,
+    show_default=True,
+    type=click.IntRange(1, 10_000),
+    help="Kills to send.",
+)
+@click.option("--seed", default=1, show_default=True, help="Seed of the moments of the kills.")
+def write_kills(kills: int, seed: int) -> None:
+    """Kill a process that writes its snapshot file, again and again, and check the file."""
+    from plankroute.testbed.write_kills import run_kills
+
+    counts = asyncio.run(run_kills(kills, seed))
+    click.echo(counts.summary())
+    if counts.mixtures or counts.failed_starts:
+        sys.exit(EXIT_FAILED)
--- a/plankroute/net/process/optional_features.py
+++ b/plankroute/net/process/optional_features.py
@@ -1,171 +1,262 @@
-"""What our own file switches on, put together. Imported only where there is such a file."""
+"""Assembles what the feature file switches on. Imported only where there is such a file."""
 
 import asyncio
-from collections.abc import Callable
-from typing import TYPE_CHECKING, Any
+from collections.abc import Callable, Coroutine
+from typing import TYPE_CHECKING
 
 from plankroute.cold_start.backoff import CallFacts
 from plankroute.cold_start.link_codec import Probed
 from plankroute.cold_start.probe_sharing import Survey
 from plankroute.cold_start.watcher_election import FollowFacts
-from plankroute.config.feature_file import ColdStartSection, FeatureFile
+from plankroute.config.feature_file import ColdStartSection, FeatureFile, LinksSection
 from plankroute.controller.controller import Controller
 from plankroute.events import events
+from plankroute.events.facts import StartFacts
 from plankroute.net.discovery.backoff_watch import CarefulDiscovery
 from plankroute.net.discovery.directory import Directory
 from plankroute.net.discovery.watch import Discovery
 from plankroute.net.peers.membership import LocalMember, MembershipService
 from plankroute.net.probing.prober import HealthChecker
 from plankroute.net.process.address import host_and_port
+from plankroute.net.process.clock import Clock
 from plankroute.net.process.configuration import Configuration
 from plankroute.net.process.telemetry import Telemetry
 
 if TYPE_CHECKING:
     from plankroute.net.peers.shared_discovery import SharedDiscovery
+    from plankroute.net.peers.snapshot_exchange import Peer
     from plankroute.net.peers.warm_start import WarmStartService
 
 
 class OptionalFeatures:
-    """Each part is there, or None where its section is missing."""
+    """The features of one process; each is None where its section is missing.
+
+    Attributes:
+        members: Failure detection among controllers.
+        backoff_discovery: Discovery with backoff, be it shared or not.
+        shared_discovery: Discovery through other controllers.
+        warm_start: Prior knowledge of hosts.
+    """
 
     def __init__(
         self,
-        own: FeatureFile,
+        feature_file: FeatureFile,
         configuration: Configuration,
         telemetry: Telemetry,
         put: Callable[[events.Event], None],
     ) -> None:
-        self.own, self.configuration, self.telemetry, self.put = own, configuration, telemetry, put
-        zones, zone = configuration.zones, configuration.facts.own_zone
-        self.me = LocalMember(
-            configuration.name, zones[zone] if zone < len(zones) else "", configuration.seed
-        )
-        self.members = (
-            MembershipService(own.membership, self.me, telemetry, put) if own.membership else None
-        )
-        self.careful: CarefulDiscovery | None = None
-        self.shared: SharedDiscovery | None = None
-        self.learned: WarmStartService | None = None
-
-    def make_discovery(self, *words: Any) -> Discovery:
-        """Takes what a Discovery takes."""
-        if (part := self.own.coldstart) is None:
-            return Discovery(*words)
-        calls, seed = call_facts(part, self.configuration), self.configuration.seed
-        if part.links is None or self.members is None:
-            self.careful = CarefulDiscovery(*words)
+        self.feature_file = feature_file
+        self.configuration = configuration
+        self.telemetry = telemetry
+        self.put = put
+        self.local_member = local_member(configuration)
+        self.members: MembershipService | None = None
+        if feature_file.membership:
+            self.members = MembershipService(
+                feature_file.membership, self.local_member, telemetry, put
+            )
+        self.backoff_discovery: CarefulDiscovery | None = None
+        self.shared_discovery: SharedDiscovery | None = None
+        self.warm_start: WarmStartService | None = None
+
+    def make_discovery(
+        self,
+        address: str,
+        most_list: int,
+        directory: Directory,
+        telemetry: Telemetry,
+        seed: int,
+        by_order: bool,
+        put: Callable[[events.Event], None],
+    ) -> Discovery:
+        """The discovery that the file asks for; takes what `Discovery` takes."""
+        section = self.feature_file.coldstart
+        if section is None:
+            return Discovery(address, most_list, directory, telemetry, seed, by_order, put)
+        calls = call_facts(section, self.configuration)
+        discovery: CarefulDiscovery
+        if section.links is None or self.members is None:
+            discovery = CarefulDiscovery(
+                address, most_list, directory, telemetry, seed, by_order, put
+            )
         else:
             from plankroute.net.peers.shared_discovery import SharedDiscovery
 
-            self.careful = self.shared = shared = SharedDiscovery(*words)
-            facts = FollowFacts(
-                self.me.name,
-                self.members.part.group,
-                calls.controller_count,
-                part.links.watchers,
-                part.links.stall_ms * 1000,
+            discovery = SharedDiscovery(
+                address, most_list, directory, telemetry, seed, by_order, put
             )
-            port = part.links.port or host_and_port(part.links.listen)[1]
-            shared.prepare_links(self.members, facts, part.links.listen, port, calls, seed)
-        self.careful.prepare(calls, int(part.list_old_s * 1e6), seed)
-        return self.careful
-
-    def make_prober(self, *words: Any) -> HealthChecker:
-        """Takes what a Prober takes; after `make_discovery`."""
-        if (part := self.own.coldstart) is None or part.probers == 0:
-            return HealthChecker(*words)
-        from plankroute.net.probing.shared_prober import SharedHealthChecker
+            self.prepare_links(discovery, self.members, section.links, calls)
+            self.shared_discovery = discovery
+        discovery.prepare(calls, int(section.list_old_s * 1e6), self.configuration.seed)
+        self.backoff_discovery = discovery
+        return discovery
 
-        prober, shared = SharedHealthChecker(*words), self.shared
-        survey = Survey(
-            self.me.name, part.probers, part.stewards or self.configuration.facts.controller_count
-        )
-        prober.prepare_survey(
-            survey, self.configuration.zones, self.living, shared.tell_results if shared else drop
+    def prepare_links(
+        self,
+        discovery: "SharedDiscovery",
+        members: MembershipService,
+        links: LinksSection,
+        calls: CallFacts,
+    ) -> None:
+        """Tells shared discovery of its links to other controllers."""
+        facts = FollowFacts(
+            self.local_member.name,
+            members.part.group,
+            calls.controller_count,
+            links.watchers,
+            links.stall_ms * 1000,
         )
+        port = links.port or host_and_port(links.listen)[1]
+        seed = self.configuration.seed
+        discovery.prepare_links(members, facts, links.listen, port, calls, seed)
+
+    def make_prober(
+        self,
+        facts: StartFacts,
+        directory: Directory,
+        clock: Clock,
+        telemetry: Telemetry,
+        dial_us: int,
+        at_once: Callable[[], int],
+        put: Callable[[events.Event], None],
+    ) -> HealthChecker:
+        """The health checker that the file asks for; takes what `HealthChecker` takes.
+
+        Call it after `make_discovery`.
+        """
+        section = self.feature_file.coldstart
+        if section is None or section.probers == 0:
+            return HealthChecker(facts, directory, clock, telemetry, dial_us, at_once, put)
+        from plankroute.net.probing.shared_prober import SharedHealthChecker
+
+        checker = SharedHealthChecker(facts, directory, clock, telemetry, dial_us, at_once, put)
+        controller_count = section.stewards or self.configuration.facts.controller_count
+        survey = Survey(self.local_member.name, section.probers, controller_count)
+        zones = self.configuration.zones
+        shared = self.shared_discovery
+        tell = shared.tell_results if shared else discard_results
+        checker.prepare_survey(survey, zones, self.reachable_controllers, tell)
         if shared:
-            shared.on_results = prober.hear
-        return prober
+            shared.on_results = checker.hear
+        return checker
 
-    def living(self) -> dict[str, str]:
-        """All stewards that are there and whom results may reach, with their zones; this one among them."""
-        if self.members is None or self.shared is None:
+    def reachable_controllers(self) -> dict[str, str]:
+        """Living controllers that results may reach, with their zones; this one among them."""
+        if self.members is None or self.shared_discovery is None:
             return {}
         view = self.members.core.view
-        return {view.at(place).name: view.at(place).zone for place in (0, *view.living())}
+        own_place = 0
+        return {
+            view.at(place).name: view.at(place).zone for place in (own_place, *view.living())
+        }
 
     def attach(self, controller: Controller, directory: Directory, discovery: Discovery) -> None:
-        """Before the first list; after `make_discovery`."""
-        if (part := self.own.learned) is None:
+        """Connects the warm start; before the first list, and after `make_discovery`."""
+        section = self.feature_file.learned
+        if section is None:
             return
         from plankroute.net.peers.drain_notices import DrainNoticeOverlay
         from plankroute.net.peers.warm_start import WarmStartService
 
-        shared, telemetry = self.shared, self.telemetry
-        ahead = shared.ahead if shared else DrainNoticeOverlay(directory, telemetry, self.put)
-        discovery.over = ahead.over
-        group, own_host = (shared.group, host_and_port(shared.listen)[0]) if shared else ("", "")
-        self.learned = WarmStartService(part, self.me.name, group, own_host, telemetry, self.put)
-        self.learned.attach(controller, directory, discovery, ahead)
+        shared = self.shared_discovery
+        telemetry = self.telemetry
+        if shared:
+            drain_notices = shared.ahead
+            group = shared.group
+            own_host = host_and_port(shared.listen)[0]
+        else:
+            drain_notices = DrainNoticeOverlay(directory, telemetry, self.put)
+            group = ""
+            own_host = ""
+        discovery.over = drain_notices.over
+        self.warm_start = WarmStartService(
+            section, self.local_member.name, group, own_host, telemetry, self.put
+        )
+        self.warm_start.attach(controller, directory, discovery, drain_notices)
         if shared:
-            shared.server.views, self.learned.peers = self.learned, self.peers
+            shared.server.views = self.warm_start.exchange
+            self.warm_start.exchange.peers = self.peers
 
-    def peers(self) -> list[tuple[str, tuple[str, int]]]:
-        """Living members with their links' addresses, as this steward asks them."""
-        from plankroute.net.peers.warm_start import in_order
+    def peers(self) -> list["Peer"]:
+        """Living controllers with the addresses of their links, in the order they are asked."""
+        from plankroute.net.peers.snapshot_exchange import Peer, asking_order
 
-        assert self.members and self.shared
+        assert self.members and self.shared_discovery
         view = self.members.core.view
+        port = self.shared_discovery.port
         hosts = {
             view.at(place).name: host_and_port(view.at(place).address)[0] for place in view.living()
         }
-        return [
-            (name, (hosts[name], self.shared.port)) for name in in_order(list(hosts), self.me.name)
-        ]
+        names = asking_order(list(hosts), self.local_member.name)
+        return [Peer(name, (hosts[name], port)) for name in names]
 
     async def recall(self) -> None:
-        if self.learned:
-            await self.learned.recall()
+        """Reads the snapshot file, before the first proxy can join."""
+        if self.warm_start:
+            await self.warm_start.recall()
 
     def start(self) -> None:
+        """Starts what runs beside the listener."""
         if self.members:
             self.members.start()
-        if self.learned:
-            self.learned.start()
+        if self.warm_start:
+            self.warm_start.start()
+
+    def reload(self, new: FeatureFile | None) -> list[str]:
+        """Takes the seeds of a new file.
 
-    def reload(self, own: FeatureFile | None) -> list[str]:
-        """Seeds change; the names of what else differs, which waits for a restart."""
-        kept = [
+        Returns:
+            The names of all else that differs, which waits for a restart.
+        """
+        waiting = [
             name
-            for name in self.own.__struct_fields__
-            if name != "membership" and getattr(own, name, None) != getattr(self.own, name)
+            for name in self.feature_file.__struct_fields__
+            if name != "membership" and getattr(new, name, None) != getattr(self.feature_file, name)
         ]
-        if (self.members is None) != (own is None or own.membership is None):
-            kept.append("membership")
-        elif self.members and own and own.membership:
-            kept += self.members.reload(own.membership)
-        return kept
+        has_membership = new is not None and new.membership is not None
+        if has_membership != (self.members is not None):
+            waiting.append("membership")
+        elif self.members and new and new.membership:
+            waiting += self.members.reload(new.membership)
+        return waiting
 
     async def close(self) -> None:
-        """In what operators leave after SIGTERM: what is learned is handed over meanwhile."""
-        last = [self.learned.hand_over()] if self.learned else []
+        """Hands over and leaves, in the time that operators leave after SIGTERM."""
+        closing: list[Coroutine[None, None, None]] = []
+        if self.warm_start:
+            closing.append(self.warm_start.hand_over())
         if self.members:
-            last.append(self.members.leave())
-        await asyncio.gather(*last)
-        if self.careful:
-            self.careful.close()
+            closing.append(self.members.leave())
+        await asyncio.gather(*closing)
+        if self.backoff_discovery:
+            self.backoff_discovery.close()
+
+
+def local_member(configuration: Configuration) -> LocalMember:
+    """This controller as other controllers see it."""
+    zones = configuration.zones
+    own_zone = configuration.facts.own_zone
+    zone_name = zones[own_zone] if own_zone < len(zones) else ""
+    return LocalMember(configuration.name, zone_name, configuration.seed)
+
 
+def call_facts(section: ColdStartSection, configuration: Configuration) -> CallFacts:
+    """How discovery may be called.
 
-def call_facts(part: ColdStartSection, configuration: Configuration) -> CallFacts:
-    """The number of stewards is as stated, in our file or in the settings: never as membership has it."""
+    The number of controllers is as stated in the feature file or in the settings, never as
+    membership has it.
+    """
+    rank = section.rank
+    if rank is None:
+        rank = configuration.facts.controller_rank
     return CallFacts(
-        rank=configuration.facts.controller_rank if part.rank is None else part.rank,
-        controller_count=part.stewards or configuration.facts.controller_count,
-        calls_a_second=part.calls_a_second,
-        pause_most_us=int(part.pause_most_s * 1e6),
-        retry_after_most_us=int(part.retry_after_most_s * 1e6),
+        rank=rank,
+        controller_count=section.stewards or configuration.facts.controller_count,
+        calls_a_second=section.calls_a_second,
+        pause_most_us=int(section.pause_most_s * 1e6),
+        retry_after_most_us=int(section.retry_after_most_s * 1e6),
     )
 
 
-def drop(frame: Probed) -> None:
-    """Where there are no links, results are a steward's own."""
+def discard_results(frame: Probed) -> None:
+    """Where there are no links, results of health checks stay with this controller."""
--- a/plankroute/testbed/warm_restart.py
+++ b/plankroute/testbed/warm_restart.py
@@ -11,14 +11,14 @@
 import jinja2
 import msgspec
 
-from plankroute.net.peers.warm_start import file_name
+from plankroute.net.peers.snapshot_file import snapshot_file_name
 from plankroute.testbed.faults import Act, Script, Step
 from plankroute.testbed.hosts import Hosts
 from plankroute.testbed.list_service import Behaviour, ListService, target
 from plankroute.testbed.processes import STREAM_PORT, Fleet, Plan
 from plankroute.testbed.traffic import TICK_S, Mix, Traffic
-from plankroute.warm_start.codec import write_file
-from plankroute.warm_start.facts import HostFacts, View
+from plankroute.warm_start.codec import encode_file
+from plankroute.warm_start.snapshot import HostKnowledge, Snapshot
 
 WAYS = ("nothing", "snapshot", "peer", "both", "wrong")
 LOOK_S = 10.0  # after the new start: so long the txns voided are counted
@@ -147,7 +147,7 @@
             self.start_traffic(fleet, 0, LOOK_S + READY_S)
         from_s = time.monotonic()
         await asyncio.sleep(LOOK_S + TICK_S)
-        told = (await fleet.ask_counters(0)).get("learned.told", 0)
+        told = (await fleet.ask_counters(0)).get("warm_start.hosts_provided", 0)
         traffic = self.traffic[-1] if self.trial.proxies_too else self.traffic[0]
         return self.outcome(traffic, from_s, ready_ms, told)
 
@@ -173,7 +173,7 @@
         """A file in which as many good hosts as there are bad ones are shut; the bad ones are the best."""
         good = [host for host in range(self.trial.hosts) if host not in self.bad][: len(self.bad)]
         facts = tuple(
-            HostFacts(
+            HostKnowledge(
                 uid,
                 0,
                 1.5 if host in self.bad else 0.05 if host in good else 1.0,
@@ -186,9 +186,9 @@
             )
             for host, uid in enumerate(self.names)
         )
-        view = View("n0000", 1000, 0, facts, ())
-        (Path(self.folder) / file_name("n0000")).write_bytes(
-            write_file(view, time.time_ns() // 1_000_000)
+        view = Snapshot("n0000", 1000, 0, facts, ())
+        (Path(self.folder) / snapshot_file_name("n0000")).write_bytes(
+            encode_file(view, time.time_ns() // 1_000_000)
         )
 
     def outcome(self, traffic: Traffic, from_s: float, ready_ms: int, told: int) -> Outcome:
--- a/plankroute/warm_start/__init__.py
+++ b/plankroute/warm_start/__init__.py
@@ -1,1 +1,4 @@
-"""What a steward knows of hosts, aged; how such views are merged; what they look like when kept. No I/O."""
+"""Prior knowledge of hosts: what outlives a restart of a controller, its age, its merging.
+
+A core without I/O: events and the time go in, commands come out.
+"""
--- a/plankroute/warm_start/codec.py
+++ b/plankroute/warm_start/codec.py
@@ -1,6 +1,8 @@
-"""The codec of views: as a file with a versioned header and a check sum, and as bytes between stewards.
+"""Encodes snapshots: as a file with a versioned header and a checksum, and as bytes between peers.
 
-Only here: how they look. What can't be used is a value that says why."""
+A file that can't be used is no exception but a `FileProblem` that says why: the controller starts
+without it.
+"""
 
 import struct
 from dataclasses import dataclass
@@ -9,82 +11,122 @@
 import msgspec
 import xxhash
 
-from plankroute.warm_start.facts import View
+from plankroute.warm_start.snapshot import Snapshot
 
-MAGIC, VERSION = b"PKLR", 1
-HEADER = struct.Struct(
-    "!4sHHQQQ"
-)  # magic, version, none, bytes that follow, Unix ms when written, check sum
-MOST_BYTES = 1 << 20  # of a file: five times 500 hosts; what is longer is none of ours
-AHEAD_MS = (
-    5_000  # of the clock of the day: two machines' may differ; further ahead it was set back since
-)
-ENCODER, DECODER = msgspec.msgpack.Encoder(), msgspec.msgpack.Decoder(View)
+MAGIC = b"PKLR"
+VERSION = 1
+# Magic, version, reserved, bytes that follow, Unix milliseconds when written, checksum.
+HEADER = struct.Struct("!4sHHQQQ")
+CHECKSUM = struct.Struct("!Q")
+MAX_FILE_BYTES = 1 << 20  # a guess: five times the file of 500 hosts
+MAX_CLOCK_SKEW_MS = 5_000  # a guess: wall clocks of two machines differ by less
+ENCODER = msgspec.msgpack.Encoder()
+DECODER = msgspec.msgpack.Decoder(Snapshot)
 
 
-class Unusable(Enum):
-    """Why a file is none; `NEWER`, `OLDER`, `OTHERS` are set aside and kept."""
+class FileProblem(Enum):
+    """Why a file can't be used."""
 
-    CUT = "cut short, or not written by us"
-    SPOILT = "its check sum is wrong"
-    NEWER = "written by a newer version"
-    OLDER = "written by an older version"
-    OTHERS = "another steward's"
-    LARGE = "larger than any of ours"
+    TRUNCATED = "truncated, or not written by plankroute"
+    CORRUPT = "its checksum is wrong"
+    NEWER_VERSION = "written by a newer version"
+    OLDER_VERSION = "written by an older version"
+    OTHER_CONTROLLER = "written by another controller"
+    TOO_LARGE = "larger than any that plankroute writes"
 
 
-KEPT = frozenset({Unusable.NEWER, Unusable.OLDER, Unusable.OTHERS})
+# Files of use to somebody else: they are set aside and not overwritten.
+PRESERVED = frozenset(
+    {FileProblem.NEWER_VERSION, FileProblem.OLDER_VERSION, FileProblem.OTHER_CONTROLLER}
+)
 
 
 @dataclass(frozen=True, slots=True)
-class Kept:
-    """`age_us`: since it was written; None: the clock of the day has been set back since, nobody knows."""
+class StoredSnapshot:
+    """A snapshot read from a file.
 
-    view: View
+    Attributes:
+        snapshot: What the file holds.
+        age_us: Microseconds since it was written; None: unknown, as the wall clock has been set
+            back since.
+    """
+
+    snapshot: Snapshot
     age_us: int | None
 
 
-def write_view(view: View) -> bytes:
-    return ENCODER.encode(view)
+def encode_snapshot(snapshot: Snapshot) -> bytes:
+    """The snapshot as it is sent to peers."""
+    return ENCODER.encode(snapshot)
 
 
-def read_view(data: bytes) -> View | None:
-    """None where it is no view."""
+def decode_snapshot(data: bytes) -> Snapshot | None:
+    """The snapshot that a peer sent; None: the bytes are none."""
     try:
         return DECODER.decode(data)
     except (msgspec.MsgspecError, RecursionError):
         return None
 
 
-def check_of(head: bytes, body: bytes) -> int:
-    """Over the header's other fields as well: a flipped version is no other version."""
-    return xxhash.xxh3_64_intdigest(head[:-8] + body)
-
-
-def write_file(view: View, unix_ms: int) -> bytes:
-    body = write_view(view)
-    head = HEADER.pack(MAGIC, VERSION, 0, len(body), max(0, unix_ms), 0)
-    return head[:-8] + struct.pack("!Q", check_of(head, body)) + body
-
-
-def read_file(data: bytes, name: str | None, unix_ms: int) -> Kept | Unusable:
-    """`name`: of the steward whose it must be; None: anybody's. The check sum comes before the version:
-    what is spoilt says nothing, not even that it is newer."""
-    if len(data) > MOST_BYTES:
-        return Unusable.LARGE
-    if len(data) < HEADER.size or data[:4] != MAGIC:
-        return Unusable.CUT
-    _, version, _, size, written_ms, check = HEADER.unpack_from(data)
-    head, body = data[: HEADER.size], data[HEADER.size :]
-    if size != len(body):
-        return Unusable.CUT
-    if check != check_of(head, body):
-        return Unusable.SPOILT
-    if version != VERSION:
-        return Unusable.NEWER if version > VERSION else Unusable.OLDER
-    if (view := read_view(body)) is None:
-        return Unusable.SPOILT
-    if name is not None and view.name != name:
-        return Unusable.OTHERS
+def checksum(header: bytes, body: bytes) -> int:
+    """Covers the header's other fields as well: a flipped version bit is no other version."""
+    return xxhash.xxh3_64_intdigest(header[: -CHECKSUM.size] + body)
+
+
+def encode_file(snapshot: Snapshot, unix_ms: int) -> bytes:
+    """The snapshot as a file.
+
+    Args:
+        snapshot: What the file is to hold.
+        unix_ms: The wall clock's time, in milliseconds.
+    """
+    body = encode_snapshot(snapshot)
+    header = HEADER.pack(MAGIC, VERSION, 0, len(body), max(0, unix_ms), 0)
+    return header[: -CHECKSUM.size] + CHECKSUM.pack(checksum(header, body)) + body
+
+
+def decode_file(data: bytes, controller: str | None, unix_ms: int) -> StoredSnapshot | FileProblem:
+    """What a file holds, or why it can't be used.
+
+    Args:
+        data: The file's bytes.
+        controller: The controller whose file it must be; None: anybody's.
+        unix_ms: The wall clock's time now, in milliseconds.
+    """
+    problem = find_problem(data)
+    if problem is not None:
+        return problem
+    snapshot = decode_snapshot(data[HEADER.size :])
+    if snapshot is None:
+        return FileProblem.CORRUPT
+    if controller is not None and snapshot.controller != controller:
+        return FileProblem.OTHER_CONTROLLER
+    _, _, _, _, written_ms, _ = HEADER.unpack_from(data)
+    return StoredSnapshot(snapshot, age_us_of_file(written_ms, unix_ms))
+
+
+def find_problem(data: bytes) -> FileProblem | None:
+    """What is wrong with a file's size, header or checksum; None: nothing."""
+    if len(data) > MAX_FILE_BYTES:
+        return FileProblem.TOO_LARGE
+    if len(data) < HEADER.size or not data.startswith(MAGIC):
+        return FileProblem.TRUNCATED
+    _, version, _, body_size, _, expected = HEADER.unpack_from(data)
+    header = data[: HEADER.size]
+    body = data[HEADER.size :]
+    if body_size != len(body):
+        return FileProblem.TRUNCATED
+    # Before the version: what is corrupt says nothing, not even that it is newer.
+    if expected != checksum(header, body):
+        return FileProblem.CORRUPT
+    if version == VERSION:
+        return None
+    return FileProblem.NEWER_VERSION if version > VERSION else FileProblem.OLDER_VERSION
+
+
+def age_us_of_file(written_ms: int, unix_ms: int) -> int | None:
+    """Microseconds since a file was written; None: the wall clock has been set back since."""
     age_ms = unix_ms - written_ms
-    return Kept(view, None if age_ms < -AHEAD_MS else max(0, age_ms) * 1000)
+    if age_ms < -MAX_CLOCK_SKEW_MS:
+        return None
+    return max(0, age_ms) * 1000
--- a/plankroute/warm_start/core.py
+++ b/plankroute/warm_start/core.py
@@ -1,6 +1,8 @@
-"""What earlier lives and other stewards know of the hosts, and what of it the decisions are told.
+"""Prior knowledge of hosts: what earlier runs and other controllers know of them.
 
-Decides what is too old, whose word stands and when it is told; not what it counts for."""
+Decides what is too old, whose word stands, and when the policy is told. What the knowledge counts
+for is decided by the policy.
+"""
 
 from collections.abc import Mapping
 from dataclasses import dataclass
@@ -8,148 +10,247 @@
 import msgspec
 
 from plankroute.events.events import HostState
-from plankroute.warm_start.facts import MOST_HOSTS, HostFacts, View
-from plankroute.warm_start.merge import Heard, Merged, first, join
+from plankroute.warm_start.merge import MergedKnowledge, Observation, from_observation, merge
+from plankroute.warm_start.snapshot import MAX_HOSTS, HostKnowledge, Snapshot
 
-HALF_US = 60_000_000  # by which bad news count as fresher: a probe that brings a host back comes in that time
-STATES = {"DRAINING": HostState.DRAINING, "DELETED": HostState.GONE}
+# By which bad news count as fresher than good ones. A guess: within that time health checks readmit
+# a host that recovered.
+HALF_LIFE_US = 60_000_000
+STATE_BY_LIST_WORD = {"DRAINING": HostState.DRAINING, "DELETED": HostState.GONE}
 
 
 @dataclass(frozen=True, slots=True)
-class LearnedFacts:
-    """As stated: what is older counts for nothing; 0: nothing counts."""
+class WarmStartSettings:
+    """What operators set.
 
-    limit_us: int
+    Attributes:
+        max_age_us: Knowledge of this age or older counts for nothing; 0: none counts.
+    """
+
+    max_age_us: int
 
 
 @dataclass(frozen=True, slots=True)
-class ViewCame:
-    """Of a file or a steward; `age_us`: since it was written down."""
+class SnapshotReceived:
+    """Event: a snapshot was read from the file, or came from another controller.
+
+    Attributes:
+        source: "file", or the name of the controller.
+        snapshot: What it holds.
+        age_us: Microseconds since it was written down.
+    """
 
     source: str
-    view: View
+    snapshot: Snapshot
     age_us: int
 
 
 @dataclass(frozen=True, slots=True)
-class Listed:
-    """All hosts that are listed, with their present starts."""
+class HostsListed:
+    """Event: the endpoint list has changed.
 
-    boots: Mapping[str, float]
+    Attributes:
+        boot_ms: By the uid of each listed host, its present start.
+    """
+
+    boot_ms: Mapping[str, float]
 
 
 @dataclass(frozen=True, slots=True)
-class Teach:
-    """What the decisions are to be told of one host, and how old its health and its powers are."""
+class ProvidePriorKnowledge:
+    """Command: tell the policy what is known of a host.
+
+    Attributes:
+        uid: The host.
+        known: What is known of it.
+        health_age_us: Microseconds since its health was observed.
+        capacity_age_us: Microseconds since its capacity was observed.
+    """
 
     uid: str
-    known: Merged
+    known: MergedKnowledge
     health_age_us: int
     capacity_age_us: int
 
 
 @dataclass(frozen=True, slots=True)
-class Close:
-    """Hosts that drain or are gone by a list of that revision."""
+class AnnounceWithdrawals:
+    """Command: hosts are draining or deleted in a list that another controller has.
+
+    Attributes:
+        source: Who says so.
+        revision: The revision of that list.
+        withdrawn: The hosts with their states.
+    """
 
     source: str
     revision: int
-    closed: tuple[tuple[str, HostState], ...]
+    withdrawn: tuple[tuple[str, HostState], ...]
 
 
 @dataclass(frozen=True, slots=True)
-class Noted:
-    """Hosts of a view that count, are too old, or lost against what was known better."""
+class ReportMerge:
+    """Command: report what became of the hosts of a snapshot.
+
+    Attributes:
+        source: Whose snapshot it was.
+        accepted: Hosts of which it changed what is known.
+        expired: Hosts of which its word was too old.
+        superseded: Hosts of which something better was known already.
+    """
 
     source: str
-    taken: int
-    old: int
-    beaten: int
+    accepted: int
+    expired: int
+    superseded: int
+
 
+Event = SnapshotReceived | HostsListed
+Command = ProvidePriorKnowledge | AnnounceWithdrawals | ReportMerge
 
-Event, Action = ViewCame | Listed, Teach | Close | Noted
 
+class WarmStart:
+    """Merges snapshots, and provides each host's knowledge once.
 
-class Learned:
-    """Knows each host once. Tells it when the host is listed with the very start that the facts are of."""
+    A host's knowledge is provided when the list has the host with the very start that the knowledge
+    is about.
+    """
 
-    def __init__(self, facts: LearnedFacts) -> None:
-        self.facts = facts
-        self.known: dict[str, Merged] = {}
-        self.boots: Mapping[str, float] = {}
-        self.told: dict[str, Merged] = {}
+    def __init__(self, settings: WarmStartSettings) -> None:
+        self.settings = settings
+        self.known: dict[str, MergedKnowledge] = {}
+        self.listed_boot_ms: Mapping[str, float] = {}
+        self.provided: dict[str, MergedKnowledge] = {}
 
-    def deliver(self, now_us: int, event: Event) -> list[Action]:
+    def deliver(self, now_us: int, event: Event) -> list[Command]:
+        """Takes an event in.
+
+        Args:
+            now_us: The monotonic clock's time, in microseconds.
+            event: What happened.
+
+        Returns:
+            What is to be done, in this order.
+        """
         match event:
-            case ViewCame():
-                return self.take(now_us, event)
-            case Listed(boots) if not boots:
-                return []
-            case Listed(boots):
-                self.boots = boots
-                self.known = {uid: known for uid, known in self.known.items() if uid in boots}
-                self.told = {uid: known for uid, known in self.told.items() if uid in boots}
-                return self.teach(now_us)
-
-    def take(self, now_us: int, came: ViewCame) -> list[Action]:
-        """The whole view at once: half of one is none."""
-        taken = old = beaten = 0
-        for facts in came.view.hosts:
-            heard = Heard(facts, now_us - facts.age_us - came.age_us)
-            if self.is_old(now_us, heard):
-                old += 1
-                continue
-            known, new = self.known.get(facts.uid), first(heard)
-            joined = join(known, new, HALF_US) if known else new
-            beaten += joined == known
-            taken += joined != known
-            if known or not self.boots or facts.uid in self.boots:
-                self.known[facts.uid] = joined
-        out: list[Action] = [Noted(came.source, taken, old, beaten)]
-        # A drain does not age: it holds until a list of that revision, or a higher one, is here. But
-        # revisions that are older than the limit may be another service's.
-        closed = tuple((uid, STATES[state]) for uid, state in came.view.closed if state in STATES)
-        if closed and came.view.list_age_us + came.age_us < self.facts.limit_us:
-            out.append(Close(came.source, came.view.revision, closed))
-        return out + self.teach(now_us)
-
-    def is_old(self, now_us: int, heard: Heard) -> bool:
-        return now_us - heard.at_us >= self.facts.limit_us
-
-    def view(self, now_us: int, own: View) -> View:
-        """What this steward found out itself, joined with what it was told, each with its own age: what was
-        heard long ago is as old after any number of restarts."""
-        told, hosts = dict(self.known), list[HostFacts]()
-        for facts in own.hosts:
-            if (known := told.pop(facts.uid, None)) is not None:
-                new = first(Heard(facts, now_us - facts.age_us))
-                facts = self.facts_of(now_us, join(known, new, HALF_US))
-            hosts.append(facts)
-        hosts += [self.facts_of(now_us, known) for known in told.values()]
-        fresh = (facts for facts in hosts if facts.age_us < self.facts.limit_us)
-        return msgspec.structs.replace(own, hosts=tuple(fresh)[:MOST_HOSTS])
-
-    def facts_of(self, now_us: int, known: Merged) -> HostFacts:
-        """Where health and powers are of different ages, the older one: news must not grow younger."""
-        health, powers = known.health.facts, known.powers.facts
-        age_us = now_us - min(known.health.at_us, known.powers.at_us)
-        return msgspec.structs.replace(
-            health,
-            weight=powers.weight,
-            attempts=powers.attempts,
-            failed=min(health.failed, powers.attempts),
-            mean_latency_us=powers.mean_latency_us,
-            age_us=max(0, age_us),
+            case SnapshotReceived():
+                return self.merge_snapshot(now_us, event)
+            case HostsListed(boot_ms):
+                return self.follow_list(now_us, boot_ms)
+
+    def follow_list(self, now_us: int, boot_ms: Mapping[str, float]) -> list[Command]:
+        """Forgets hosts that are no longer listed; an empty list says nothing."""
+        if not boot_ms:
+            return []
+        self.listed_boot_ms = boot_ms
+        self.known = {uid: known for uid, known in self.known.items() if uid in boot_ms}
+        self.provided = {uid: known for uid, known in self.provided.items() if uid in boot_ms}
+        return self.provide_new_knowledge(now_us)
+
+    def merge_snapshot(self, now_us: int, received: SnapshotReceived) -> list[Command]:
+        """Merges each host of a snapshot into what is known."""
+        accepted = 0
+        expired = 0
+        superseded = 0
+        for knowledge in received.snapshot.hosts:
+            observation = Observation(knowledge, now_us - knowledge.age_us - received.age_us)
+            if self.is_expired(now_us, observation):
+                expired += 1
+            elif self.merge_observation(observation):
+                accepted += 1
+            else:
+                superseded += 1
+        commands: list[Command] = [ReportMerge(received.source, accepted, expired, superseded)]
+        commands += self.withdrawals(received)
+        commands += self.provide_new_knowledge(now_us)
+        return commands
+
+    def merge_observation(self, observation: Observation) -> bool:
+        """Whether the observation changes what is known of its host."""
+        uid = observation.knowledge.uid
+        known = self.known.get(uid)
+        merged = from_observation(observation)
+        if known is not None:
+            merged = merge(known, merged, HALF_LIFE_US)
+        may_be_listed = not self.listed_boot_ms or uid in self.listed_boot_ms
+        if known is not None or may_be_listed:
+            self.known[uid] = merged
+        return merged != known
+
+    def withdrawals(self, received: SnapshotReceived) -> list[Command]:
+        """Hosts that the snapshot's list withdraws.
+
+        A drain does not age: it holds until a list of that revision, or of a higher one, is here.
+        Guards against revisions of another discovery service: a list older than the limit may have
+        come from one.
+        """
+        snapshot = received.snapshot
+        withdrawn = tuple(
+            (uid, STATE_BY_LIST_WORD[word])
+            for uid, word in snapshot.withdrawn
+            if word in STATE_BY_LIST_WORD
         )
-
-    def teach(self, now_us: int) -> list[Action]:
-        out = list[Action]()
+        list_age_us = snapshot.list_age_us + received.age_us
+        if not withdrawn or list_age_us >= self.settings.max_age_us:
+            return []
+        return [AnnounceWithdrawals(received.source, snapshot.list_revision, withdrawn)]
+
+    def is_expired(self, now_us: int, observation: Observation) -> bool:
+        """Whether the observation is too old to count."""
+        return now_us - observation.observed_at_us >= self.settings.max_age_us
+
+    def provide_new_knowledge(self, now_us: int) -> list[Command]:
+        """Commands for listed hosts of which more is known than was provided."""
+        commands: list[Command] = []
         for uid, known in self.known.items():
-            if self.boots.get(uid) != known.boot_ms() or self.told.get(uid) == known:
+            is_current_start = self.listed_boot_ms.get(uid) == known.boot_ms()
+            if not is_current_start or self.provided.get(uid) == known:
+                continue
+            if self.is_expired(now_us, known.health) or self.is_expired(now_us, known.capacity):
+                continue
+            self.provided[uid] = known
+            health_age_us = now_us - known.health.observed_at_us
+            capacity_age_us = now_us - known.capacity.observed_at_us
+            commands.append(ProvidePriorKnowledge(uid, known, health_age_us, capacity_age_us))
+        return commands
+
+    def snapshot(self, now_us: int, own: Snapshot) -> Snapshot:
+        """What this controller observed, merged with its prior knowledge, each with its own age.
+
+        Guards against knowledge that grows younger by being passed on: what was observed long ago
+        is as old after any number of restarts.
+
+        Args:
+            now_us: The monotonic clock's time, in microseconds.
+            own: What this controller observed itself.
+        """
+        prior = dict(self.known)
+        hosts: list[HostKnowledge] = []
+        for observed in own.hosts:
+            known = prior.pop(observed.uid, None)
+            if known is None:
+                hosts.append(observed)
                 continue
-            if not (self.is_old(now_us, known.health) or self.is_old(now_us, known.powers)):
-                self.told[uid] = known
-                out.append(
-                    Teach(uid, known, now_us - known.health.at_us, now_us - known.powers.at_us)
-                )
-        return out
+            new = from_observation(Observation(observed, now_us - observed.age_us))
+            hosts.append(as_host_knowledge(now_us, merge(known, new, HALF_LIFE_US)))
+        hosts += [as_host_knowledge(now_us, known) for known in prior.values()]
+        fresh = [host for host in hosts if host.age_us < self.settings.max_age_us]
+        return msgspec.structs.replace(own, hosts=tuple(fresh[:MAX_HOSTS]))
+
+
+def as_host_knowledge(now_us: int, known: MergedKnowledge) -> HostKnowledge:
+    """Both kinds of facts as one record, with the age of the older one.
+
+    Guards against knowledge that grows younger by merging.
+    """
+    health = known.health.knowledge
+    capacity = known.capacity.knowledge
+    oldest_us = min(known.health.observed_at_us, known.capacity.observed_at_us)
+    return msgspec.structs.replace(
+        health,
+        weight=capacity.weight,
+        attempts=capacity.attempts,
+        failed=min(health.failed, capacity.attempts),
+        mean_latency_us=capacity.mean_latency_us,
+        age_us=max(0, now_us - oldest_us),
+    )
--- a/plankroute/warm_start/merge.py
+++ b/plankroute/warm_start/merge.py
@@ -1,65 +1,100 @@
-"""How two views of a host become one: by kind of fact, never by last writer. Each kind is a point of a
-join-semilattice: any order, any number of times, the same result. What it counts for is not decided here."""
+"""Merges what several sources know of one host, by kind of fact and never by last writer.
+
+Each kind of fact is a point of a join-semilattice: merging in any order, any number of times, gives
+the same result (conflict-free replicated data types, Shapiro et al. 2011). What the merged facts
+count for is decided by the policy, not here.
+"""
 
 import math
 from dataclasses import dataclass
 
-from plankroute.warm_start.facts import HostFacts
+from plankroute.warm_start.snapshot import HostKnowledge
 
 
 @dataclass(frozen=True, slots=True)
-class Heard:
-    """Facts of one source; `at_us`: when they were heard, on this steward's steady clock."""
+class Observation:
+    """What one source knows of a host.
+
+    Attributes:
+        knowledge: The facts.
+        observed_at_us: When they were observed, on this controller's monotonic clock.
+    """
 
-    facts: HostFacts
-    at_us: int
+    knowledge: HostKnowledge
+    observed_at_us: int
 
-    def health_us(self, half_us: int) -> float:
-        """Bad news counts as one half-life fresher: good news of the same time does not overrule it.
+    def health_rank_us(self, half_life_us: int) -> float:
+        """Freshness of its word on health; bad news count as one half-life fresher.
 
-        Guards against a host in trouble that one of two has not met yet. Harm: a host that got well is
-        shunned for a half-life longer, or until its probes are good."""
-        return self.at_us + half_us * self.facts.is_bad()
+        Guards against a host in trouble that one of two controllers has not met yet: good news of
+        the same time must not overrule bad news. The cost: a host that recovered is avoided for a
+        half-life longer, or until its health checks are good.
+        """
+        if self.knowledge.is_unhealthy():
+            return self.observed_at_us + half_life_us
+        return self.observed_at_us
 
-    def powers_us(self, half_us: int) -> float:
-        """Twice the tries make up for one half-life."""
-        return self.at_us + half_us * math.log2(1.0 + self.facts.attempts)
+    def capacity_rank_us(self, half_life_us: int) -> float:
+        """Freshness of its word on capacity; twice the attempts make up for one half-life."""
+        return self.observed_at_us + half_life_us * math.log2(1.0 + self.knowledge.attempts)
 
 
 @dataclass(frozen=True, slots=True)
-class Merged:
-    """What is known of one start of one host: whose word on its health, and whose on its powers."""
+class MergedKnowledge:
+    """What is known of one start of one host.
 
-    health: Heard
-    powers: Heard
+    Attributes:
+        health: The observation whose word on health stands.
+        capacity: The observation whose word on weight and latency stands.
+    """
+
+    health: Observation
+    capacity: Observation
 
     def boot_ms(self) -> float:
-        return self.health.facts.boot_ms
+        """Which start of the host this is about."""
+        return self.health.knowledge.boot_ms
 
 
-def first(heard: Heard) -> Merged:
-    return Merged(heard, heard)
+def from_observation(observation: Observation) -> MergedKnowledge:
+    """What is known after a single observation."""
+    return MergedKnowledge(observation, observation)
 
 
-def order(heard: Heard) -> tuple[object, ...]:
-    """Between equals; any order does, as long as it is the same everywhere."""
-    facts = heard.facts
+def tie_breaker(observation: Observation) -> tuple[float, ...]:
+    """Orders observations of equal rank; any total order does if all controllers use the same."""
+    knowledge = observation.knowledge
     return (
-        heard.at_us,
-        facts.is_shut,
-        facts.failed,
-        facts.attempts,
-        facts.required_checks,
-        facts.weight,
-        facts.mean_latency_us,
+        observation.observed_at_us,
+        knowledge.ejected,
+        knowledge.failed,
+        knowledge.attempts,
+        knowledge.required_checks,
+        knowledge.weight,
+        knowledge.mean_latency_us,
     )
 
 
-def join(one: Merged, other: Merged, half_us: int) -> Merged:
-    """A later start of the host is another host: nothing of the earlier one stays."""
+def merge(one: MergedKnowledge, other: MergedKnowledge, half_life_us: int) -> MergedKnowledge:
+    """The better word of two on each kind of fact.
+
+    A later start of the host is another host: nothing of the earlier one is kept.
+
+    Args:
+        one: What is known of the host.
+        other: What else is known of it.
+        half_life_us: The half-life by which ranks are compared.
+    """
     if one.boot_ms() != other.boot_ms():
-        return max(one, other, key=Merged.boot_ms)
-    return Merged(
-        max(one.health, other.health, key=lambda heard: (heard.health_us(half_us), order(heard))),
-        max(one.powers, other.powers, key=lambda heard: (heard.powers_us(half_us), order(heard))),
+        return max(one, other, key=MergedKnowledge.boot_ms)
+
+    def health_key(observation: Observation) -> tuple[float, tuple[float, ...]]:
+        return observation.health_rank_us(half_life_us), tie_breaker(observation)
+
+    def capacity_key(observation: Observation) -> tuple[float, tuple[float, ...]]:
+        return observation.capacity_rank_us(half_life_us), tie_breaker(observation)
+
+    return MergedKnowledge(
+        health=max(one.health, other.health, key=health_key),
+        capacity=max(one.capacity, other.capacity, key=capacity_key),
     )
--- /dev/null
+++ b/tests/warm_start/test_prior_knowledge_policy.py
@@ -0,0 +1,186 @@
+"""What the policy makes of prior knowledge, be it right, wrong or absurd."""
+
+import random
+
+import pytest
+from support.controller_bench import feed, generated_day, probes, ready_bench
+from support.controller_model import READY, SECOND, Bench, changes, entry, full, start_facts
+
+from plankroute.events import events
+from plankroute.events.commands import Command
+from plankroute.events.events import HealthCheckOutcome
+
+
+def prior_knowledge(
+    host: int, unhealthy: bool = False, weight: float = 1.0, age_us: int = SECOND
+) -> events.HostPriorKnowledge:
+    return events.HostPriorKnowledge(
+        host,
+        weight,
+        attempts=40.0,
+        failed=40.0 if unhealthy else 0.0,
+        mean_latency_us=20_000.0,
+        ejected=unhealthy,
+        required_checks=8 if unhealthy else 2,
+        health_age_us=age_us,
+        capacity_age_us=age_us,
+    )
+
+
+def listed_hosts(count: int = 10) -> events.HostList:
+    """Hosts 100, 101, ... over three zones."""
+    return full(*[entry(100 + place, zone=place % 3) for place in range(count)])
+
+
+def health_check(host: int, outcome: HealthCheckOutcome) -> events.HealthCheckResult:
+    return events.HealthCheckResult(host, outcome, 10_000, None)
+
+
+def joining_proxies(fresh: bool) -> list[events.ProxyJoined]:
+    return [events.ProxyJoined(proxy, proxy % 3, 10.0, fresh) for proxy in range(4)]
+
+
+def started(*known: events.HostPriorKnowledge, hosts: int = 10, fresh: bool = True) -> Bench:
+    """The list and the prior knowledge come first; then proxies, and answers to health checks."""
+    bench = Bench(start_facts())
+    bench.give(listed_hosts(hosts), *known)
+    checked = probes(bench.give(*joining_proxies(fresh)))
+    unhealthy = {host.host for host in known if host.ejected}
+    bench.give(
+        *[
+            health_check(
+                host,
+                HealthCheckOutcome.ERROR if host in unhealthy else HealthCheckOutcome.ANSWERED,
+            )
+            for host in sorted(checked | unhealthy)
+        ]
+    )
+    bench.pass_time(SECOND // 2)
+    return bench
+
+
+def test_an_unhealthy_host_starts_ejected_and_checked_and_a_healthy_one_near_its_weight() -> None:
+    bench = started(*[prior_knowledge(100 + i, i == 3, 1.3 if i < 3 else 0.8) for i in range(10)])
+    lines = bench.lines[0]
+    assert 103 not in lines and lines[100] > 1.4 * lines[105]
+    assert 103 in probes(bench.log)
+    for _ in range(12):  # it recovered: good health checks in a row readmit it, by degrees
+        bench.pass_time(SECOND)
+        bench.give(health_check(103, HealthCheckOutcome.ANSWERED))
+    assert bench.lines[0][103] > 0
+
+
+def test_knowledge_a_day_old_counts_for_nearly_nothing() -> None:
+    old = 86_400 * SECOND
+    bench = started(
+        *[prior_knowledge(100 + i, i == 3, 0.1 if i < 5 else 1.4, old) for i in range(10)]
+    )
+    lines = bench.lines[0]
+    assert max(lines.values()) - min(lines.values()) <= 1 and 103 in lines
+
+
+def test_knowledge_that_is_all_wrong_leaves_the_start_as_it_would_have_been() -> None:
+    """Guards against a file of another time: hosts said to be healthy fail, others are well."""
+    plain = Bench(start_facts())
+    plain.give(listed_hosts())
+    wrong = Bench(start_facts())
+    wrong.give(
+        listed_hosts(),
+        *[prior_knowledge(100 + i, i < 2, 1.4 if i > 7 else 1.0) for i in range(10)],
+    )
+    for bench in (plain, wrong):
+        bench.give(*joining_proxies(fresh=True))
+        bench.give(
+            *[
+                health_check(
+                    100 + i, HealthCheckOutcome.ERROR if i > 7 else HealthCheckOutcome.ANSWERED
+                )
+                for i in range(10)
+            ]
+        )
+        bench.pass_time(SECOND // 2)
+    assert wrong.lines[0] == pytest.approx(plain.lines[0], rel=0.05)
+    assert not wrong.controller.host_table.told
+
+
+def test_knowledge_that_all_hosts_are_unhealthy_ejects_a_third_at_most() -> None:
+    bench = started(*[prior_knowledge(100 + i, True) for i in range(10)])
+    assert len(bench.lines[0]) >= 6
+    assert sum(bench.controller.host_table.ejected) <= 3
+
+
+def test_beside_published_tables_prior_knowledge_may_only_lower_a_weight() -> None:
+    """Guards against an avoided host that wrong knowledge calls healthy."""
+    bench = Bench(start_facts())
+    bench.give(
+        listed_hosts(),
+        prior_knowledge(109, False, 1.4),
+        prior_knowledge(101, False, 0.3),
+    )
+    bench.give(*joining_proxies(fresh=False))
+    bench.give(
+        *[
+            events.HostRequestStats(100 + i, 0, 0 if i == 9 else 30, 0, 20_000.0, SECOND, None)
+            for i in range(10)
+        ]
+    )
+    bench.pass_time(SECOND)
+    lines = bench.lines[0]
+    assert lines[109] < lines[100] / 2
+    assert lines[101] < lines[100] / 2
+
+
+def test_own_requests_overrule_prior_knowledge() -> None:
+    bench = ready_bench()
+    feed(bench, 3)
+    before = dict(bench.lines[0])
+    bench.give(prior_knowledge(101, True, 0.05))
+    assert bench.lines[0] == before
+    assert not any(bench.controller.host_table.ejected)
+
+
+def test_a_restart_of_a_host_discards_its_prior_knowledge() -> None:
+    bench = started(prior_knowledge(103, True))
+    bench.give(changes(entry(103, READY, zone=0, started_us=bench.now)))
+    host_table = bench.controller.host_table
+    assert not host_table.ejected[host_table.index_of[103]]
+    assert not host_table.told
+
+
+def drawn_knowledge(rng: random.Random) -> events.HostPriorKnowledge:
+    """Prior knowledge of any sense or none."""
+    return events.HostPriorKnowledge(
+        rng.randrange(95, 125),
+        rng.choice([0.0, 1e9, rng.random()]),
+        rng.choice([0.0, 40.0]),
+        rng.choice([0.0, 40.0]),
+        rng.random() * 1e6,
+        rng.random() < 0.7,
+        rng.randrange(1000),
+        rng.randrange(90 * SECOND),
+        rng.randrange(90 * SECOND),
+    )
+
+
+@pytest.mark.parametrize("seed", range(8))
+def test_no_rule_of_the_protocol_rests_on_prior_knowledge(seed: int) -> None:
+    """The bench objects to any break, whatever knowledge comes, in any order, at any time."""
+
+    class BenchWithDrawnKnowledge(Bench):
+        def give(self, *batch: events.Event) -> list[Command]:
+            rng = random.Random(self.now + seed)
+            known = [drawn_knowledge(rng) for _ in range(6)]
+            return super().give(*known, *batch)
+
+    bench = BenchWithDrawnKnowledge(start_facts(health_checks_allowed=seed % 2 == 0))
+    generated_day(bench, random.Random(seed), 40)
+
+
+def test_only_what_was_observed_first_hand_is_passed_on() -> None:
+    bench = started(prior_knowledge(103, True), prior_knowledge(104, False, 0.5))
+    assert not list(bench.controller.learned())
+    feed(bench, 3, failed=lambda host: 8 if host == 105 else 0, skip=(103,))
+    observed = {host.host: host for host in bench.controller.learned()}
+    assert 103 not in observed
+    assert observed[105].failed > 3
+    assert observed[104].weight > 0
--- /dev/null
+++ b/tests/warm_start/test_snapshot_exchange.py
@@ -0,0 +1,113 @@
+"""Snapshots between controllers, with scripted peers."""
+
+import asyncio
+import time
+from collections.abc import Awaitable, Callable
+from dataclasses import dataclass
+
+import msgspec
+import pytest
+from support.controller_model import SECOND
+from support.host_snapshots import HEALTHY, UNHEALTHY, snapshot_of
+
+from plankroute.cold_start.link_codec import Begin, Part, ViewOf, write_frame
+from plankroute.net.peers.links import frames_of_view
+from plankroute.net.peers.snapshot_exchange import Peer, SnapshotExchange
+from plankroute.net.process.telemetry import EventLog, Telemetry
+from plankroute.warm_start.codec import decode_snapshot, encode_snapshot
+from plankroute.warm_start.core import SnapshotReceived
+
+Answer = Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
+
+
+def new_exchange(received: list[SnapshotReceived]) -> SnapshotExchange:
+    telemetry = Telemetry(EventLog("n0", lambda line: None))
+    return SnapshotExchange("n0", "g", "127.0.0.1", telemetry, snapshot_of, received.append)
+
+
+@dataclass(frozen=True)
+class Asked:
+    received: list[SnapshotReceived]
+    took_s: float
+
+
+async def ask_peer(answer: Answer) -> Asked:
+    """One request, with a limit of 400 ms, to a peer that answers so."""
+    received: list[SnapshotReceived] = []
+    exchange = new_exchange(received)
+    server = await asyncio.start_server(answer, "127.0.0.1", 0)
+    try:
+        began_s = time.monotonic()
+        await exchange.ask(Peer("n1", server.sockets[0].getsockname()), 0.4)
+        return Asked(received, time.monotonic() - began_s)
+    finally:
+        server.close()
+
+
+MANY_HOSTS = [msgspec.structs.replace(HEALTHY, uid=f"h{host}") for host in range(900)]
+WHOLE = frames_of_view("n1", 5, encode_snapshot(snapshot_of(HEALTHY, *MANY_HOSTS)))
+
+
+@pytest.mark.parametrize(
+    ("frames", "closes", "snapshots"),
+    [
+        pytest.param(WHOLE, True, 1, id="whole"),
+        pytest.param(WHOLE[:-1], True, 0, id="restarts between two pieces"),
+        pytest.param(WHOLE[:-1], False, 0, id="is paused in the middle"),
+        pytest.param([], False, 0, id="says nothing"),
+        pytest.param([], True, 0, id="closes at once"),
+        pytest.param(
+            [*WHOLE[:-1], write_frame(Part(b"x" * 9000))], False, 0, id="sends too large a part"
+        ),
+        pytest.param(
+            [write_frame(ViewOf("n1", 0)), write_frame(Begin(0, True, 1 << 40, 1))],
+            False,
+            0,
+            id="announces a terabyte",
+        ),
+        pytest.param([b"\xff" * 50], False, 0, id="sends noise"),
+        pytest.param(
+            [*frames_of_view("n1", 0, b"no view at all")], True, 0, id="sends no snapshot"
+        ),
+        pytest.param(
+            [*frames_of_view("n9", 0, encode_snapshot(snapshot_of(HEALTHY)))],
+            True,
+            0,
+            id="sends one controller's snapshot in another's name",
+        ),
+    ],
+)
+def test_a_faulty_peer_is_left_in_time_and_half_an_answer_is_none(
+    frames: list[bytes], closes: bool, snapshots: int
+) -> None:
+    async def answer(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        for frame in frames:
+            writer.write(frame)
+        if closes:
+            writer.close()
+        else:
+            await reader.read()
+
+    asked = asyncio.run(ask_peer(answer))
+    assert len(asked.received) == snapshots
+    assert asked.took_s < 3.0
+    if snapshots:
+        assert asked.received[0].source == "n1"
+        assert 5 <= asked.received[0].age_us < 3 * SECOND
+
+
+def test_handovers_are_bounded_and_the_newest_of_each_controller_is_held() -> None:
+    exchange = new_exchange([])
+    for number in range(40):
+        name = f"n{number}"
+        exchange.keep(name, encode_snapshot(snapshot_of(HEALTHY, controller=name)))
+    exchange.keep("n39", encode_snapshot(snapshot_of(UNHEALTHY, controller="n39")))
+    exchange.keep("n38", encode_snapshot(snapshot_of(UNHEALTHY, controller="somebody")))
+    exchange.keep("n37", b"noise")
+    assert len(exchange.handovers) == 16
+    newest = decode_snapshot(exchange.handovers["n39"].data)
+    assert newest
+    assert newest.hosts == (UNHEALTHY,)
+    untouched = decode_snapshot(exchange.handovers["n38"].data)
+    assert untouched
+    assert untouched.hosts == (HEALTHY,)
