--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,58 +1,78 @@
-"""Property tests draw the same examples each time, and no slow machine decides a verdict.
+"""Set-up of all tests.
 
-Tests that are known to fail for a real fault stand in KNOWN-RED.txt: they run, have to fail, are printed."""
+Property tests draw the same examples in each run, and no slow machine decides their verdict. Tests
+that are known to fail for a real fault are listed in KNOWN-RED.txt: they run, have to fail, and are
+printed.
+"""
 
 import re
 from pathlib import Path
 from typing import NamedTuple
 
 import pytest
+from _pytest.terminal import TerminalReporter  # pytest exports this type nowhere else
 from hypothesis import settings
 
 settings.register_profile("same each time", derandomize=True, database=None, deadline=None)
 settings.load_profile("same each time")
 
 KNOWN_RED = "KNOWN-RED.txt"  # at the root; a line: tests/test_x.py::test_y | cause | issue 23
-MOST_RED = 3
+MAX_KNOWN_RED = 3
 LINE = re.compile(r"(\S.*?) \| (\S.*) \| (issue \d+)")
-SAID = pytest.StashKey[list["Red"]]()
 
 
-class Red(NamedTuple):
+class KnownFailure(NamedTuple):
+    """A line of KNOWN-RED.txt."""
+
     test: str
     cause: str
     issue: str
 
+    def reason(self) -> str:
+        return f"{self.cause} ({self.issue})"
+
+
+KNOWN_FAILURES = pytest.StashKey[list[KnownFailure]]()
 
-def known_red(root: Path) -> list[Red]:
-    if not (path := root / KNOWN_RED).exists():
+
+def read_known_failures(root: Path) -> list[KnownFailure]:
+    """Reads the list; a wrong one stops the run."""
+    path = root / KNOWN_RED
+    if not path.exists():
         return []
     lines = path.read_text().splitlines()
-    if len(lines) > MOST_RED:
-        raise pytest.UsageError(f"{KNOWN_RED}: {len(lines)} lines, {MOST_RED} at most")
-    read = [LINE.fullmatch(line) for line in lines]
-    for number, match in enumerate(read, 1):
+    if len(lines) > MAX_KNOWN_RED:
+        raise pytest.UsageError(f"{KNOWN_RED}: {len(lines)} lines, {MAX_KNOWN_RED} at most")
+    failures: list[KnownFailure] = []
+    for number, line in enumerate(lines, 1):
+        match = LINE.fullmatch(line)
         if match is None:
             raise pytest.UsageError(f"{KNOWN_RED}: line {number} is not 'test | cause | issue N'")
-    return [Red(*match.groups()) for match in read if match]
+        failures.append(KnownFailure(*match.groups()))
+    return failures
 
 
 @pytest.hookimpl(tryfirst=True)
 def pytest_collection_modifyitems(config: pytest.Config, items: list[pytest.Item]) -> None:
-    listed, by_id = known_red(config.rootpath), {item.nodeid: item for item in items}
-    whole = (
-        config.args_source is not pytest.Config.ArgsSource.ARGS
-    )  # else a test may be there, not asked for
-    for red in listed:
-        if item := by_id.get(red.test):
-            item.add_marker(pytest.mark.xfail(reason=f"{red.cause} ({red.issue})", strict=True))
-        elif whole:
-            raise pytest.UsageError(f"{KNOWN_RED}: there is no test {red.test}")
-    config.stash[SAID] = listed
-
-
-def pytest_terminal_summary(terminalreporter, config: pytest.Config) -> None:
-    if listed := config.stash.get(SAID, []):
-        terminalreporter.section("known red")
-        for red in listed:
-            terminalreporter.line(f"{red.test}: {red.cause} ({red.issue})")
+    """Marks listed tests as failing; a listed test that does not exist stops a run of all tests."""
+    known_failures = read_known_failures(config.rootpath)
+    item_by_id = {item.nodeid: item for item in items}
+    # With arguments, a listed test may exist and not be asked for.
+    runs_all_tests = config.args_source is not pytest.Config.ArgsSource.ARGS
+    for failure in known_failures:
+        item = item_by_id.get(failure.test)
+        if item:
+            item.add_marker(pytest.mark.xfail(reason=failure.reason(), strict=True))
+        elif runs_all_tests:
+            raise pytest.UsageError(f"{KNOWN_RED}: there is no test {failure.test}")
+    config.stash[KNOWN_FAILURES] = known_failures
+
+
+def pytest_terminal_summary(terminalreporter: TerminalReporter, config: pytest.Config) -> None:
+    """Prints the listed tests."""
+    known_failures = config.stash.get(KNOWN_FAILURES, [])
+    if not known_failures:
+        return
+    terminalreporter.section("known red")
+    for failure in known_failures:
+        terminalreporter.line(f"{failure.test}: {failure.reason()}")
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -11,7 +11,8 @@
 GOOD_LINE = "tests/test_two.py::test_fails | the channel's books forget a mark | issue 7\n"
 
 
-def run(root: Path, listed: str | None) -> tuple[int, str]:
+def run_pytest(root: Path, listed: str | None) -> tuple[int, str]:
+    """Exit status and output of a run with two tests, one of which fails."""
     (root / "tests").mkdir()
     (root / "pytest.ini").write_text(
         "[pytest]\ntestpaths = tests\naddopts = -q -p no:cacheprovider\n"
@@ -32,7 +33,7 @@
 
 
 @pytest.mark.parametrize(
-    "listed, status, said",
+    ("listed", "status", "message"),
     [
         (None, 1, "1 failed, 1 passed"),
         (GOOD_LINE, 0, "test_fails: the channel's books forget a mark (issue 7)"),
@@ -43,8 +44,9 @@
         (GOOD_LINE * 4, 4, "4 lines, 3 at most"),
     ],
 )
-def test_a_listed_test_fails_and_is_printed_and_a_wrong_list_fails_the_run(
-    tmp_path, listed, status, said
-):
-    returned, text = run(tmp_path, listed)
-    assert returned == status and said in text, text
+def test_a_listed_test_has_to_fail_and_a_wrong_list_fails_the_run(
+    tmp_path: Path, listed: str | None, status: int, message: str
+) -> None:
+    returned, output = run_pytest(tmp_path, listed)
+    assert returned == status, output
+    assert message in output
