--- a/plankroute/cli/members.py
+++ b/plankroute/cli/members.py
@@ -11,16 +11,16 @@
 
 from plankroute.cli.text_table import text_table
 from plankroute.membership.codec import Codec
-from plankroute.membership.facts import MOST_DATAGRAM
-from plankroute.membership.messages import Line, ViewAsked, ViewPiece
-from plankroute.membership.records import Standing
+from plankroute.membership.facts import MAX_DATAGRAM_BYTES
+from plankroute.membership.messages import ViewLine, ViewRequest, ViewResponse
+from plankroute.membership.records import MemberState
 from plankroute.net.process.address import host_and_port
 
 MAX_ATTEMPTS = 3  # for each part: a datagram may be lost, also on one machine
 HEADINGS = ("name", "state", "for", "zone", "address", "incarnation")
 
 
-def ask(address: str, group: str, wait_s: float) -> list[Line] | None:
+def ask(address: str, group: str, wait_s: float) -> list[ViewLine] | None:
     """Asks a controller for its members.
 
     Args:
@@ -36,7 +36,7 @@
     """
     server = host_and_port(address)
     codec = Codec(group)
-    lines: list[Line] = []
+    lines: list[ViewLine] = []
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as client:
         client.settimeout(wait_s)
         while True:
@@ -44,32 +44,33 @@
             if piece is None:
                 return None
             lines += piece.lines
-            if len(lines) >= piece.total or not piece.lines:
+            if len(lines) >= piece.total_lines or not piece.lines:
                 return lines
 
 
 def ask_piece(
     client: socket.socket, server: tuple[str, int], codec: Codec, first: int
-) -> ViewPiece | None:
+) -> ViewResponse | None:
     """The lines from `first` on that fit into a datagram; None: no answer to any attempt."""
     for _ in range(MAX_ATTEMPTS):
         try:
-            client.sendto(codec.write(ViewAsked(first)), server)
+            client.sendto(codec.encode(ViewRequest(first)), server)
             while True:
-                message = codec.read(client.recv(MOST_DATAGRAM + 1))
-                if isinstance(message, ViewPiece) and message.first == first:
+                message = codec.decode(client.recv(MAX_DATAGRAM_BYTES + 1))
+                if isinstance(message, ViewResponse) and message.first_line == first:
                     return message
         except OSError:
             continue
     return None
 
 
-def state_of(line: Line) -> str:
-    """The state of a member, as the controller has it."""
-    return Standing(line.told).name.lower()
+def state_of(line: ViewLine) -> str:
+    """The word for a state in the output, which scripts read: a failed member is "gone"."""
+    state = MemberState(line.state)
+    return "gone" if state is MemberState.FAILED else state.name.lower()
 
 
-def as_json_text(lines: list[Line]) -> str:
+def as_json_text(lines: list[ViewLine]) -> str:
     """One JSON object for machines; its keys are part of the interface."""
     members = [
         {
@@ -77,8 +78,8 @@
             "address": line.record.address,
             "zone": line.record.zone,
             "state": state_of(line),
-            "for_s": round(line.for_us / 1e6, 3),
-            "life": line.record.life,
+            "for_s": round(line.duration_us / 1e6, 3),
+            "life": line.record.instance_id,
             "incarnation": line.record.incarnation,
         }
         for line in lines
@@ -88,17 +89,17 @@
     return text.decode()
 
 
-def as_table(lines: list[Line]) -> str:
+def as_table(lines: list[ViewLine]) -> str:
     """A table for people."""
     return text_table([HEADINGS, *(table_row(line) for line in lines)])
 
 
-def table_row(line: Line) -> tuple[str, ...]:
+def table_row(line: ViewLine) -> tuple[str, ...]:
     """One member under `HEADINGS`."""
     return (
         line.record.name,
         state_of(line),
-        f"{line.for_us / 1e6:.1f} s",
+        f"{line.duration_us / 1e6:.1f} s",
         line.record.zone,
         line.record.address,
         str(line.record.incarnation),
--- a/plankroute/cli/state.py
+++ b/plankroute/cli/state.py
@@ -8,7 +8,12 @@
 import msgspec
 
 from plankroute.cli.text_table import text_table
-from plankroute.cold_start.link_codec import VERSION, Ask, FrameCutter, write_frame
+from plankroute.cold_start.link_codec import (
+    LINK_VERSION,
+    FrameDecoder,
+    WarmStartRequest,
+    encode_frame,
+)
 from plankroute.net.peers.links import read_views
 from plankroute.net.process.address import host_and_port
 from plankroute.net.process.file_store import Disk
@@ -94,8 +99,8 @@
     async with asyncio.timeout(ANSWER_TIMEOUT_S):
         reader, writer = await asyncio.open_connection(*host_and_port(address))
         try:
-            writer.write(write_frame(Ask(VERSION, group, ASKING_NAME)))
-            async for _, age_us, data in read_views(reader, FrameCutter(), MAX_FILE_BYTES):
+            writer.write(encode_frame(WarmStartRequest(LINK_VERSION, group, ASKING_NAME)))
+            async for _, age_us, data in read_views(reader, FrameDecoder(), MAX_FILE_BYTES):
                 snapshot = decode_snapshot(data)
                 if snapshot is not None:
                     found.append(FoundSnapshot(snapshot, age_us))
--- a/plankroute/config/feature_file.py
+++ b/plankroute/config/feature_file.py
@@ -10,6 +10,7 @@
 
 import msgspec
 
+from plankroute.config.file_reader import FileReader, read_file
 from plankroute.events.settings import SettingsError
 from plankroute.net.process.address import host_and_port
 
@@ -104,7 +105,7 @@
 
 
 class ColdStartSection(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """Starts of many controllers at once that spare discovery and hosts (docs/coldstart.md)."""
+    """Starts of many controllers at once that spare discovery and hosts (docs/cold-start.md)."""
 
     calls_a_second: Annotated[
         float,
@@ -153,7 +154,7 @@
 
 
 class WarmStartSection(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """Prior knowledge of hosts that outlives a controller (docs/learned.md)."""
+    """Prior knowledge of hosts that outlives a controller (docs/warm-start.md)."""
 
     folder: (
         Annotated[
@@ -203,15 +204,18 @@
     """The feature file can't be used; one line, with the path of the field at fault."""
 
 
-def read_feature_file(path: str | Path) -> FeatureFile:
+def read_feature_file(path: str | Path, read: FileReader = read_file) -> FeatureFile:
     """Reads and checks a feature file.
 
+    Args:
+        path: The file.
+        read: Reads its bytes.
+
     Raises:
         FeatureFileError: It can't be used.
     """
     try:
-        with open(path, "rb") as file:
-            text = file.read(MAX_FILE_BYTES + 1)
+        text = read(path, MAX_FILE_BYTES + 1)
     except OSError as error:
         raise FeatureFileError(f"{path}: {error.strerror or error}") from error
     if len(text) > MAX_FILE_BYTES:
--- a/plankroute/net/peers/snapshot_exchange.py
+++ b/plankroute/net/peers/snapshot_exchange.py
@@ -5,9 +5,15 @@
 from collections.abc import Callable, Coroutine
 from dataclasses import dataclass
 
-from plankroute.cold_start.link_codec import VERSION, Ask, FrameCutter, Keep, write_frame
-from plankroute.cold_start.watcher_election import ranked
-from plankroute.net.peers.links import frames_of_view, read_views
+from plankroute.cold_start.link_codec import (
+    LINK_VERSION,
+    FrameDecoder,
+    WarmStartHandover,
+    WarmStartRequest,
+    encode_frame,
+)
+from plankroute.cold_start.watcher_election import rendezvous_order
+from plankroute.net.peers.links import read_views, view_frames
 from plankroute.net.process.clock import monotonic_us
 from plankroute.net.process.telemetry import Telemetry
 from plankroute.warm_start.codec import MAX_FILE_BYTES, decode_snapshot, encode_snapshot
@@ -162,8 +168,8 @@
         """
         reader, writer = await self.connect(peer.address)
         try:
-            writer.write(write_frame(Ask(VERSION, self.group, self.controller)))
-            async for snapshot in read_views(reader, FrameCutter(), self.most):
+            writer.write(encode_frame(WarmStartRequest(LINK_VERSION, self.group, self.controller)))
+            async for snapshot in read_views(reader, FrameDecoder(), self.most):
                 snapshots.append(snapshot)
         finally:
             writer.transport.abort()
@@ -202,9 +208,9 @@
         """
         _, writer = await self.connect(peer.address)
         data = encode_snapshot(self.current())
-        writer.write(write_frame(Keep(VERSION, self.group, self.controller)))
+        writer.write(encode_frame(WarmStartHandover(LINK_VERSION, self.group, self.controller)))
         await writer.drain()
-        for frame in frames_of_view(self.controller, 0, data):
+        for frame in view_frames(self.controller, 0, data):
             writer.write(frame)
             await writer.drain()
         writer.close()
@@ -213,4 +219,4 @@
 
 def asking_order(names: list[str], controller: str) -> list[str]:
     """Whom a controller asks, and hands over to: by rendezvous hashing over its own name."""
-    return ranked([name for name in names if name != controller], controller)
+    return rendezvous_order([name for name in names if name != controller], controller)
--- a/plankroute/net/peers/warm_start.py
+++ b/plankroute/net/peers/warm_start.py
@@ -62,9 +62,7 @@
         self.file: SnapshotFile | None = None
         if section.folder:
             self.file = SnapshotFile(Path(section.folder), name, telemetry, disk or Disk())
-        self.exchange = SnapshotExchange(
-            name, group, own_host, telemetry, self.snapshot, self.work
-        )
+        self.exchange = SnapshotExchange(name, group, own_host, telemetry, self.snapshot, self.work)
         self.tasks: set[asyncio.Task[None]] = set()
 
     def attach(
@@ -207,7 +205,7 @@
     def observed_hosts(self) -> tuple[HostKnowledge, ...]:
         """What this controller observed itself."""
         observed: list[HostKnowledge] = []
-        for host in self.controller.learned():
+        for host in self.controller.prior_knowledge():
             known = self.directory.hosts[host.host]
             observed.append(
                 HostKnowledge(
--- a/plankroute/net/process/optional_features.py
+++ b/plankroute/net/process/optional_features.py
@@ -4,15 +4,15 @@
 from collections.abc import Callable, Coroutine
 from typing import TYPE_CHECKING
 
-from plankroute.cold_start.backoff import CallFacts
-from plankroute.cold_start.link_codec import Probed
+from plankroute.cold_start.backoff import BackoffFacts
+from plankroute.cold_start.link_codec import HealthCheckResults
 from plankroute.cold_start.probe_sharing import Survey
-from plankroute.cold_start.watcher_election import FollowFacts
+from plankroute.cold_start.watcher_election import ElectionFacts
 from plankroute.config.feature_file import ColdStartSection, FeatureFile, LinksSection
 from plankroute.controller.controller import Controller
 from plankroute.events import events
 from plankroute.events.facts import StartFacts
-from plankroute.net.discovery.backoff_watch import CarefulDiscovery
+from plankroute.net.discovery.backoff_watch import BackoffDiscovery
 from plankroute.net.discovery.directory import Directory
 from plankroute.net.discovery.watch import Discovery
 from plankroute.net.peers.membership import LocalMember, MembershipService
@@ -55,7 +55,7 @@
             self.members = MembershipService(
                 feature_file.membership, self.local_member, telemetry, put
             )
-        self.backoff_discovery: CarefulDiscovery | None = None
+        self.backoff_discovery: BackoffDiscovery | None = None
         self.shared_discovery: SharedDiscovery | None = None
         self.warm_start: WarmStartService | None = None
 
@@ -74,9 +74,9 @@
         if section is None:
             return Discovery(address, most_list, directory, telemetry, seed, by_order, put)
         calls = call_facts(section, self.configuration)
-        discovery: CarefulDiscovery
+        discovery: BackoffDiscovery
         if section.links is None or self.members is None:
-            discovery = CarefulDiscovery(
+            discovery = BackoffDiscovery(
                 address, most_list, directory, telemetry, seed, by_order, put
             )
         else:
@@ -96,10 +96,10 @@
         discovery: "SharedDiscovery",
         members: MembershipService,
         links: LinksSection,
-        calls: CallFacts,
+        calls: BackoffFacts,
     ) -> None:
         """Tells shared discovery of its links to other controllers."""
-        facts = FollowFacts(
+        facts = ElectionFacts(
             self.local_member.name,
             members.part.group,
             calls.controller_count,
@@ -144,10 +144,11 @@
         """Living controllers that results may reach, with their zones; this one among them."""
         if self.members is None or self.shared_discovery is None:
             return {}
-        view = self.members.core.view
+        table = self.members.core.table
         own_place = 0
         return {
-            view.at(place).name: view.at(place).zone for place in (own_place, *view.living())
+            table.record_at(place).name: table.record_at(place).zone
+            for place in (own_place, *table.living_indexes())
         }
 
     def attach(self, controller: Controller, directory: Directory, discovery: Discovery) -> None:
@@ -168,7 +169,7 @@
             drain_notices = DrainNoticeOverlay(directory, telemetry, self.put)
             group = ""
             own_host = ""
-        discovery.over = drain_notices.over
+        discovery.list_filter = drain_notices.over
         self.warm_start = WarmStartService(
             section, self.local_member.name, group, own_host, telemetry, self.put
         )
@@ -182,10 +183,11 @@
         from plankroute.net.peers.snapshot_exchange import Peer, asking_order
 
         assert self.members and self.shared_discovery
-        view = self.members.core.view
+        table = self.members.core.table
         port = self.shared_discovery.port
         hosts = {
-            view.at(place).name: host_and_port(view.at(place).address)[0] for place in view.living()
+            table.record_at(place).name: host_and_port(table.record_at(place).address)[0]
+            for place in table.living_indexes()
         }
         names = asking_order(list(hosts), self.local_member.name)
         return [Peer(name, (hosts[name], port)) for name in names]
@@ -240,7 +242,7 @@
     return LocalMember(configuration.name, zone_name, configuration.seed)
 
 
-def call_facts(section: ColdStartSection, configuration: Configuration) -> CallFacts:
+def call_facts(section: ColdStartSection, configuration: Configuration) -> BackoffFacts:
     """How discovery may be called.
 
     The number of controllers is as stated in the feature file or in the settings, never as
@@ -249,7 +251,7 @@
     rank = section.rank
     if rank is None:
         rank = configuration.facts.controller_rank
-    return CallFacts(
+    return BackoffFacts(
         rank=rank,
         controller_count=section.stewards or configuration.facts.controller_count,
         calls_a_second=section.calls_a_second,
@@ -258,5 +260,5 @@
     )
 
 
-def discard_results(frame: Probed) -> None:
+def discard_results(frame: HealthCheckResults) -> None:
     """Where there are no links, results of health checks stay with this controller."""
--- /dev/null
+++ b/plankroute/policy/publisher.py
@@ -0,0 +1,209 @@
+"""The publisher: decides what is written to the proxies when, as their channel can take it."""
+
+from plankroute.events import commands, events
+from plankroute.events.facts import StartFacts
+from plankroute.policy import mass_disconnect
+from plankroute.policy.admission import open_limits
+from plankroute.policy.binding import Binder
+from plankroute.policy.constants import TURN_US
+from plankroute.policy.drains import Drains
+from plankroute.policy.first_weights import FirstWeights
+from plankroute.policy.flow_control import PULSE_US, FlowControl, write_slot
+from plankroute.policy.host_table import HostTable
+from plankroute.policy.slot_changes import SlotChanges, TargetSlots
+from plankroute.policy.slots import build_tables
+from plankroute.policy.subsetting import SubsetPolicy
+from plankroute.state.channel import Channel
+from plankroute.state.host_statistics import NO_CAP
+from plankroute.state.proxy_registry import ProxyRegistry
+from plankroute.state.published_table import Change
+from plankroute.state.scheduler import Scheduler, Tick
+
+# Share of a zone's hosts that are removed, from which on proxies that wait there may have no
+# endpoint left: the few hosts of the table that a proxy starts with are drawn from its zone. A
+# guess.
+REMOVED_SHARE_WITHOUT_ENDPOINTS = 0.1
+
+LimitKey = tuple[int | None, tuple[int, ...] | None]
+PublisherEvent = (
+    events.HostEntry
+    | events.ProxyJoined
+    | events.ProxyLeft
+    | events.Acknowledged
+    | commands.SetAdmissionLimit
+    | Tick
+)
+
+
+class Publisher(ProxyRegistry):
+    """Keeps the proxies and their tables, and decides what is written when.
+
+    Drains come first and at once, then urgent slots; admission limits and the slots that move most
+    follow in the turns that can afford them, and binds at the channel's regular pace.
+
+    Attributes:
+        flow: What the channel can take.
+        subsetting: Which part of the hosts the tables hold.
+        drains: Hosts that are withdrawn, or about to be.
+        target: The slots that the tables should have.
+        written_us: When a message was last written.
+    """
+
+    def __init__(
+        self,
+        scheduler: Scheduler,
+        host_table: HostTable,
+        first_weights: FirstWeights,
+        facts: StartFacts,
+    ) -> None:
+        self.flow = FlowControl(facts)
+        channel = Channel(
+            facts.message_overhead_lines,
+            self.flow.lines_per_us,
+            facts.max_one_way_delay_us + PULSE_US,
+        )
+        # Where keys fall into slices the store keeps the tables.
+        super().__init__(scheduler, [] if facts.slices else build_tables(facts), channel)
+        self.host_table = host_table
+        self.first_weights = first_weights
+        self.subsetting = SubsetPolicy(facts, channel.message_overhead, self.flow.lines_per_us)
+        self.drains = Drains(self, host_table, first_weights, self.flow, facts.message_window_us)
+        self.target = TargetSlots(host_table, self.tables, self.drains, self.subsetting, self.flow)
+        self.slot_changes = SlotChanges(
+            host_table, self.tables, self.target, self.drains, self.flow
+        )
+        self.binder = Binder(self, host_table, first_weights, self.flow)
+        self.written_us = -facts.message_window_us
+        self.pending_limits: dict[LimitKey, commands.SetAdmissionLimit] = {}
+        self._proxies_may_lack_endpoints = False
+        scheduler.out += open_limits(self.tables, facts.admission_unit)
+
+    @property
+    def withdrawn(self) -> set[int]:
+        """Hosts that proxies were told to withdraw, by index."""
+        return self.drains.withdrawn
+
+    @property
+    def due(self) -> set[int]:
+        """Hosts still to be withdrawn, by index."""
+        return self.drains.pending
+
+    def long_gone(self) -> list[int]:
+        """Returns the ids of removed hosts of which nothing has to be remembered any more."""
+        return self.drains.expired_hosts()
+
+    def handle(self, event: PublisherEvent) -> None:
+        """Takes in what concerns proxies and drains; writes on a tick."""
+        match event:
+            case Tick():
+                self.on_tick(is_turn=event is Tick.TURN)
+            case events.Acknowledged():
+                self.channel.acknowledge(event.proxy, event.sequence_number)
+            case events.HostEntry():
+                self.drains.on_entry(event)
+            case events.ProxyJoined():
+                self.on_proxy_joined(event)
+            case events.ProxyLeft():
+                self.leave(event.proxy)
+                mass_disconnect.on_disconnect(self, self.host_table, event.proxy)
+            case commands.SetAdmissionLimit():
+                # A newer limit replaces one that is not written yet.
+                self.pending_limits[event.table, event.products] = event
+
+    def on_proxy_joined(self, event: events.ProxyJoined) -> None:
+        """Takes a proxy in; the first one tells where the first weights come from."""
+        self.leave(event.proxy)
+        self.join(event)
+        self.drains.on_proxy_joined()
+        if not self.first_weights.is_before_first_proxy:
+            return
+        ready_count = len(self.host_table.ready())
+        share = self.subsetting.share(ready_count, self.flow.grace_slack_us)
+        slack_us = self.flow.grace_slack_us - self.subsetting.bind_us(share, ready_count)
+        now, has_old_tables = self.scheduler.now, not event.fresh
+        if self.first_weights.begin(self.host_table, now, has_old_tables, slack_us):
+            self.scheduler.out += self.host_table.health_checks(self.host_table.eligible())
+
+    def on_tick(self, is_turn: bool) -> None:
+        """Writes all that is to be written now."""
+        self.channel.advance(self.scheduler.now)
+        self._proxies_may_lack_endpoints = any(
+            self.host_table.removed_share(zone) > REMOVED_SHARE_WITHOUT_ENDPOINTS
+            for zone in self.unbound_zones()
+        )
+        self.drains.reinstate()
+        self.drains.sweep()
+        self.write(is_turn)
+        if not self.bound and not self.first_weights.is_waiting:
+            self._fill_unused_tables()
+        self.binder.bind_waiting(self.withdrawn, self._proxies_may_lack_endpoints)
+
+    def write(self, is_turn: bool) -> None:
+        """Writes what is urgent as soon as a message can go, the rest once a turn if it fits."""
+        now = self.scheduler.now
+        overhead_lines = len(self.zone_of_proxy) * self.channel.message_overhead
+        self._note_channel_state(overhead_lines)
+        since_us = now - self.written_us
+        room: float = self.flow.backlog_cap - self.channel.unacknowledged - overhead_lines
+        must_write_now = self.drains.must_write_now(room)
+        changes = self.slot_changes.list_changes(now)
+        changes.sort(key=lambda change: (-change.gain, change.index))
+        urgent = [change for change in changes if change.urgent]
+        # A busy channel gathers changes, so that more lines share the overhead of a message.
+        gathers = self.flow.is_busy(self) and since_us < self._gathering_us(urgent)
+        if since_us < self.flow.min_gap_us or (gathers and not must_write_now):
+            return
+        room = self.drains.write(room)
+        for change in urgent:
+            room -= write_slot(self, self.host_table, change, room)
+        has_time = is_turn and since_us >= 2 * self.flow.min_gap_us
+        if self.channel.batch or (has_time and not self._proxies_may_lack_endpoints):
+            ordinary_room = self.flow.room(self, self.flow.allowance) - overhead_lines
+            ordinary = [change for change in changes if not change.urgent]
+            self._write_ordinary(ordinary, min(room, ordinary_room))
+        if self.channel.batch:
+            self.written_us = now
+
+    def _note_channel_state(self, overhead_lines: int) -> None:
+        """Notes how dear lines are: where they are dear, weights keep nearer to their slots."""
+        all_lines = sum(len(self.users(table)) * len(table.published) for table in self.tables)
+        self.host_table.proxies = len(self.zone_of_proxy)
+        self.host_table.channel_constrained = all_lines + overhead_lines > self.flow.allowance
+        self.host_table.min_slot_change = 0.0
+
+    def _gathering_us(self, urgent: list[Change]) -> float:
+        """Returns how long a busy channel gathers changes: a turn at most for an ejected host."""
+        if any(self.host_table.ejected[change.index] for change in urgent):
+            return min(self.flow.max_gap_us, TURN_US)
+        return self.flow.max_gap_us
+
+    def _write_ordinary(self, changes: list[Change], room: float) -> None:
+        """Writes admission limits, and the slots that move most if they are worth a message."""
+        price = self.flow.line_price
+        overhead = 0 if self.channel.batch else self.channel.message_overhead
+        worthwhile = [
+            change for change in changes if change.gain > price or change.index in self.withdrawn
+        ]
+        lines = len(worthwhile) + len(self.pending_limits)
+        if room < len(self.bound) * min(overhead, lines):
+            return  # a later message holds more lines for its overhead
+        room = self._write_limits(room)
+        benefit = sum(change.gain - price for change in worthwhile)
+        if benefit > price * overhead or self.channel.batch:
+            for change in worthwhile:
+                room -= write_slot(self, self.host_table, change, room)
+
+    def _write_limits(self, room: float) -> float:
+        """Writes the admission limits that there is room for; returns the room left."""
+        for key, limit in list(self.pending_limits.items()):
+            assert limit.table is not None  # admission sets limits table by table
+            recipients = self.users(self.tables[limit.table])
+            if room >= len(recipients):
+                room -= len(recipients)
+                self.command(self.pending_limits.pop(key), recipients)
+        return room
+
+    def _fill_unused_tables(self) -> None:
+        """Sets all slots while no proxy is bound: that costs no lines, and binds carry them."""
+        for change in self.slot_changes.list_changes(self.scheduler.now):
+            write_slot(self, self.host_table, change, NO_CAP)
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -316,7 +316,7 @@
 
     async def scene(stage: Stage) -> None:
         router = stage.service.router
-        for part, name in ((router.controller, "deliver"), (router.message_builder, "play")):
+        for part, name in ((router.controller, "deliver"), (router.message_builder, "build")):
             works = getattr(part, name)
             monkeypatch.setattr(part, name, lambda *_: 1 // 0)
             proxy = await stage.dial(HELLO)
@@ -375,7 +375,7 @@
             1
         ].address = stage.service.configuration.discovery  # it answers without an end
         for host in (0, 1, 2, 2):
-            prober.probe(host)
+            prober.check(host)
         assert (
             len(prober.busy) == 1
             and len(prober.waiting) == 2
--- a/tests/warm_start/test_prior_knowledge_policy.py
+++ b/tests/warm_start/test_prior_knowledge_policy.py
@@ -100,7 +100,7 @@
         )
         bench.pass_time(SECOND // 2)
     assert wrong.lines[0] == pytest.approx(plain.lines[0], rel=0.05)
-    assert not wrong.controller.host_table.told
+    assert not wrong.controller.policy.prior.weights
 
 
 def test_knowledge_that_all_hosts_are_unhealthy_ejects_a_third_at_most() -> None:
@@ -144,7 +144,7 @@
     bench.give(changes(entry(103, READY, zone=0, started_us=bench.now)))
     host_table = bench.controller.host_table
     assert not host_table.ejected[host_table.index_of[103]]
-    assert not host_table.told
+    assert not bench.controller.policy.prior.weights
 
 
 def drawn_knowledge(rng: random.Random) -> events.HostPriorKnowledge:
@@ -178,9 +178,9 @@
 
 def test_only_what_was_observed_first_hand_is_passed_on() -> None:
     bench = started(prior_knowledge(103, True), prior_knowledge(104, False, 0.5))
-    assert not list(bench.controller.learned())
+    assert not list(bench.controller.prior_knowledge())
     feed(bench, 3, failed=lambda host: 8 if host == 105 else 0, skip=(103,))
-    observed = {host.host: host for host in bench.controller.learned()}
+    observed = {host.host: host for host in bench.controller.prior_knowledge()}
     assert 103 not in observed
     assert observed[105].failed > 3
     assert observed[104].weight > 0
--- a/tests/warm_start/test_snapshot_exchange.py
+++ b/tests/warm_start/test_snapshot_exchange.py
@@ -10,8 +10,8 @@
 from support.controller_model import SECOND
 from support.host_snapshots import HEALTHY, UNHEALTHY, snapshot_of
 
-from plankroute.cold_start.link_codec import Begin, Part, ViewOf, write_frame
-from plankroute.net.peers.links import frames_of_view
+from plankroute.cold_start.link_codec import ListPart, ListStart, WarmStartView, encode_frame
+from plankroute.net.peers.links import view_frames
 from plankroute.net.peers.snapshot_exchange import Peer, SnapshotExchange
 from plankroute.net.process.telemetry import EventLog, Telemetry
 from plankroute.warm_start.codec import decode_snapshot, encode_snapshot
@@ -45,7 +45,7 @@
 
 
 MANY_HOSTS = [msgspec.structs.replace(HEALTHY, uid=f"h{host}") for host in range(900)]
-WHOLE = frames_of_view("n1", 5, encode_snapshot(snapshot_of(HEALTHY, *MANY_HOSTS)))
+WHOLE = view_frames("n1", 5, encode_snapshot(snapshot_of(HEALTHY, *MANY_HOSTS)))
 
 
 @pytest.mark.parametrize(
@@ -57,20 +57,21 @@
         pytest.param([], False, 0, id="says nothing"),
         pytest.param([], True, 0, id="closes at once"),
         pytest.param(
-            [*WHOLE[:-1], write_frame(Part(b"x" * 9000))], False, 0, id="sends too large a part"
+            [*WHOLE[:-1], encode_frame(ListPart(b"x" * 9000))],
+            False,
+            0,
+            id="sends too large a part",
         ),
         pytest.param(
-            [write_frame(ViewOf("n1", 0)), write_frame(Begin(0, True, 1 << 40, 1))],
+            [encode_frame(WarmStartView("n1", 0)), encode_frame(ListStart(0, True, 1 << 40, 1))],
             False,
             0,
             id="announces a terabyte",
         ),
         pytest.param([b"\xff" * 50], False, 0, id="sends noise"),
+        pytest.param([*view_frames("n1", 0, b"no view at all")], True, 0, id="sends no snapshot"),
         pytest.param(
-            [*frames_of_view("n1", 0, b"no view at all")], True, 0, id="sends no snapshot"
-        ),
-        pytest.param(
-            [*frames_of_view("n9", 0, encode_snapshot(snapshot_of(HEALTHY)))],
+            [*view_frames("n9", 0, encode_snapshot(snapshot_of(HEALTHY)))],
             True,
             0,
             id="sends one controller's snapshot in another's name",
--- a/tests/warm_start/test_warm_restart_processes.py
+++ b/tests/warm_start/test_warm_restart_processes.py
@@ -54,7 +54,7 @@
 def test_prior_knowledge_that_is_all_wrong_costs_little(
     outcomes: tuple[OutcomeByWay, OutcomeByWay],
 ) -> None:
-    """A generous bound on one seed; the figure is measured over many (docs/learned.md)."""
+    """A generous bound on one seed; the figure is measured over many (docs/warm-start.md)."""
     fresh, _ = outcomes
     assert fresh["wrong"].voided <= 1.5 * fresh["nothing"].voided
 
