--- a/plankroute/config/feature_file.py
+++ b/plankroute/config/feature_file.py
@@ -207,12 +207,12 @@
 def read_feature_file(path: str | Path, read: FileReader = read_file) -> FeatureFile:
     """Reads and checks a feature file.
 
-    Args:
-        path: The file.
-        read: How it is read.
+            Args:
+            path: The file.
+            read: Reads its bytes.
 
-    Raises:
-        FeatureFileError: It can't be used.
+            Raises:
+            FeatureFileError: It can't be used.
     """
     try:
         text = read(path, MAX_FILE_BYTES + 1)
