--- a/plankroute/simulator/__init__.py
+++ b/plankroute/simulator/__init__.py
@@ -1,1 +1,5 @@
-"""The simulator's wire: frames and records in, notes out; orders in, records out. No decisions."""
+"""The simulator's adapter: framed batches of events in, commands out. Decides nothing.
+
+`python -m plankroute.simulator` runs any number of controllers in one process. The wire is the
+operators' (their page on it names each record); only this package knows it.
+"""
--- a/plankroute/simulator/__main__.py
+++ b/plankroute/simulator/__main__.py
@@ -9,66 +9,90 @@
 from plankroute.events.commands import ForgetHost
 from plankroute.events.events import Event
 from plankroute.events.settings import microseconds
-from plankroute.simulator.frames import WireError, read_batch, write_reply
-from plankroute.simulator.records import (
-    Decoder,
+from plankroute.simulator.command_records import encode_command, encode_failure
+from plankroute.simulator.event_records import (
     Delivered,
-    Destroyed,
-    Enlisted,
-    encode_failure,
-    encode_order,
+    EventDecoder,
+    InstanceKilled,
+    InstanceStarted,
 )
+from plankroute.simulator.frames import WireError, read_batch, write_reply
 
 
-class Host:
-    """The instances of this process; they share nothing."""
+class InstanceHost:
+    """The instances (controllers) of this process; they share nothing but the decoder's lists.
+
+    Attributes:
+        decoder: Decodes their events.
+        controllers: The instances that were started and not killed, by their number.
+    """
 
     def __init__(self) -> None:
-        self.decoder = Decoder()
+        self.decoder = EventDecoder()
         self.controllers: dict[int, Controller] = {}
 
-    def reply(self, clock_us: int, body: bytes) -> list[bytes]:
+    def reply(self, clock_us: int, records: bytes) -> list[bytes]:
+        """Lets each instance that has an event in a batch decide once, after all of its events.
+
+        Args:
+            clock_us: Clock of the batch, in microseconds.
+            records: The batch's records of events.
+
+        Returns:
+            The records of the reply.
+
+        Raises:
+            WireError: A record can't be read.
+        """
         pending: dict[int, list[Event]] = {}
-        for event in self.decoder.decode(body):
-            match event:
-                case Enlisted(instance, seed, facts):
-                    self.controllers[instance] = Controller(facts, seed)
-                    pending[instance] = []
-                case Destroyed(instance):
-                    self.controllers.pop(instance, None)
-                    pending.pop(instance, None)
-                case Delivered(instance, note):
-                    pending.setdefault(instance, []).append(note)
-        records: list[bytes] = []
+        for occurrence in self.decoder.decode(records):
+            match occurrence:
+                case Delivered():
+                    pending.setdefault(occurrence.instance, []).append(occurrence.event)
+                case InstanceStarted():
+                    controller = Controller(occurrence.facts, occurrence.seed)
+                    self.controllers[occurrence.instance] = controller
+                    pending[occurrence.instance] = []
+                case InstanceKilled():
+                    self.controllers.pop(occurrence.instance, None)
+                    pending.pop(occurrence.instance, None)
+        reply: list[bytes] = []
         for instance, events in pending.items():
-            records += self.decide(instance, clock_us, events)
-        return records
+            reply += self._decide(instance, clock_us, events)
+        return reply
 
-    def decide(self, instance: int, clock_us: int, events: list[Event]) -> list[bytes]:
+    def _decide(self, instance: int, clock_us: int, events: list[Event]) -> list[bytes]:
         controller = self.controllers.get(instance)
         if controller is None:
             return []
         try:
             return [
-                encode_order(instance, command)
+                encode_command(instance, command)
                 for command in controller.deliver(clock_us, events)
-                if not isinstance(command, ForgetHost)
-            ]  # the wire keeps every host
-        except Exception as error:  # the wire asks for a word on any failure of a decision
+                if not isinstance(command, ForgetHost)  # the wire keeps every host
+            ]
+        except Exception as error:  # the wire asks for a record of any failure of a decision
             place = traceback.extract_tb(error.__traceback__)[-1]
             text = f"{type(error).__name__}: {error} at {place.name}:{place.lineno}"
             return [encode_failure(instance, text)]
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
-    host = Host()
+    """Answers batches until the input ends.
+
+    Raises:
+        WireError: The input is malformed.
+        BrokenPipeError: Nobody reads the replies any more.
+    """
+    host = InstanceHost()
     while (batch := read_batch(source)) is not None:
-        number, clock_ms, body = batch
-        write_reply(sink, number, host.reply(microseconds(clock_ms), body))
+        records = host.reply(microseconds(batch.clock_ms), batch.records)
+        write_reply(sink, batch.number, records)
 
 
 def main() -> int:
-    gc.freeze()
+    """Serves standard input and output; returns the exit status."""
+    gc.freeze()  # what the imports left will never be garbage: collections needn't look at it
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
     except WireError as error:
--- a/plankroute/simulator/frames.py
+++ b/plankroute/simulator/frames.py
@@ -1,19 +1,40 @@
-"""Frames on the byte streams: a header, then records; batches in, replies out."""
+"""Frames on the byte streams, all little-endian: batches in, replies out.
+
+A batch is a header (number, bytes that follow), the clock and the records of events; a reply is a
+header (number, bytes that follow, count of records) and the records of commands.
+"""
 
 import struct
-from typing import BinaryIO
+from typing import BinaryIO, NamedTuple
 
-BATCH_HEAD = struct.Struct("<II")
+BATCH_HEADER = struct.Struct("<II")
 CLOCK = struct.Struct("<d")
-REPLY_HEAD = struct.Struct("<III")
+REPLY_HEADER = struct.Struct("<III")
+RECORD_COUNT_SIZE = 4  # of the reply's header, counted with the bytes that follow
 
 
 class WireError(Exception):
-    """What came in is not what the wire's page describes."""
+    """The input is not what the wire's description promises."""
+
+
+class Batch(NamedTuple):
+    """One batch of events.
+
+    Attributes:
+        number: The number that the reply repeats.
+        clock_ms: The clock at which all its events happen, in milliseconds.
+        records: The records of events, one behind another.
+    """
+
+    number: int
+    clock_ms: float
+    records: bytes
 
 
 def read_exactly(stream: BinaryIO, size: int) -> bytes:
-    parts, missing = [], size
+    """Reads so many bytes; fewer only where the input ends."""
+    parts: list[bytes] = []
+    missing = size
     while missing:
         part = stream.read(missing)
         if not part:
@@ -23,23 +44,33 @@
     return b"".join(parts)
 
 
-def read_batch(stream: BinaryIO) -> tuple[int, float, bytes] | None:
-    """The next batch as (number, clock in ms, records); None at the end of input."""
-    head = read_exactly(stream, BATCH_HEAD.size)
-    if not head:
+def read_batch(stream: BinaryIO) -> Batch | None:
+    """Reads the next batch.
+
+    Returns:
+        The batch, or None at the end of input.
+
+    Raises:
+        WireError: The input ends within a batch, or a batch is too short for its clock.
+    """
+    header = read_exactly(stream, BATCH_HEADER.size)
+    if not header:
         return None
-    if len(head) < BATCH_HEAD.size:
-        raise WireError(f"input ends within a batch header ({len(head)} bytes)")
-    number, length = BATCH_HEAD.unpack(head)
+    if len(header) < BATCH_HEADER.size:
+        raise WireError(f"input ends within a batch header ({len(header)} bytes)")
+    number, length = BATCH_HEADER.unpack(header)
     if length < CLOCK.size:
         raise WireError(f"batch {number} is {length} bytes long, too short for its clock")
     body = read_exactly(stream, length)
     if len(body) < length:
         raise WireError(f"input ends within batch {number} ({len(body)} of {length} bytes)")
-    return number, CLOCK.unpack_from(body)[0], body[CLOCK.size :]
+    (clock_ms,) = CLOCK.unpack_from(body)
+    return Batch(number, clock_ms, body[CLOCK.size :])
 
 
 def write_reply(stream: BinaryIO, number: int, records: list[bytes]) -> None:
+    """Writes the reply to the batch of that number and flushes the stream."""
     body = b"".join(records)
-    stream.write(REPLY_HEAD.pack(number, len(body) + 4, len(records)) + body)
+    header = REPLY_HEADER.pack(number, RECORD_COUNT_SIZE + len(body), len(records))
+    stream.write(header + body)
     stream.flush()
--- a/plankroute/state/proxy_registry.py
+++ b/plankroute/state/proxy_registry.py
@@ -1,6 +1,6 @@
 """Proxy registry: joined proxies, the tables as last published, and who is bound to them."""
 
-from collections.abc import Iterable, Sequence
+from collections.abc import Iterable
 from typing import Generic, TypeVar
 
 from plankroute.events import commands, events
@@ -30,7 +30,7 @@
         disconnected_at: By proxy, the clock in microseconds at which its stream ended, of late.
     """
 
-    def __init__(self, scheduler: Scheduler, tables: Sequence[TableT], channel: Channel) -> None:
+    def __init__(self, scheduler: Scheduler, tables: list[TableT], channel: Channel) -> None:
         super().__init__(scheduler)
         self.tables = tables
         self.channel = channel
