--- a/plankroute/net/probing/prober.py
+++ b/plankroute/net/probing/prober.py
@@ -1,26 +1,46 @@
-"""Probes to hosts, where they are permitted: each call becomes one note on how it ended."""
+"""Health checks of hosts over HTTP, where they are permitted: each call becomes one event."""
 
 import asyncio
 from collections.abc import Callable
+from dataclasses import dataclass
 
 from plankroute.events import events
 from plankroute.events.events import HealthCheckOutcome, LoadReport
 from plankroute.events.facts import ReportSource, StartFacts
 from plankroute.net.discovery.directory import Directory
-from plankroute.net.discovery.http_client import Answer, Limits, fetch
-from plankroute.net.process.clock import Clock, patience
-from plankroute.net.process.errors import CallFailed, Reached
+from plankroute.net.discovery.http_client import CallLimits, Response, fetch
+from plankroute.net.process.clock import Clock, tolerant_timeout
+from plankroute.net.process.errors import CallFailure, CallProgress
 from plankroute.net.process.telemetry import Telemetry
-from plankroute.net.proxies.line_codec import read_report
+from plankroute.net.proxies.line_codec import parse_load_report
 
-PACE_S = (
-    0.002  # between calls: of thirty at once each would be timed by the steward's own work for all
-)
-MOST_BODY = 4096  # bytes: a report is one line
+# Measured, between the beginnings of calls: thirty at once were timed by the controller's own work
+# for all.
+PACE_S = 0.002
+MAX_BODY_BYTES = 4096  # a guess: a report is one line
+
+
+@dataclass(frozen=True, slots=True)
+class CheckedProcess:
+    """The process that a health check was sent to; another address or start is another process."""
+
+    address: str
+    boot_ms: float
 
 
 class HealthChecker:
-    """A connection a probe, closed after it: kept ones would lie idle, new ones cost half a millisecond."""
+    """Checks each host on a new connection, which costs half a ms; kept ones would lie idle.
+
+    Args:
+        facts: Whether checks are permitted, and whether they bring load reports.
+        directory: Addresses of hosts.
+        clock: The controller's clock.
+        telemetry: Counters and log.
+        connect_timeout_us: Until a connection is up; a response may take twice as long, since hosts
+            serve checks like requests.
+        capacity: Returns how many checks may be under way, each of which takes a descriptor.
+        submit: Hands an event to the core.
+    """
 
     def __init__(
         self,
@@ -28,87 +48,110 @@
         directory: Directory,
         clock: Clock,
         telemetry: Telemetry,
-        dial_us: int,
-        at_once: Callable[[], int],
+        connect_timeout_us: int,
+        capacity: Callable[[], int],
         submit: Callable[[events.Event], None],
     ) -> None:
-        self.directory, self.clock, self.telemetry, self.submit = (
-            directory,
-            clock,
-            telemetry,
-            submit,
-        )
-        self.at_once = at_once  # a descriptor each
+        self.directory = directory
+        self.clock = clock
+        self.telemetry = telemetry
+        self.submit = submit
+        self.capacity = capacity
         self.target = "/ping" if facts.report_source is ReportSource.NONE else "/_load"
-        # Hosts serve probes like txns: an answer may take twice as long as a connection.
-        self.limits = Limits(dial_us / 1e6, 2 * dial_us / 1e6, MOST_BODY)
-        self.busy: dict[int, asyncio.Task[None]] = {}
-        self.waiting = dict[int, None]()
-        self.paced: asyncio.TimerHandle | None = None  # until the next may begin
+        self.limits = CallLimits(
+            connect_timeout_us / 1e6, 2 * connect_timeout_us / 1e6, MAX_BODY_BYTES
+        )
+        self.running: dict[int, asyncio.Task[None]] = {}
+        self.waiting: dict[int, None] = {}  # an ordered set
+        self.pace_timer: asyncio.TimerHandle | None = None  # until the next may begin
         self.health_checks_allowed = facts.health_checks_allowed
 
     def check(self, host: int) -> None:
-        if not self.health_checks_allowed or host in self.busy or host in self.waiting:
-            self.telemetry.count("dropped.probes")
+        """Starts a health check once there is room, unless one of the host is under way."""
+        if not self.health_checks_allowed or host in self.running or host in self.waiting:
+            self.telemetry.count("dropped.health_checks")
             return
         self.waiting[host] = None
-        self.start()
+        self._start_next()
 
     def close(self) -> None:
-        """Guards against probes that begin while the loop ends, where nobody cancels them."""
+        """Guards against checks that begin while the loop ends, where nobody cancels them."""
         self.health_checks_allowed = False
         self.waiting.clear()
 
-    def start(self) -> None:
-        """One after another, as many as there is room for: streams come first."""
-        if self.paced or not self.waiting or len(self.busy) >= max(1, self.at_once()):
+    def _start_next(self) -> None:
+        """Starts one after another, as many as there is room for: proxies come first."""
+        if self.pace_timer or not self.waiting or len(self.running) >= max(1, self.capacity()):
             return
         host = next(iter(self.waiting))
         del self.waiting[host]
         if host in self.directory.hosts:
-            self.busy[host] = asyncio.create_task(self.call(host))
-        self.paced = asyncio.get_running_loop().call_later(PACE_S, self.go_on)
+            self.running[host] = asyncio.create_task(self._run(host))
+        self.pace_timer = asyncio.get_running_loop().call_later(PACE_S, self._on_pace_timer)
 
-    def go_on(self) -> None:
-        self.paced = None
-        self.start()
+    def _on_pace_timer(self) -> None:
+        self.pace_timer = None
+        self._start_next()
 
-    async def call(self, host: int) -> None:
-        asked_us, known = self.clock.now(), self.directory.hosts[host]
-        asked = known.address, known.boot_ms
-        self.telemetry.count("sent.probes")
+    async def _run(self, host: int) -> None:
+        began_us = self.clock.now_us()
+        known = self.directory.hosts[host]
+        checked = CheckedProcess(known.address, known.boot_ms)
+        self.telemetry.count("sent.health_checks")
         try:
-            async with patience(self.limits.dial_s + self.limits.quiet_s):
-                answer = await fetch(known.address, self.target, self.limits)
-        except TimeoutError as error:
-            answer = CallFailed(Reached.ASKED, str(error), timed_out=True)
+            result = await self._call(checked.address)
         finally:
-            del self.busy[host]
-            self.start()
-        if self.directory.hosts.get(host) is not known or asked != (known.address, known.boot_ms):
-            # Guards against a word of the process before that is held against, or for, the new one.
-            self.telemetry.count("dropped.late_probes")
+            del self.running[host]
+            self._start_next()
+        is_same_host = self.directory.hosts.get(host) is known
+        if not is_same_host or checked != CheckedProcess(known.address, known.boot_ms):
+            # Guards against an answer of the previous process that is held against, or for, the new
+            # one.
+            self.telemetry.count("dropped.late_health_checks")
             return
-        outcome, report = judge_call(answer)
-        self.telemetry.count(f"answered.probes.{outcome.name.lower()}")
+        self._report(host, result, began_us)
+
+    async def _call(self, address: str) -> Response | CallFailure:
+        """Bounds the call as a whole, however its response drips."""
+        try:
+            async with tolerant_timeout(self.limits.connect_timeout_s + self.limits.idle_timeout_s):
+                return await fetch(address, self.target, self.limits)
+        except TimeoutError as error:
+            return CallFailure(CallProgress.REQUEST_SENT, str(error), timed_out=True)
+
+    def _report(self, host: int, result: Response | CallFailure, began_us: int) -> None:
+        outcome = outcome_of(result)
+        report = load_report_of(result)
+        self.telemetry.count(f"health_checks.{outcome.name.lower()}")
         if report:
-            self.telemetry.count_report(report)
+            self.telemetry.count_load_report(report)
         if outcome is not HealthCheckOutcome.ANSWERED:
             self.telemetry.log.event(
-                "info", "probe_bad", host=known.uid, outcome=outcome.value, how=str(answer)
+                "info",
+                "health_check_failed",
+                host=self.directory.uid(host),
+                outcome=outcome.value,
+                how=str(result),
             )
-        # Guards against far hosts taken for slow ones.
-        elapsed_us = answer.served_us if isinstance(answer, Answer) else self.clock.now() - asked_us
+        if isinstance(result, Response):
+            elapsed_us = result.served_us  # guards against far hosts taken for slow ones
+        else:
+            elapsed_us = self.clock.now_us() - began_us
         self.submit(events.HealthCheckResult(host, outcome, elapsed_us, report))
 
 
-def judge_call(answer: Answer | CallFailed) -> tuple[HealthCheckOutcome, LoadReport | None]:
-    """How the call ended, in the words of the notes."""
-    if isinstance(answer, CallFailed):
-        if answer.reached is Reached.NOTHING:
-            return HealthCheckOutcome.UNREACHABLE, None
-        # Guards against a connection that broke taken for a host out of reach: it was there.
-        return HealthCheckOutcome.TIMED_OUT if answer.timed_out else HealthCheckOutcome.ERROR, None
-    if answer.status != 200:
-        return HealthCheckOutcome.ERROR, None
-    return HealthCheckOutcome.ANSWERED, read_report(answer.body)
+def outcome_of(result: Response | CallFailure) -> HealthCheckOutcome:
+    """Returns what the end of a call says of the host."""
+    if isinstance(result, Response):
+        return HealthCheckOutcome.ANSWERED if result.status == 200 else HealthCheckOutcome.ERROR
+    if result.progress is CallProgress.NOT_CONNECTED:
+        return HealthCheckOutcome.UNREACHABLE
+    # Guards against a connection that broke taken for a host out of reach: it was there.
+    return HealthCheckOutcome.TIMED_OUT if result.timed_out else HealthCheckOutcome.ERROR
+
+
+def load_report_of(result: Response | CallFailure) -> LoadReport | None:
+    """Returns the load report that came with a good response, if any."""
+    if isinstance(result, Response) and result.status == 200:
+        return parse_load_report(result.body)
+    return None
--- a/plankroute/net/process/clock.py
+++ b/plankroute/net/process/clock.py
@@ -1,5 +1,4 @@
-"""The steward's clock: Unix time in whole microseconds as it was at the start, and steady from there; and
-time-outs that its own standing still does not use up."""
+"""The controller's clock and timers, and a timeout that allows for pauses of this process."""
 
 import asyncio
 import heapq
@@ -7,24 +6,27 @@
 from collections.abc import AsyncGenerator, Callable
 from contextlib import asynccontextmanager
 
-Reading = Callable[[], int]
-LATE_S = 0.05  # a timer of ours so late tells that the process stood still; at work it is late by a few ms
+ReadClock = Callable[[], int]  # nanoseconds
+# A timer that is so late shows that the process stood still; at work it is late by a few ms.
+PAUSE_S = 0.05
 
 
 @asynccontextmanager
-async def patience(seconds: float) -> AsyncGenerator[None, None]:
-    """A time-out (TimeoutError) that leaves as long again as its own timer was late.
+async def tolerant_timeout(seconds: float) -> AsyncGenerator[None, None]:
+    """A timeout (TimeoutError) that is extended by as much as its own timer was late.
 
-    Guards against others blamed for a pause of this process: what came meanwhile is read first."""
+    Guards against others blamed for a pause of this process: what came meanwhile is read first.
+    """
     loop = asyncio.get_running_loop()
     due = loop.time() + seconds
     async with asyncio.timeout(None) as timeout:
 
-        def look() -> None:
-            late = loop.time() - due
-            timeout.reschedule(loop.time() + (min(late, seconds) if late > LATE_S else 0.0))
+        def expire_or_extend() -> None:
+            late_s = loop.time() - due
+            extension_s = min(late_s, seconds) if late_s > PAUSE_S else 0.0
+            timeout.reschedule(loop.time() + extension_s)
 
-        handle = loop.call_at(due, look)
+        handle = loop.call_at(due, expire_or_extend)
         try:
             yield
         finally:
@@ -32,43 +34,52 @@
 
 
 def monotonic_us() -> int:
-    """The steady clock, in microseconds: for spans, never for moments that others are told."""
+    """The monotonic clock, in microseconds: for spans, never for moments that others are told."""
     return time.monotonic_ns() // 1000
 
 
 class Clock:
-    """Never steps: a system time that is set anew moves neither timers nor the age of hosts."""
+    """Unix time as it was at the start, and monotonic from there on, in microseconds.
+
+    It never steps: a system time that is set anew moves neither timers nor the age of hosts.
+    """
 
     def __init__(
-        self, wall_ns: Reading = time.time_ns, steady_ns: Reading = time.monotonic_ns
+        self, system_ns: ReadClock = time.time_ns, monotonic_ns: ReadClock = time.monotonic_ns
     ) -> None:
-        self.wall_ns, self.steady_ns = wall_ns, steady_ns
-        self.offset_us = (wall_ns() - steady_ns()) // 1000
+        self.system_ns = system_ns
+        self.monotonic_ns = monotonic_ns
+        self.offset_us = (system_ns() - monotonic_ns()) // 1000
 
-    def now(self) -> int:
-        return self.steady_ns() // 1000 + self.offset_us
+    def now_us(self) -> int:
+        """Returns the time now."""
+        return self.monotonic_ns() // 1000 + self.offset_us
 
-    def on_scale(self, unix_us: int) -> int:
-        """A moment of today's system time, on the scale of this clock."""
-        return unix_us - (self.wall_ns() // 1000 - self.now())
+    def from_system_us(self, unix_us: int) -> int:
+        """Converts a moment of today's system time into one of this clock."""
+        return unix_us - (self.system_ns() // 1000 - self.now_us())
 
 
 class Timers:
-    """Timers by the time they are due, and in the order in which they were set."""
+    """Pending timers, ordered by when they are due and then by when they were scheduled."""
 
     def __init__(self) -> None:
-        self.heap: list[tuple[int, int, int]] = []
-        self.number = 0
+        self.heap: list[tuple[int, int, int]] = []  # due, sequence, token
+        self.sequence = 0
 
-    def set(self, due_us: int, token: int) -> None:
-        self.number += 1
-        heapq.heappush(self.heap, (due_us, self.number, token))
+    def schedule(self, due_us: int, token: int) -> None:
+        """Adds a timer."""
+        self.sequence += 1
+        heapq.heappush(self.heap, (due_us, self.sequence, token))
 
-    def next_us(self) -> int | None:
+    def next_due_us(self) -> int | None:
+        """Returns when the first timer is due, or None if there is none."""
         return self.heap[0][0] if self.heap else None
 
-    def due(self, now_us: int) -> list[int]:
+    def pop_due(self, now_us: int) -> list[int]:
+        """Removes the timers that are due and returns their tokens."""
         tokens = []
         while self.heap and self.heap[0][0] <= now_us:
-            tokens.append(heapq.heappop(self.heap)[2])
+            _, _, token = heapq.heappop(self.heap)
+            tokens.append(token)
         return tokens
--- a/plankroute/net/process/configuration.py
+++ b/plankroute/net/process/configuration.py
@@ -1,5 +1,6 @@
-"""What operators hand a real steward: its addresses, limits, first list and settings."""
+"""What operators hand a controller process: addresses, limits, first endpoint list, settings."""
 
+from collections.abc import Iterable
 from dataclasses import dataclass, replace
 from typing import Any
 
@@ -10,68 +11,98 @@
 from plankroute.net.process.address import host_and_port
 from plankroute.net.process.resource_limits import ResourceLimits, resource_limits_for
 
-USUAL_GATHER_MS = 5.0  # where the settings name no shortest time between batches
-USUAL_MB, USUAL_SOCKETS = 192.0, 1024  # where no limits are stated
-USUAL_DIAL_MS = 300.0  # nor how long a connection may take to come up
+# Guesses, for settings that name no value.
+DEFAULT_BATCH_INTERVAL_MS = 5.0
+DEFAULT_MEMORY_MB = 192.0
+DEFAULT_DESCRIPTORS = 1024
+DEFAULT_CONNECT_TIMEOUT_MS = 300.0
 
 
 @dataclass(frozen=True, slots=True)
 class Configuration:
+    """The configuration of one controller process.
+
+    Attributes:
+        name: The controller's name.
+        listen: The address at which proxies and collectors connect.
+        discovery: The address of discovery.
+        seed: Of its random numbers.
+        limits: Bounds of what it holds.
+        initial_list: The endpoint list handed over at the start, as discovery's JSON has it.
+        facts: What the core is told at the start.
+        zones: Names by index.
+        machine_types: Names by index.
+        request_classes: Names by index.
+        min_batch_interval_us: Batches of the core follow no closer.
+        connect_timeout_us: For a connection to a host.
+    """
+
     name: str
     listen: str
     discovery: str
     seed: int
-    room: ResourceLimits
-    known: Any
+    limits: ResourceLimits
+    initial_list: object
     facts: StartFacts
     zones: tuple[str, ...]
-    kinds: tuple[str, ...]
-    products: tuple[str, ...]
-    gather_us: int
-    dial_us: int
-
-
-def address(text: str) -> str:
-    host_and_port(text)
-    return text
+    machine_types: tuple[str, ...]
+    request_classes: tuple[str, ...]
+    min_batch_interval_us: int
+    connect_timeout_us: int
 
 
 def parse_configuration(text: bytes) -> Configuration:
-    """Raises StartError with one clear line."""
+    """Parses the configuration's JSON; raises SettingsError with one clear line."""
     try:
-        raw = orjson.loads(text)
-        settings = raw["settings"]
-        facts, _ = parse_settings(settings)
-        return Configuration(
-            name=str(raw["name"]),
-            listen=address(raw["listen"]),
-            discovery=address(raw["discovery"]),
-            seed=int(str(raw["seed"]), 16),
-            room=room(raw.get("limits") or {}),
-            known=raw.get("known"),
-            facts=replace(facts, bind_reinstates_hosts=True),
-            zones=names(settings["dcs"]),
-            kinds=names(settings["machineTypes"]),
-            products=names([item["name"] for item in settings["classes"]]),
-            gather_us=microseconds(float(settings.get("quantumMs", USUAL_GATHER_MS))),
-            dial_us=microseconds(
-                float((settings.get("caps") or {}).get("dialTimeoutMs", USUAL_DIAL_MS))
-            ),
-        )
+        return _configuration_from(orjson.loads(text))
     except (KeyError, TypeError, ValueError, AttributeError, OverflowError) as error:
         raise SettingsError(f"{type(error).__name__}: {error}") from error
 
 
-def room(limits: dict[str, Any]) -> ResourceLimits:
-    memory_mb, sockets = limits.get("memory_mb", USUAL_MB), limits.get("sockets", USUAL_SOCKETS)
-    return resource_limits_for(figure(memory_mb), int(figure(sockets)))
+# JSON of any shape comes in: what is not as expected raises an error that `parse_configuration`
+# wraps.
+def _configuration_from(raw: Any) -> Configuration:  # noqa: ANN401
+    settings = raw["settings"]
+    facts, _ = parse_settings(settings)
+    return Configuration(
+        name=str(raw["name"]),
+        listen=_address(raw["listen"]),
+        discovery=_address(raw["discovery"]),
+        seed=int(str(raw["seed"]), 16),
+        limits=_limits_from(raw.get("limits") or {}),
+        initial_list=raw.get("known"),
+        facts=replace(facts, bind_reinstates_hosts=True),
+        zones=_names(settings["dcs"]),
+        machine_types=_names(settings["machineTypes"]),
+        request_classes=_names(item["name"] for item in settings["classes"]),
+        min_batch_interval_us=microseconds(
+            float(settings.get("quantumMs", DEFAULT_BATCH_INTERVAL_MS))
+        ),
+        connect_timeout_us=_connect_timeout_us(settings.get("caps") or {}),
+    )
+
+
+def _connect_timeout_us(capabilities: dict[str, Any]) -> int:
+    return microseconds(float(capabilities.get("dialTimeoutMs", DEFAULT_CONNECT_TIMEOUT_MS)))
+
+
+def _limits_from(limits: dict[str, Any]) -> ResourceLimits:
+    memory_mb = _limit(limits.get("memory_mb", DEFAULT_MEMORY_MB))
+    descriptors = _limit(limits.get("sockets", DEFAULT_DESCRIPTORS))
+    return resource_limits_for(memory_mb, int(descriptors))
+
+
+def _limit(value: str | float) -> float:
+    number = finite(float(value))
+    if number < 1:
+        raise ValueError(f"{value!r} is no limit")
+    return number
 
 
-def figure(value: Any) -> float:
-    if (read := finite(float(value))) < 1:
-        raise ValueError(f"{value!r} is no limit")
-    return read
+def _address(text: str) -> str:
+    host_and_port(text)
+    return text
 
 
-def names(listed: list[Any]) -> tuple[str, ...]:
+def _names(listed: Iterable[object]) -> tuple[str, ...]:
     return tuple(str(name) for name in listed)
--- a/plankroute/net/process/errors.py
+++ b/plankroute/net/process/errors.py
@@ -1,40 +1,47 @@
-"""Errors as values: each says how far the attempt had come."""
+"""Typed rejections and call failures, returned as values instead of being raised."""
 
 from dataclasses import dataclass
 from enum import Enum
 
 
-class Stage(Enum):
-    """Where in its way a line stopped."""
+class RejectionStage(Enum):
+    """Where on its way into the controller a piece of input was rejected."""
 
-    TAKE_IN = "take in"
-    READ = "read"
-    ADMIT = "admit"
+    FRAMING = "framing"
+    PARSING = "parsing"
+    ADMISSION = "admission"
 
 
 @dataclass(frozen=True, slots=True)
-class Refused:
-    """A line that goes no further, and why; `is_end`: where the next one begins is not known any more."""
+class Rejection:
+    """Input that goes no further.
 
-    stage: Stage
-    why: str
-    is_end: bool = False
+    Attributes:
+        stage: Where it was rejected.
+        reason: What is wrong with it, for the log.
+        breaks_framing: Where the next line begins is not known any more, so that the connection is
+            of no further use.
+    """
 
+    stage: RejectionStage
+    reason: str
+    breaks_framing: bool = False
 
-class Reached(Enum):
-    """How far a call had come when it failed."""
 
-    NOTHING = "nothing"
+class CallProgress(Enum):
+    """How far an HTTP call had come when it failed."""
+
+    NOT_CONNECTED = "not connected"
     CONNECTED = "connected"
-    ASKED = "asked"
-    HEAD = "head"
-    BODY = "body"
+    REQUEST_SENT = "request sent"
+    RESPONSE_HEAD = "response head"
+    RESPONSE_BODY = "response body"
 
 
 @dataclass(frozen=True, slots=True)
-class CallFailed:
-    """A call over HTTP that brought no whole answer."""
+class CallFailure:
+    """An HTTP call that brought no complete response."""
 
-    reached: Reached
-    why: str
+    progress: CallProgress
+    reason: str
     timed_out: bool = False
--- a/plankroute/net/process/resource_limits.py
+++ b/plankroute/net/process/resource_limits.py
@@ -1,40 +1,53 @@
-"""What the operators' limits leave for each use: connections, probes, buffers."""
+"""Divides the operators' limits of memory and descriptors among their uses."""
 
 from dataclasses import dataclass
 
-PROCESS_MB = (
-    20  # the interpreter, the program and its tables: 13 to 17 with 30 hosts and 150 proxies
-)
-RINGS_PART, LIST_PART = (
-    0.4,
-    0.05,
-)  # of the memory beside the process; reading a list takes ten times its size
-LEAST_BYTES = 3 << 20  # for the rings: one longest message taken in, another being written
-SPARE_PART, SPARE_MOST = (
-    1 / 8,
-    96,
-)  # of the descriptors: discovery, probes, the log, files, what is ending
-FILES = 12  # of the spare ones: what the process has open by itself, discovery's two calls among it
-ASKERS_PART = 1 / 16  # of the connections, for those that have asked and stay: some dozen monitors
+# Measured: the interpreter, the program and its tables take 13 to 17 MB with 30 hosts and 150
+# proxies.
+PROCESS_MB = 20
+# Shares of the memory beside the process; parsing a list takes ten times its size (measured).
+BUFFERS_SHARE = 0.4
+LIST_SHARE = 0.05
+MIN_BUFFER_BYTES = 3 << 20  # one longest message received, another one being written
+MIN_LIST_BYTES = 1 << 18
+# Descriptors not for connections: discovery, health checks, the log, files, what is being closed.
+RESERVED_SHARE = 1 / 8
+MAX_RESERVED = 96
+# Of the reserved ones: what the process has open by itself, discovery's two calls among it.
+PROCESS_DESCRIPTORS = 12
+# Of the connections, for monitors that check liveness and stay: some dozens of them (a guess).
+LIVENESS_CHECKERS_SHARE = 1 / 16
 
 
 @dataclass(frozen=True, slots=True)
 class ResourceLimits:
-    peers: int  # connections at the steward's address
-    askers: int  # of them, those that asked whether the steward is alive and stay
-    probes: int
-    ring_bytes: int
+    """Upper bounds of what the controller holds at one time.
+
+    Attributes:
+        connections: At the listening address.
+        liveness_checkers: Of the connections, those that have only checked liveness.
+        health_checks: Under way at one time.
+        buffer_bytes: Of all connections' buffers together.
+        list_bytes: Of one endpoint list.
+    """
+
+    connections: int
+    liveness_checkers: int
+    health_checks: int
+    buffer_bytes: int
     list_bytes: int
 
 
 def resource_limits_for(memory_mb: float, descriptors: int) -> ResourceLimits:
-    free = int(max(0.0, memory_mb - PROCESS_MB) * (1 << 20))
-    spare = min(SPARE_MOST, max(FILES + 4, int(descriptors * SPARE_PART)))
-    peers = max(1, descriptors - spare)
+    """Returns the limits that fit into the memory and the descriptors of the process."""
+    free_bytes = int(max(0.0, memory_mb - PROCESS_MB) * (1 << 20))
+    share = int(descriptors * RESERVED_SHARE)
+    reserved = min(MAX_RESERVED, max(PROCESS_DESCRIPTORS + 4, share))
+    connections = max(1, descriptors - reserved)
     return ResourceLimits(
-        peers,
-        max(1, int(peers * ASKERS_PART)),
-        max(1, (spare - FILES) // 2),
-        max(LEAST_BYTES, int(free * RINGS_PART)),
-        max(1 << 18, int(free * LIST_PART)),
+        connections=connections,
+        liveness_checkers=max(1, int(connections * LIVENESS_CHECKERS_SHARE)),
+        health_checks=max(1, (reserved - PROCESS_DESCRIPTORS) // 2),
+        buffer_bytes=max(MIN_BUFFER_BYTES, int(free_bytes * BUFFERS_SHARE)),
+        list_bytes=max(MIN_LIST_BYTES, int(free_bytes * LIST_SHARE)),
     )
--- a/plankroute/net/process/service.py
+++ b/plankroute/net/process/service.py
@@ -1,4 +1,4 @@
-"""The real steward: puts its parts together, starts, and ends when it is told."""
+"""The controller process: puts its parts together, runs them, and ends when it is told to."""
 
 import asyncio
 import errno
@@ -7,11 +7,13 @@
 import signal
 import sys
 import time
+from collections.abc import Callable
 from dataclasses import replace
 from typing import TYPE_CHECKING, Any
 
 from plankroute.controller.controller import Controller
 from plankroute.controller.message_builder import MessageBuilder
+from plankroute.events.facts import StartFacts
 from plankroute.events.settings import SettingsError
 from plankroute.net.discovery.directory import Directory
 from plankroute.net.discovery.watch import Discovery
@@ -19,182 +21,222 @@
 from plankroute.net.process import startup_signals as early
 from plankroute.net.process.clock import Clock
 from plankroute.net.process.configuration import Configuration, parse_configuration
-from plankroute.net.process.router import Router
+from plankroute.net.process.core_runner import CoreOutputs, CoreRunner
 from plankroute.net.process.telemetry import EventLog, Telemetry, to_stderr
 from plankroute.net.proxies.admission import Admission
-from plankroute.net.proxies.line_codec import Writer
+from plankroute.net.proxies.line_codec import MessageEncoder
 from plankroute.net.proxies.listener import Listener
-from plankroute.net.proxies.sender import Sender
-from plankroute.net.proxies.sessions import Streams
+from plankroute.net.proxies.sender import MessageSender
+from plankroute.net.proxies.sessions import Sessions
 
 if TYPE_CHECKING:
     from plankroute.config.feature_file import FeatureFile
     from plankroute.net.process.optional_features import OptionalFeatures
 
-OWN_FILE = (
-    "PLANKROUTE_FILE"  # names our own JSON file; without it all that the file switches on is off
-)
-OPEN_AGAIN_S, OPEN_EVERY_S = (
-    25.0,
-    0.1,
-)  # how long, and how often, a held address is tried: 30 s end a start
-SWEEP_S = 0.25  # between looks at strangers: their time is counted in seconds
+# Names our own JSON file; without it all that the file switches on is off.
+OWN_FILE = "PLANKROUTE_FILE"
+# For how long, and how often, an address that is held is tried: operators end a start after 30 s.
+OPEN_TIMEOUT_S = 25.0
+OPEN_RETRY_S = 0.1
+SWEEP_S = 0.25  # between looks at unidentified connections: their time is counted in seconds
 UNUSABLE = (KeyError, OSError, SettingsError)  # what a configuration that can't be used ends in
-KEPT = ("listen", "facts", "zones", "kinds", "products")  # for the life of the process
+# Fields of the configuration that hold for the life of the process.
+FIXED_FIELDS = ("listen", "facts", "zones", "machine_types", "request_classes")
 FINISH_S = 0.15  # for the last log lines: well within the 0.7 s that operators leave after SIGTERM
-PARTS_END_S = 0.45  # for what our own file switched on, all together
+FEATURES_CLOSE_S = 0.45  # for what our own file switched on, all together
+LATENCY_MARGIN = 2  # times the longest deadline: no attempt that was answered can have taken longer
 
 
 class Service:
-    """`own`: what our own file switches on; None: all off, and none of it is imported."""
+    """All parts of the controller process.
+
+    Args:
+        configuration: What operators handed over.
+        telemetry: Counters and log.
+        own: What our own file switches on; None: all off, and none of it is imported.
+    """
 
     def __init__(
         self, configuration: Configuration, telemetry: Telemetry, own: "FeatureFile | None" = None
     ) -> None:
-        self.configuration, self.telemetry, self.stop = configuration, telemetry, asyncio.Event()
-        self.signals = {
+        self.configuration = configuration
+        self.telemetry = telemetry
+        self.stop = asyncio.Event()
+        self.signals: dict[signal.Signals, Callable[[], None]] = {
             signal.SIGTERM: self.stop.set,
             signal.SIGINT: self.stop.set,
             signal.SIGUSR1: telemetry.print,
             signal.SIGHUP: self.reload,
         }
-        clock = Clock()
+        self.clock = Clock()
         self.directory = Directory(
-            clock, configuration.zones, configuration.kinds, configuration.products
+            self.clock,
+            configuration.zones,
+            configuration.machine_types,
+            configuration.request_classes,
         )
-        self.router = Router(
+        self.core = self._build_core()
+        self.listener = self._build_listener()
+        self.optional_features = self._build_optional_features(own)
+        self.discovery = self._build_discovery()
+        self.prober = self._build_prober()
+        self.core.outputs = self._build_outputs()
+        if self.optional_features:
+            self.optional_features.attach(self.core.controller, self.directory, self.discovery)
+
+    def _build_core(self) -> CoreRunner:
+        configuration = self.configuration
+        return CoreRunner(
             Controller(configuration.facts, configuration.seed),
-            MessageBuilder(len(configuration.products)),
-            clock,
-            telemetry,
-            configuration.gather_us,
-        )
-        put = self.router.put
-        longest_us = 2 * max(
-            (product.deadline_us for product in configuration.facts.request_classes), default=0
-        )
-        admission = Admission(self.directory, configuration.facts.proxy_count, longest_us)
-        answer_s = (
-            configuration.facts.backlog_cap_lines
-            / max(1.0, configuration.facts.channel_lines_per_s)
-            + configuration.facts.max_one_way_delay_us / 1e6
+            MessageBuilder(len(configuration.request_classes)),
+            self.clock,
+            self.telemetry,
+            configuration.min_batch_interval_us,
         )
-        streams = Streams(admission.joined, telemetry, answer_s, put)
-        self.listener = Listener(admission, streams, telemetry, configuration.room, put)
-        self.optional_features = self.build_optional_features(own)
+
+    def _build_listener(self) -> Listener:
+        facts = self.configuration.facts
+        submit = self.core.submit
+        admission = Admission(self.directory, facts.proxy_count, _max_latency_us(facts))
+        sessions = Sessions(admission.joined, self.telemetry, _max_ack_s(facts), submit)
+        return Listener(admission, sessions, self.telemetry, self.configuration.limits, submit)
+
+    def _build_discovery(self) -> Discovery:
+        configuration = self.configuration
         make = self.optional_features.make_discovery if self.optional_features else Discovery
-        self.discovery = make(
+        return make(
             configuration.discovery,
-            configuration.room.list_bytes,
+            configuration.limits.list_bytes,
             self.directory,
-            telemetry,
+            self.telemetry,
             configuration.seed,
             configuration.facts.must_subscribe,
-            put,
+            self.core.submit,
         )
-        self.router.send = Sender(
-            streams, Writer(configuration.products, self.directory.uid), telemetry
-        ).send
-        make_prober = (
-            self.optional_features.make_prober if self.optional_features else HealthChecker
-        )
-        self.prober = make_prober(
-            configuration.facts,
+
+    def _build_prober(self) -> HealthChecker:
+        make = self.optional_features.make_prober if self.optional_features else HealthChecker
+        return make(
+            self.configuration.facts,
             self.directory,
-            clock,
-            telemetry,
-            configuration.dial_us,
-            self.listener.room_for_probes,
-            put,
+            self.clock,
+            self.telemetry,
+            self.configuration.connect_timeout_us,
+            self.listener.table.health_check_capacity,
+            self.core.submit,
+        )
+
+    def _build_outputs(self) -> CoreOutputs:
+        encoder = MessageEncoder(self.configuration.request_classes, self.directory.uid)
+        sender = MessageSender(self.listener.sessions, encoder, self.telemetry)
+        return CoreOutputs(
+            send_message=sender.send,
+            check_health=self.prober.check,
+            request_list=self.discovery.request_list,
+            forget_host=self.directory.forget,
         )
-        self.router.probe = self.prober.check
-        self.router.ask, self.router.forget = self.discovery.obey, self.directory.forget
-        if self.optional_features:
-            self.optional_features.attach(self.router.controller, self.directory, self.discovery)
 
-    def build_optional_features(self, own: "FeatureFile | None") -> "OptionalFeatures | None":
+    def _build_optional_features(self, own: "FeatureFile | None") -> "OptionalFeatures | None":
         if own is None:
             return None
-        from plankroute.net.process.optional_features import (
-            OptionalFeatures,
-        )  # off, it costs a bare start neither time nor memory
+        # Imported here: switched off, it costs a bare start neither time nor memory.
+        from plankroute.net.process.optional_features import OptionalFeatures
 
-        return OptionalFeatures(own, self.configuration, self.telemetry, self.router.put)
+        return OptionalFeatures(own, self.configuration, self.telemetry, self.core.submit)
 
     async def run(self) -> None:
-        loop = asyncio.get_running_loop()
-        for number, work in self.signals.items():
-            loop.add_signal_handler(number, work)
-        loop.set_exception_handler(self.on_loop_error)
-        if early.hung_up():
-            self.reload()
+        """Runs until a signal tells it to end; raises OSError where the address can't be had."""
+        self._handle_signals()
         if self.configuration.facts.slices:
             self.telemetry.log_once("unsupported_slices")
-        self.discovery.start(self.configuration.known)
+        self.discovery.start(self.configuration.initial_list)
         if self.optional_features:
             await self.optional_features.recall()
-        self.router.flush()  # the core has its list before anybody can ask whether the steward is alive
-        if await self.open():
-            self.telemetry.log.event(
-                "info",
-                "listening",
-                address=self.configuration.listen,
-                hosts=len(self.directory.hosts),
-            )
-            sweeping = asyncio.create_task(self.sweep())
-            if self.optional_features:
-                self.optional_features.start()
-            await self.stop.wait()
-            sweeping.cancel()
+        # The core has its list before anybody can ask whether the controller is alive.
+        self.core.flush()
+        if await self._open():
+            await self._serve()
         self.prober.close()
         self.listener.close()
         if self.optional_features:
-            await self.close_optional_features(self.optional_features)
+            await self._close_optional_features(self.optional_features)
+
+    def _handle_signals(self) -> None:
+        loop = asyncio.get_running_loop()
+        for number, handler in self.signals.items():
+            loop.add_signal_handler(number, handler)
+        loop.set_exception_handler(self._on_loop_error)
+        if early.hung_up():
+            self.reload()
+
+    async def _serve(self) -> None:
+        """Serves connections until the end."""
+        self.telemetry.log.event(
+            "info",
+            "listening",
+            address=self.configuration.listen,
+            hosts=len(self.directory.hosts),
+        )
+        sweeping = asyncio.create_task(self._sweep_forever())
+        if self.optional_features:
+            self.optional_features.start()
+        await self.stop.wait()
+        sweeping.cancel()
 
-    async def close_optional_features(self, optional_features: "OptionalFeatures") -> None:
-        """Guards against a part that fails, or is slow, as it closes: the end is not held up by it."""
+    async def _close_optional_features(self, optional_features: "OptionalFeatures") -> None:
+        """Guards against a feature that fails, or is slow, as it closes: it holds up no end."""
         try:
-            async with asyncio.timeout(PARTS_END_S):
+            async with asyncio.timeout(FEATURES_CLOSE_S):
                 await optional_features.close()
         except TimeoutError:
-            self.telemetry.log_once("parts_cut_short")
+            self.telemetry.log_once("features_cut_short")
         except Exception as error:
-            self.telemetry.failed("parts", error)
+            self.telemetry.failed("features", error)
 
     def reload(self) -> None:
-        """A new configuration under load: what can change does; one that can't be used, or is another
-        steward's, changes nothing."""
+        """Takes a new configuration while it runs: what can change does.
+
+        One that can't be used, or is another controller's, changes nothing.
+        """
         try:
-            new, own = read_configuration(), own_file()
+            new = read_configuration()
+            own = own_file()
             if new.name != self.configuration.name:
                 raise SettingsError(f"it is {new.name}'s")
         except UNUSABLE as error:
             self.telemetry.count("dropped.configurations")
-            self.telemetry.log.event(
-                "error", "reload_failed", why=f"{type(error).__name__}: {error}"
-            )
+            reason = f"{type(error).__name__}: {error}"
+            self.telemetry.log.event("error", "reload_failed", why=reason)
             return
-        kept = [name for name in KEPT if getattr(new, name) != getattr(self.configuration, name)]
-        kept += (
-            self.optional_features.reload(own)
-            if self.optional_features
-            else ["own file"] * (own is not None)
-        )
-        moved = new.discovery != self.configuration.discovery
-        self.configuration = replace(self.configuration, discovery=new.discovery, room=new.room)
-        self.listener.allow(new.room)
-        self.discovery.allow(new.room.list_bytes)
-        if moved:
-            self.discovery.move(self.configuration.discovery)
-        self.telemetry.count("taken.configurations")
-        self.telemetry.log.event(
-            "warning" if kept else "info", "reloaded", discovery=new.discovery, kept=kept
-        )
+        unchanged = self._fields_that_wait_for_a_restart(new, own)
+        has_moved = new.discovery != self.configuration.discovery
+        self.configuration = replace(self.configuration, discovery=new.discovery, limits=new.limits)
+        self.listener.set_limits(new.limits)
+        self.discovery.set_max_list_bytes(new.limits.list_bytes)
+        if has_moved:
+            self.discovery.move(new.discovery)
+        self.telemetry.count("received.configurations")
+        level = "warning" if unchanged else "info"
+        self.telemetry.log.event(level, "reloaded", discovery=new.discovery, kept=unchanged)
+
+    def _fields_that_wait_for_a_restart(
+        self, new: Configuration, own: "FeatureFile | None"
+    ) -> list[str]:
+        names = [
+            name for name in FIXED_FIELDS if getattr(new, name) != getattr(self.configuration, name)
+        ]
+        if self.optional_features:
+            names += self.optional_features.reload(own)
+        elif own is not None:
+            names.append("own file")
+        return names
+
+    async def _open(self) -> bool:
+        """Starts to listen; False: told to end before that.
 
-    async def open(self) -> bool:
-        """Guards against a start that fails because the process before has not quite gone. False: told to end
-        before that."""
-        end = time.monotonic() + OPEN_AGAIN_S
+        Guards against a start that fails because the previous process has not quite gone.
+        """
+        end = time.monotonic() + OPEN_TIMEOUT_S
         while not self.stop.is_set():
             try:
                 await self.listener.open(self.configuration.listen)
@@ -203,19 +245,31 @@
                 if error.errno != errno.EADDRINUSE or time.monotonic() > end:
                     raise
                 self.telemetry.log_once("address_in_use")
-                await asyncio.sleep(OPEN_EVERY_S)
+                await asyncio.sleep(OPEN_RETRY_S)
         return False
 
-    def on_loop_error(self, _: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
-        """What no connection caught, such as no descriptors left for accepting: asyncio goes on by itself."""
+    def _on_loop_error(self, _: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
+        """Logs what no connection caught, such as a lack of descriptors; asyncio goes on."""
         self.telemetry.count("loop.failed")
-        why = f"{context.get('message')}: {context.get('exception')!r}"
-        self.telemetry.log.event("error", "loop_failed", why=why)
+        reason = f"{context.get('message')}: {context.get('exception')!r}"
+        self.telemetry.log.event("error", "loop_failed", why=reason)
 
-    async def sweep(self) -> None:
+    async def _sweep_forever(self) -> None:
         while True:
             await asyncio.sleep(SWEEP_S)
-            self.listener.sweep()
+            self.listener.table.sweep()
+
+
+def _max_latency_us(facts: StartFacts) -> int:
+    """Returns a bound of the mean latency of attempts that were answered."""
+    deadlines_us = [request_class.deadline_us for request_class in facts.request_classes]
+    return LATENCY_MARGIN * max(deadlines_us, default=0)
+
+
+def _max_ack_s(facts: StartFacts) -> float:
+    """Returns the longest regular time until an acknowledgement: a full channel, and the way."""
+    channel_s = facts.backlog_cap_lines / max(1.0, facts.channel_lines_per_s)
+    return channel_s + facts.max_one_way_delay_us / 1e6
 
 
 def read_configuration() -> Configuration:
--- a/plankroute/net/process/telemetry.py
+++ b/plankroute/net/process/telemetry.py
@@ -1,4 +1,4 @@
-"""Book: counters, and a log of one JSON line an event whose blocked reader never holds up the steward."""
+"""Counters, and a log of one JSON line for each event that never blocks the controller."""
 
 import os
 import signal
@@ -7,85 +7,99 @@
 import traceback
 from collections import Counter, deque
 from collections.abc import Callable
-from typing import Any
 
 import orjson
 
 from plankroute.events.events import LoadReport
 
-WAITING_LINES = 1000  # log lines held for a slow reader; more are dropped and counted
-LINES_A_SECOND = 20  # of one event: the rest are counted, so that a storm can't fill the log
+# Guesses: what a slow reader may leave waiting, and what one event may write, so that a storm of it
+# can't # fill the log. The rest is counted.
+MAX_QUEUED_LINES = 1000
+MAX_LINES_PER_SECOND = 20
 
 
 class EventLog:
-    """Lines are handed to a thread of their own, which alone may be blocked."""
-
-    def __init__(self, name: str, write: Callable[[bytes], Any]) -> None:
-        self.name, self.write = name, write
-        self.lines: deque[bytes] = deque()
-        self.ready, self.taken, self.passed = threading.Event(), 0, 0
-        self.said: Counter[str] = Counter()
-        self.second, self.dropped = 0, 0
-        threading.Thread(target=self.pass_on, daemon=True).start()
-
-    def event(self, level: str, event: str, **facts: Any) -> None:
+    """Lines are handed to a thread of their own, which alone may be blocked.
+
+    Args:
+        controller: Name of the controller, which is in each line.
+        write: Writes one line; called in the thread.
+    """
+
+    def __init__(self, controller: str, write: Callable[[bytes], object]) -> None:
+        self.controller = controller
+        self.write = write
+        self.queue: deque[bytes] = deque()
+        self.has_lines = threading.Event()
+        self.queued = 0
+        self.written = 0
+        self.dropped = 0
+        self.second = 0  # Unix time, to which `events_this_second` belongs
+        self.events_this_second: Counter[str] = Counter()
+        threading.Thread(target=self._write_forever, daemon=True).start()
+
+    def event(self, level: str, event: str, **facts: object) -> None:
+        """Queues a line, or counts it as dropped where there are too many."""
         now = time.time()
         if int(now) != self.second:
-            self.second, self.said = int(now), Counter()
-        self.said[event] += 1
-        if self.said[event] > LINES_A_SECOND or len(self.lines) >= WAITING_LINES:
+            self.second = int(now)
+            self.events_this_second = Counter()
+        self.events_this_second[event] += 1
+        is_storm = self.events_this_second[event] > MAX_LINES_PER_SECOND
+        if is_storm or len(self.queue) >= MAX_QUEUED_LINES:
             self.dropped += 1
             return
-        said = {
+        line = {
             "time": round(now, 6),
             "level": level,
-            "steward": self.name,
+            "controller": self.controller,
             "event": event,
             **facts,
         }
-        self.lines.append(orjson.dumps(said, default=str) + b"\n")
-        self.taken += 1
-        self.ready.set()
-
-    def pass_on(self) -> None:
-        signal.pthread_sigmask(
-            signal.SIG_BLOCK, signal.valid_signals()
-        )  # they are the loop's thread's
+        self.queue.append(orjson.dumps(line, default=str) + b"\n")
+        self.queued += 1
+        self.has_lines.set()
+
+    def _write_forever(self) -> None:
+        # Signals are for the thread of the loop.
+        signal.pthread_sigmask(signal.SIG_BLOCK, signal.valid_signals())
         while True:
-            self.ready.wait()
-            self.ready.clear()
-            while self.lines:
+            self.has_lines.wait()
+            self.has_lines.clear()
+            while self.queue:
                 try:
-                    self.write(self.lines.popleft())
+                    self.write(self.queue.popleft())
                 except OSError:
                     self.dropped += 1
-                self.passed += 1
+                self.written += 1
 
     def finish(self, seconds: float) -> None:
-        """Waits for what is written, no longer than that."""
+        """Waits until all lines are written, no longer than that."""
         end = time.monotonic() + seconds
-        while self.passed < self.taken and time.monotonic() < end:
+        while self.written < self.queued and time.monotonic() < end:
             time.sleep(0.005)
 
 
 def to_stderr(line: bytes) -> None:
+    """Writes all of the line, in as many system calls as it takes."""
     while line:
         line = line[os.write(2, line) :]
 
 
 class Telemetry:
-    """What was taken in, sent, answered and dropped, by name."""
+    """Counters by name, and the log."""
 
     def __init__(self, log: EventLog) -> None:
         self.log = log
         self.counts: Counter[str] = Counter()
-        self.once = set[str]()
+        self.logged_once = set[str]()
 
     def count(self, name: str, by: int = 1) -> None:
+        """Adds to a counter."""
         self.counts[name] += by
 
     def failed(self, part: str, error: Exception) -> None:
-        """An error of ours, with its place; the part goes on."""
+        """Counts and logs an error of this program, with its place; the part goes on."""
         place = traceback.extract_tb(error.__traceback__)[-1]
         self.count(f"{part}.failed")
         self.log.event(
@@ -95,26 +109,29 @@
             place=f"{place.name}:{place.lineno}",
         )
 
-    def refuse(self, stage: str, why: str, **facts: Any) -> None:
-        """A line or entry that goes no further."""
-        self.counts[f"dropped.{stage}"] += 1
-        self.log.event("warning", "refused", stage=stage, why=why, **facts)
+    def reject(self, stage: str, reason: str, **facts: object) -> None:
+        """Counts and logs a line or an entry that goes no further."""
+        self.counts[f"rejected.{stage}"] += 1
+        self.log.event("warning", "rejected", stage=stage, why=reason, **facts)
 
-    def log_once(self, event: str, **facts: Any) -> None:
-        """What would come again and again: said once, then counted."""
+    def log_once(self, event: str, **facts: object) -> None:
+        """Logs what would come again and again the first time, and counts it each time."""
         self.counts[event] += 1
-        if event not in self.once:
-            self.once.add(event)
+        if event not in self.logged_once:
+            self.logged_once.add(event)
             self.log.event("warning", event, **facts)
 
-    def count_report(self, report: LoadReport) -> None:
-        """Guards against reports whose names nobody knows: the steward would steer without them, unseen."""
+    def count_load_report(self, report: LoadReport) -> None:
+        """Counts a host's load report.
+
+        Guards against reports whose names nobody knows: decisions would do without them, unseen.
+        """
         if report == LoadReport():
-            self.log_once("dropped.reports")
+            self.log_once("dropped.load_reports")
         else:
-            self.counts["taken.reports"] += 1
+            self.counts["received.load_reports"] += 1
 
     def print(self) -> None:
-        self.log.event(
-            "info", "counters", log_dropped=self.log.dropped, **dict(sorted(self.counts.items()))
-        )
+        """Logs all counters."""
+        counters = dict(sorted(self.counts.items()))
+        self.log.event("info", "counters", log_dropped=self.log.dropped, **counters)
--- a/plankroute/net/proxies/connection.py
+++ b/plankroute/net/proxies/connection.py
@@ -1,41 +1,47 @@
-"""A connection's other end: a ring a direction, and what it has said to be."""
+"""One accepted connection: its buffers, the identity of its peer, and when it was last heard of."""
 
 import asyncio
 import time
 
-from plankroute.net.proxies.admission import Party, Role
-from plankroute.net.proxies.line_codec import MOST_JOINING, MOST_LINE
-from plankroute.net.proxies.line_reader import LineCutter
-from plankroute.net.proxies.outbound_buffer import Outlet
-from plankroute.net.proxies.ring_buffer import Pool
-
-
-class Peer:
-    def __init__(self, writer: asyncio.StreamWriter, pool: Pool) -> None:
-        self.party, self.cutter, self.outlet = (
-            Party(),
-            LineCutter(MOST_JOINING, pool),
-            Outlet(writer, pool),
-        )
-        self.since = self.heard = self.asked = time.monotonic()
-        self.times_asked = 0  # for a sign of life, since the last sweep
-
-    def is_stranger(self) -> bool:
-        return self.party.role in (Role.STRANGER, Role.ASKER)
-
-    def join(self) -> None:
-        """From here on its lines may be as long as the protocol has them."""
-        self.cutter.allow(MOST_LINE)
-
-    def is_ending(self) -> bool:
-        return self.outlet.writer.transport.is_closing()
-
-    def expect(self, mark: int) -> None:
-        """A mark was written, which is to be answered."""
-        if not self.party.marks:
-            self.asked = time.monotonic()
-        self.party.marks.append(mark)
-
-    def owes_for(self, now: float) -> float:
-        """Seconds for which an answer has been due without any word."""
-        return now - max(self.heard, self.asked) if self.party.marks else 0.0
+from plankroute.net.proxies.admission import PeerIdentity
+from plankroute.net.proxies.line_codec import MAX_FIRST_LINE_BYTES, MAX_LINE_BYTES
+from plankroute.net.proxies.line_reader import LineReader
+from plankroute.net.proxies.outbound_buffer import OutboundBuffer
+from plankroute.net.proxies.ring_buffer import MemoryPool
+
+
+class Connection:
+    """A connection of a proxy, a collector, a monitor, or a peer that is still unidentified.
+
+    Times are those of the monotonic clock, in seconds.
+    """
+
+    def __init__(self, writer: asyncio.StreamWriter, pool: MemoryPool) -> None:
+        self.identity = PeerIdentity()
+        self.line_reader = LineReader(MAX_FIRST_LINE_BYTES, pool)
+        self.outbound = OutboundBuffer(writer, pool)
+        now = time.monotonic()
+        self.connected_at = now
+        self.last_heard_at = now
+        self.awaiting_ack_since = now  # means something only while an acknowledgement is due
+        self.liveness_checks = 0  # since the last sweep
+
+    def allow_long_lines(self) -> None:
+        """Its peer is identified: from here on lines may be as long as the protocol allows."""
+        self.line_reader.set_max_line_bytes(MAX_LINE_BYTES)
+
+    def is_closing(self) -> bool:
+        """Whether the connection is being closed, by either side."""
+        return self.outbound.is_closing()
+
+    def expect_ack(self, sequence_number: int) -> None:
+        """A message was sent that its peer has to acknowledge."""
+        if not self.identity.unacknowledged:
+            self.awaiting_ack_since = time.monotonic()
+        self.identity.unacknowledged.append(sequence_number)
+
+    def silent_s(self, now: float) -> float:
+        """Returns how many seconds an acknowledgement has been due while nothing was heard."""
+        if not self.identity.unacknowledged:
+            return 0.0
+        return now - max(self.last_heard_at, self.awaiting_ack_since)
--- a/plankroute/net/proxies/line_codec.py
+++ b/plankroute/net/proxies/line_codec.py
@@ -1,30 +1,37 @@
-"""The codec of lines at the steward's address, both ways. Only here: wire words."""
+"""The codec of lines at the controller's address, both ways: the words of the protocol."""
 
 import re
 from collections.abc import Callable, Iterable, Iterator
-from dataclasses import dataclass
 
 from plankroute.controller.messages import Message, TableUpdate
 from plankroute.events.events import LoadReport
-from plankroute.events.settings import REPORT_FIELDS as SETTINGS_FIELDS
+from plankroute.events.settings import REPORT_FIELDS as SETTINGS_REPORT_FIELDS
 from plankroute.events.settings import load_report, microseconds
-from plankroute.net.process.errors import Refused, Stage
-
-MOST_LINE = 1 << 20  # bytes, by the protocol
-MOST_JOINING = 1024  # bytes: no first word comes near
-MOST_PARTS = 64  # of a message, by the protocol
-ROWS_A_PART = 4096  # keeps a part far below the longest line
-MOST_COUNT = 2**32 - 1  # no count of a report's span comes near
-MOST_MS = 86_400_000.0  # a day: longer spans are nonsense
-MOST_LOAD = 1e6  # of any figure of a load report: no host holds a million txns
-MOST_DIGITS = 10
+from plankroute.net.process.errors import Rejection, RejectionStage
+from plankroute.net.proxies.messages import (
+    AckMessage,
+    CollectorMessage,
+    DemandMessage,
+    HelloMessage,
+    InboundMessage,
+    LivenessCheckMessage,
+    OutcomesMessage,
+)
+
+MAX_LINE_BYTES = 1 << 20  # by the protocol
+MAX_FIRST_LINE_BYTES = 1024  # a guess: no first line of a connection comes near
+MAX_MESSAGE_PARTS = 64  # by the protocol
+ROWS_PER_PART = 4096  # keeps a part far below the longest line
+MAX_COUNT = 2**32 - 1  # a guess: no count within a report's span comes near
+MAX_MILLISECONDS = 86_400_000.0  # a day: longer spans are nonsense
+MAX_LOAD_FIGURE = 1e6  # of a load report: no host holds a million requests
+MAX_DIGITS = 10  # of a count: as many as `MAX_COUNT` has
 NUMBER = re.compile(r"[0-9]*\.?[0-9]+(?:[eE][+-]?[0-9]{1,3})?")
-PLAIN = re.compile(r"[a-z]+(?: [a-z]+=[^ =]*)*")  # a kind of another version, most likely
-TORN = re.compile(
-    r"(?:agent|outcomes|hello|ack|demand) [a-z]+="
-)  # within a line: two messages ran together
-# Guards against load reports read as empty: hosts name figures as the settings do, or as the protocol's page.
-REPORT_FIELDS = SETTINGS_FIELDS | {
+WELL_FORMED_LINE = re.compile(r"[a-z]+(?: [a-z]+=[^ =]*)*")  # most likely of another version
+MERGED_LINES = re.compile(r"(?:agent|outcomes|hello|ack|demand) [a-z]+=")  # a kind within a line
+# Guards against load reports read as empty: hosts name figures as the settings do, or as the
+# protocol does.
+REPORT_FIELDS = SETTINGS_REPORT_FIELDS | {
     "inflight": "in_flight",
     "queue": "queue_length",
     "util": "utilization",
@@ -32,233 +39,233 @@
     "qps": "request_rate",
     "eps": "error_rate",
 }
-ALIVE, ERROR = b"alive\r\n", b"error\r\n"
+ALIVE_LINE = b"alive\r\n"
+ERROR_LINE = b"error\r\n"
 
 
-@dataclass(frozen=True, slots=True)
-class Asked:
-    """Somebody asks whether the steward is alive."""
+class UnreadableError(ValueError):
+    """A field that can't be read; raised and caught within this codec."""
 
 
-@dataclass(frozen=True, slots=True)
-class CollectorSaid:
-    """A collector tells its zone."""
-
-    zone: str
-
-
-@dataclass(frozen=True, slots=True)
-class HelloSaid:
-    proxy: int
-    zone: str
-    usual_rate: float
-    fresh: bool
-
-
-@dataclass(frozen=True, slots=True)
-class AppliedSaid:
-    proxy: int
-    sequence_number: int
-    elapsed_us: int
-
-
-@dataclass(frozen=True, slots=True)
-class HostSaid:
-    """What the proxies of a zone met at a host."""
-
-    zone: str
-    host: str
-    attempts: int
-    failed: int
-    mean_latency_us: int
-    span_us: int
-    report: LoadReport | None
-
-
-@dataclass(frozen=True, slots=True)
-class TrafficSaid:
-    proxy: int
-    product: str
-    arrived: int
-    failed: int
-    span_us: int
-
-
-Said = Asked | CollectorSaid | HelloSaid | AppliedSaid | HostSaid | TrafficSaid
-
-
-class Unreadable(ValueError):
-    """Raised and caught in this codec only."""
-
-
-class Words:
-    """The `name=value` words of one line, each read as what it must be."""
+class Fields:
+    """The `name=value` words of one line; each getter raises UnreadableError."""
 
     def __init__(self, words: list[str]) -> None:
         self.values: dict[str, str] = {}
         for word in words:
             name, equals, value = word.partition("=")
             if not equals or not name or name in self.values:
-                raise Unreadable(f"word {word[:40]!r}")
+                raise UnreadableError(f"word {word[:40]!r}")
             self.values[name] = value
 
     def text(self, name: str) -> str:
-        if not (value := self.values.get(name)):
-            raise Unreadable(f"no {name}")
+        """Returns a text that is not empty."""
+        value = self.values.get(name)
+        if not value:
+            raise UnreadableError(f"no {name}")
         return value
 
     def count(self, name: str) -> int:
-        text = self.text(name)  # it is ASCII
-        if not text.isdigit() or len(text) > MOST_DIGITS or int(text) > MOST_COUNT:
-            raise Unreadable(f"{name} is no count")
+        """Returns a whole number from 0 to `MAX_COUNT`."""
+        text = self.text(name)
+        # The line is ASCII, so that isdigit() accepts 0 to 9 only.
+        if not text.isdigit() or len(text) > MAX_DIGITS or int(text) > MAX_COUNT:
+            raise UnreadableError(f"{name} is no count")
         return int(text)
 
-    def number(self, name: str, most: float) -> float:
-        if not NUMBER.fullmatch(text := self.text(name)) or float(text) > most:
-            raise Unreadable(f"{name} is no figure in its range")
+    def number(self, name: str, maximum: float) -> float:
+        """Returns a number from 0 to the maximum."""
+        text = self.text(name)
+        if not NUMBER.fullmatch(text) or float(text) > maximum:
+            raise UnreadableError(f"{name} is no figure in its range")
         return float(text)
 
-    def time_us(self, name: str) -> int:
-        return microseconds(self.number(name, MOST_MS))
+    def duration_us(self, name: str) -> int:
+        """Returns a duration, which the line has in milliseconds, in microseconds."""
+        return microseconds(self.number(name, MAX_MILLISECONDS))
 
     def flag(self, name: str) -> bool:
-        if (text := self.text(name)) not in ("0", "1"):
-            raise Unreadable(f"{name} is neither yes nor no")
+        """Returns a flag, which the line has as 0 or 1."""
+        text = self.text(name)
+        if text not in ("0", "1"):
+            raise UnreadableError(f"{name} is neither yes nor no")
         return text == "1"
 
-    def report(self, name: str) -> LoadReport | None:
+    def load_report(self, name: str) -> LoadReport | None:
+        """Returns a load report, or None where the line has none."""
         if name not in self.values:
             return None
-        return report_from(pair.partition(":") for pair in self.values[name].split(","))
-
-
-READERS: dict[str, Callable[[Words], Said]] = {
-    "probe": lambda words: Asked(),
-    "agent": lambda words: CollectorSaid(words.text("locality")),
-    "hello": lambda words: HelloSaid(
-        words.count("node"),
-        words.text("locality"),
-        words.number("w", MOST_COUNT),
-        words.flag("cold"),
-    ),
-    "ack": lambda words: AppliedSaid(
-        words.count("node"), words.count("nonce"), words.time_us("latency")
-    ),
-    "outcomes": lambda words: HostSaid(
-        words.text("locality"),
-        words.text("endpoint"),
-        words.count("total"),
-        words.count("errors"),
-        words.time_us("rtt") if "rtt" in words.values else 0,
-        words.time_us("interval"),
-        words.report("metrics"),
-    ),
-    "demand": lambda words: TrafficSaid(
-        words.count("node"),
-        words.text("route"),
-        words.count("total"),
-        words.count("errors"),
-        words.time_us("interval"),
-    ),
+        return _load_report_from(pair.partition(":") for pair in self.values[name].split(","))
+
+
+def _parse_liveness_check(_: Fields) -> LivenessCheckMessage:
+    return LivenessCheckMessage()
+
+
+def _parse_collector(fields: Fields) -> CollectorMessage:
+    return CollectorMessage(fields.text("locality"))
+
+
+def _parse_hello(fields: Fields) -> HelloMessage:
+    return HelloMessage(
+        fields.count("node"),
+        fields.text("locality"),
+        fields.number("w", MAX_COUNT),
+        fields.flag("cold"),
+    )
+
+
+def _parse_ack(fields: Fields) -> AckMessage:
+    return AckMessage(fields.count("node"), fields.count("nonce"), fields.duration_us("latency"))
+
+
+def _parse_outcomes(fields: Fields) -> OutcomesMessage:
+    return OutcomesMessage(
+        fields.text("locality"),
+        fields.text("endpoint"),
+        fields.count("total"),
+        fields.count("errors"),
+        fields.duration_us("rtt") if "rtt" in fields.values else 0,
+        fields.duration_us("interval"),
+        fields.load_report("metrics"),
+    )
+
+
+def _parse_demand(fields: Fields) -> DemandMessage:
+    return DemandMessage(
+        fields.count("node"),
+        fields.text("route"),
+        fields.count("total"),
+        fields.count("errors"),
+        fields.duration_us("interval"),
+    )
+
+
+PARSERS: dict[str, Callable[[Fields], InboundMessage]] = {
+    "probe": _parse_liveness_check,
+    "agent": _parse_collector,
+    "hello": _parse_hello,
+    "ack": _parse_ack,
+    "outcomes": _parse_outcomes,
+    "demand": _parse_demand,
 }
 
 
-def read_line(line: bytes) -> Said | Refused:
-    """What a line without its LF says; its CR must be there. A spoilt word is no end, lost bounds are."""
+def parse_line(line: bytes) -> InboundMessage | Rejection:
+    """Parses a line without its line feed; its carriage return must be there.
+
+    A field that can't be read costs its line only; a line whose bounds are doubtful breaks the
+    framing.
+    """
     if not line.endswith(b"\r"):
-        return Refused(Stage.READ, "no CRLF at the end", True)
+        return Rejection(RejectionStage.PARSING, "no CRLF at the end", breaks_framing=True)
     try:
         text = line[:-1].decode("ascii")
     except UnicodeDecodeError:
-        return Refused(Stage.READ, "not ASCII", True)
+        return Rejection(RejectionStage.PARSING, "not ASCII", breaks_framing=True)
     kind, *words = text.split(" ")
-    if (reader := READERS.get(kind)) is None:
-        return Refused(Stage.READ, "kind not known", not PLAIN.fullmatch(text))
+    parse = PARSERS.get(kind)
+    if parse is None:
+        is_broken = WELL_FORMED_LINE.fullmatch(text) is None
+        return Rejection(RejectionStage.PARSING, "kind not known", breaks_framing=is_broken)
     try:
-        return reader(Words(words))
-    except Unreadable as error:
-        if TORN.search(text, 1):
-            return Refused(Stage.READ, "messages ran together", True)
-        return Refused(Stage.READ, str(error))
-
-
-class Writer:
-    """Messages as lines; `products` are their names by place, `uid` tells a host's name."""
-
-    def __init__(self, products: tuple[str, ...], uid: Callable[[int], str]) -> None:
-        self.products, self.uid = products, uid
-        self.parts: list[TableUpdate] | None = (
-            None  # those written last, which hundreds of proxies may share
-        )
-        self.before, self.last = (
-            "",
-            "",
-        )  # their text: all but the last one with its end, and that one
-
-    def write(self, message: Message) -> bytes:
-        """Hosts held back, and the mark, are the proxy's own; they go with the last part."""
-        if message.updates is not self.parts:
-            self.parts = message.updates
-            self.before, self.last = self.text(message.updates)
-        words = [self.last]
-        for name, out in (("drop", True), ("undrop", False)):
-            if hosts := [self.uid(host) for host, held in message.withdrawn.items() if held is out]:
+        return parse(Fields(words))
+    except UnreadableError as error:
+        if MERGED_LINES.search(text, 1):
+            return Rejection(RejectionStage.PARSING, "messages ran together", breaks_framing=True)
+        return Rejection(RejectionStage.PARSING, str(error))
+
+
+class MessageEncoder:
+    """Writes messages to proxies as lines.
+
+    Args:
+        request_classes: Their names by index.
+        uid: Returns a host's name.
+    """
+
+    def __init__(self, request_classes: tuple[str, ...], uid: Callable[[int], str]) -> None:
+        self.request_classes = request_classes
+        self.uid = uid
+        # Table updates encoded last, which hundreds of proxies may share: their lines, the last one
+        # apart.
+        self.cached_updates: list[TableUpdate] | None = None
+        self.cached_lines_before = ""
+        self.cached_last_line = ""
+
+    def encode(self, message: Message) -> bytes:
+        """Returns the message's lines; what is the proxy's own goes with the last one."""
+        if message.updates is not self.cached_updates:
+            self.cached_updates = message.updates
+            before, last = self._encode_updates(message.updates)
+            self.cached_lines_before = before
+            self.cached_last_line = last
+        words = [self.cached_last_line]
+        for name, is_withdrawn in (("drop", True), ("undrop", False)):
+            hosts = [
+                self.uid(host) for host, held in message.withdrawn.items() if held is is_withdrawn
+            ]
+            if hosts:
                 words.append(f"{name}={','.join(hosts)}")
         if message.sequence_number is not None:
             words.append(f"stamp={message.sequence_number}")
-        return f"{self.before}{' '.join(words)}\r\n".encode("ascii")
-
-    def text(self, parts: list[TableUpdate]) -> tuple[str, str]:
-        """More parts than one message may have go on in a second message."""
-        written = [self.part(chunk) for part in parts for chunk in chunks(part)] or [[]]
-        for place, words in enumerate(written[:-1], 1):
-            if place % MOST_PARTS:
+        return f"{self.cached_lines_before}{' '.join(words)}\r\n".encode("ascii")
+
+    def _encode_updates(self, updates: list[TableUpdate]) -> tuple[str, str]:
+        """Returns all lines but the last with their ends, and the last without.
+
+        More parts than one message may have go on in a second message.
+        """
+        encoded = [self._encode_part(part) for update in updates for part in _split_rows(update)]
+        if not encoded:
+            encoded = [[]]
+        for number, words in enumerate(encoded[:-1], 1):
+            if number % MAX_MESSAGE_PARTS:
                 words.append("part=1")
-        lines = [" ".join(["push", *words]) for words in written]
+        lines = [" ".join(["push", *words]) for words in encoded]
         return "".join(line + "\r\n" for line in lines[:-1]), lines[-1]
 
-    def part(self, part: TableUpdate) -> list[str]:
+    def _encode_part(self, part: TableUpdate) -> list[str]:
         words = []
-        if len(part.request_classes) < len(self.products):
-            words.append("for=" + "+".join(self.products[place] for place in part.request_classes))
+        if len(part.request_classes) < len(self.request_classes):
+            names = [self.request_classes[index] for index in part.request_classes]
+            words.append("for=" + "+".join(names))
         if part.complete:
             words.append("replace=1")
         if part.routes:
-            words.append(
-                "rows="
-                + ",".join(f"{self.uid(host)}:{weight:.9g}" for host, weight in part.routes.items())
-            )
+            rows = [f"{self.uid(host)}:{weight:.9g}" for host, weight in part.routes.items()]
+            words.append("rows=" + ",".join(rows))
         if part.admission_limit:
-            words += [
-                f"gate={part.admission_limit.limit:.9g}",
-                f"again={int(part.admission_limit.retry)}",
-            ]
+            limit = part.admission_limit
+            words += [f"gate={limit.limit:.9g}", f"again={int(limit.retry)}"]
         return words
 
 
-def chunks(part: TableUpdate) -> Iterator[TableUpdate]:
-    lines = list(part.routes.items())
+def _split_rows(update: TableUpdate) -> Iterator[TableUpdate]:
+    """Yields updates of no more than `ROWS_PER_PART` rows, which together are the update."""
+    rows = list(update.routes.items())
     yield TableUpdate(
-        part.request_classes, part.complete, dict(lines[:ROWS_A_PART]), part.admission_limit
+        update.request_classes,
+        update.complete,
+        dict(rows[:ROWS_PER_PART]),
+        update.admission_limit,
     )
-    for at in range(ROWS_A_PART, len(lines), ROWS_A_PART):
-        yield TableUpdate(part.request_classes, False, dict(lines[at : at + ROWS_A_PART]))
+    for start in range(ROWS_PER_PART, len(rows), ROWS_PER_PART):
+        yield TableUpdate(update.request_classes, False, dict(rows[start : start + ROWS_PER_PART]))
 
 
-def read_report(body: bytes) -> LoadReport | None:
-    """The load report that a probe's answer carries, if it does."""
-    form, _, rest = body.decode("ascii", "replace").strip().partition(" ")
-    return (
-        report_from(pair.strip().partition("=") for pair in rest.split(","))
-        if form == "TEXT"
-        else None
-    )
+def parse_load_report(body: bytes) -> LoadReport | None:
+    """Returns the load report in the body of a health check's response, if there is one."""
+    format_name, _, rest = body.decode("ascii", "replace").strip().partition(" ")
+    if format_name != "TEXT":
+        return None
+    return _load_report_from(pair.strip().partition("=") for pair in rest.split(","))
 
 
-def report_from(pairs: Iterable[tuple[str, str, str]]) -> LoadReport:
-    """What is not known by its name, or no figure, is left out: the sums beside it still count."""
+def _load_report_from(pairs: Iterable[tuple[str, str, str]]) -> LoadReport:
+    """A field that is unknown or no figure is left out: the figures beside it still count."""
     return load_report(
         (REPORT_FIELDS[name], float(value))
         for name, _, value in pairs
-        if name in REPORT_FIELDS and NUMBER.fullmatch(value) and float(value) <= MOST_LOAD
+        if name in REPORT_FIELDS and NUMBER.fullmatch(value) and float(value) <= MAX_LOAD_FIGURE
     )
--- a/plankroute/net/proxies/line_reader.py
+++ b/plankroute/net/proxies/line_reader.py
@@ -1,61 +1,71 @@
-"""Take in: bytes as they come are cut into lines."""
+"""Cuts received bytes into lines of bounded length."""
 
 from collections.abc import Iterator
 
-from plankroute.net.process.errors import Refused, Stage
-from plankroute.net.proxies.ring_buffer import Pool, Ring
-
-LF = 10
-
-
-class LineCutter:
-    """Cuts at line ends; a line that is too long is refused and passed over up to its end."""
-
-    SLICE = 4096  # bytes taken at once: the ring never holds more than a line and this
-
-    def __init__(self, most: int, pool: Pool) -> None:
-        self.most, self.ring = most, Ring(most + self.SLICE, pool)
-        self.searched, self.skipping = 0, False
-
-    def allow(self, most: int) -> None:
-        """Other lines from here on."""
-        self.most, self.ring.most = most, most + self.SLICE
-
-    def feed(self, piece: bytes) -> Iterator[bytes | Refused]:
-        for at in range(0, len(piece), self.SLICE):
-            slice_ = piece[at : at + self.SLICE]
-            if not self.ring.size and not self.skipping and (end := slice_.rfind(b"\n")) >= 0:
-                # What is whole already needs no room; the ring holds what is not.
-                yield from map(self.checked, slice_[:end].split(b"\n"))
-                slice_ = slice_[end + 1 :]
-            if not self.ring.put(slice_):
-                yield from self.pass_over(slice_)
-            yield from self.lines()
-
-    def checked(self, line: bytes) -> bytes | Refused:
-        return line if len(line) <= self.most else Refused(Stage.TAKE_IN, "line too long", True)
-
-    def pass_over(self, piece: bytes) -> Iterator[Refused]:
-        """No room for it: what is held of the line is dropped, the rest of it skipped."""
-        too_long = self.ring.size + len(piece) > self.ring.most
-        self.ring.release()
-        self.searched = 0
-        if not self.skipping:
-            self.skipping = True
-            yield Refused(
-                Stage.TAKE_IN, "line too long" if too_long else "no room left for lines", too_long
-            )
-        if (end := piece.find(b"\n")) >= 0:
-            self.ring.put(piece[end:])  # its end stays, so that skipping ends there
-
-    def lines(self) -> Iterator[bytes | Refused]:
-        while (end := self.ring.find(LF, self.searched)) >= 0:
-            line, self.searched = self.ring.take(end + 1)[:-1], 0
-            if self.skipping:
-                self.skipping = False
+from plankroute.net.process.errors import Rejection, RejectionStage
+from plankroute.net.proxies.ring_buffer import MemoryPool, RingBuffer
+
+LINE_FEED = 10
+LINE_TOO_LONG = "line too long"
+
+
+class LineReader:
+    """Cuts at line feeds; a line that is too long is rejected and skipped up to its end."""
+
+    SLICE_BYTES = 4096  # taken at once: the buffer never holds more than a line and this
+
+    def __init__(self, max_line_bytes: int, pool: MemoryPool) -> None:
+        self.max_line_bytes = max_line_bytes
+        self.buffer = RingBuffer(max_line_bytes + self.SLICE_BYTES, pool)
+        self.searched_bytes = 0  # of the buffer: they hold no line feed
+        self.is_skipping = False  # the rest of a line that was rejected
+
+    def set_max_line_bytes(self, max_line_bytes: int) -> None:
+        """Changes the bound of lines from here on."""
+        self.max_line_bytes = max_line_bytes
+        self.buffer.max_bytes = max_line_bytes + self.SLICE_BYTES
+
+    def feed(self, received: bytes) -> Iterator[bytes | Rejection]:
+        """Yields the lines that are complete now, without their line feeds."""
+        for start in range(0, len(received), self.SLICE_BYTES):
+            piece = received[start : start + self.SLICE_BYTES]
+            if not self.buffer.size and not self.is_skipping:
+                # Complete lines need no room; the buffer holds only what is incomplete.
+                end = piece.rfind(b"\n")
+                if end >= 0:
+                    yield from map(self._checked, piece[:end].split(b"\n"))
+                    piece = piece[end + 1 :]
+            if not self.buffer.append(piece):
+                yield from self._skip(piece)
+            yield from self._buffered_lines()
+
+    def _checked(self, line: bytes) -> bytes | Rejection:
+        if len(line) <= self.max_line_bytes:
+            return line
+        return Rejection(RejectionStage.FRAMING, LINE_TOO_LONG, breaks_framing=True)
+
+    def _skip(self, piece: bytes) -> Iterator[Rejection]:
+        """There is no room: drops what is buffered of the line and skips the rest of it."""
+        is_too_long = self.buffer.size + len(piece) > self.buffer.max_bytes
+        self.buffer.release()
+        self.searched_bytes = 0
+        if not self.is_skipping:
+            self.is_skipping = True
+            reason = LINE_TOO_LONG if is_too_long else "no room left for lines"
+            yield Rejection(RejectionStage.FRAMING, reason, breaks_framing=is_too_long)
+        end = piece.find(b"\n")
+        if end >= 0:
+            self.buffer.append(piece[end:])  # with the line feed, at which skipping ends
+
+    def _buffered_lines(self) -> Iterator[bytes | Rejection]:
+        while (end := self.buffer.find(LINE_FEED, self.searched_bytes)) >= 0:
+            line = self.buffer.take(end + 1)[:-1]
+            self.searched_bytes = 0
+            if self.is_skipping:
+                self.is_skipping = False
             else:
-                yield self.checked(line)
-        self.searched = self.ring.size
-        if self.skipping:
-            self.ring.release()
-            self.searched = 0
+                yield self._checked(line)
+        self.searched_bytes = self.buffer.size
+        if self.is_skipping:
+            self.buffer.release()
+            self.searched_bytes = 0
--- a/plankroute/net/proxies/listener.py
+++ b/plankroute/net/proxies/listener.py
@@ -1,4 +1,4 @@
-"""Connections at the steward's address: taken, read line by line, and ended."""
+"""The controller's listening address: accepts connections, reads their lines and ends them."""
 
 import asyncio
 import socket
@@ -7,74 +7,73 @@
 
 from plankroute.events import events
 from plankroute.net.process.address import host_and_port
-from plankroute.net.process.errors import Refused
+from plankroute.net.process.errors import Rejection
 from plankroute.net.process.resource_limits import ResourceLimits
 from plankroute.net.process.telemetry import Telemetry
 from plankroute.net.proxies.admission import Admission, Role
-from plankroute.net.proxies.connection import Peer
-from plankroute.net.proxies.line_codec import (
-    ALIVE,
-    ERROR,
-    AppliedSaid,
-    Asked,
-    CollectorSaid,
-    HelloSaid,
-    HostSaid,
-    Said,
-    TrafficSaid,
-    read_line,
+from plankroute.net.proxies.connection import Connection
+from plankroute.net.proxies.connection_table import ACCEPTED_AT_ONCE, ConnectionTable
+from plankroute.net.proxies.line_codec import ALIVE_LINE, ERROR_LINE, parse_line
+from plankroute.net.proxies.messages import (
+    AckMessage,
+    CollectorMessage,
+    DemandMessage,
+    HelloMessage,
+    InboundMessage,
+    LivenessCheckMessage,
+    OutcomesMessage,
 )
-from plankroute.net.proxies.ring_buffer import Pool
-from plankroute.net.proxies.sessions import Streams
+from plankroute.net.proxies.ring_buffer import MemoryPool
+from plankroute.net.proxies.sessions import Sessions
 
-READ_AT_ONCE = 16384  # bytes: a collector's second of lines
-TAKEN_BYTES = (
-    65536  # the kernel's buffer of a connection: what one read may bring, times hundreds of them
-)
+READ_BYTES = 16384  # a collector's second of lines
+# The kernel's buffer of a connection: what one read may bring, times hundreds of them.
+RECEIVE_BUFFER_BYTES = 65536
 BACKLOG = 512  # connections that wait in the kernel: hundreds come at once
-AT_ONCE = (
-    16  # are taken before others are read: each is heard before many younger ones could push it out
-)
-STRANGER_S = 1.5  # from connecting: joinings come within a second, in pieces at worst
-MOST_ASKED = 32  # signs of life between two sweeps: who asks on without end is turned away
-TAKEN = {
-    kind: f"taken.{kind.__name__.removesuffix('Said').lower()}"
-    for kind in (Asked, AppliedSaid, CollectorSaid, HelloSaid, HostSaid, TrafficSaid)
+RECEIVED_COUNTERS: dict[type[InboundMessage], str] = {
+    LivenessCheckMessage: "received.liveness_check",
+    CollectorMessage: "received.collector",
+    HelloMessage: "received.hello",
+    AckMessage: "received.ack",
+    OutcomesMessage: "received.outcomes",
+    DemandMessage: "received.demand",
 }
-QUIET_COLLECTOR_S = 60.0  # reports come each second or so; a late one must not cost the connection
-MOST_COLLECTORS = 4  # of a zone: it has one, and one or two that a cut or a restart has left behind
 
 
 class Listener:
+    """Serves each connection in a task; nothing that goes wrong with one reaches another."""
+
     def __init__(
         self,
         admission: Admission,
-        streams: Streams,
+        sessions: Sessions,
         telemetry: Telemetry,
-        room: ResourceLimits,
-        put: Callable[[events.Event], None],
+        limits: ResourceLimits,
+        submit: Callable[[events.Event], None],
     ) -> None:
-        self.admission, self.streams, self.telemetry, self.put = admission, streams, telemetry, put
-        self.room, self.pool = room, Pool(room.ring_bytes)
-        self.peers = dict[Peer, None]()
-        # Of them, the oldest first: who has said nothing yet, and who has but asked for a sign of life.
-        self.strangers, self.askers = dict[Peer, None](), dict[Peer, None]()
+        self.admission = admission
+        self.sessions = sessions
+        self.telemetry = telemetry
+        self.submit = submit
+        self.pool = MemoryPool(limits.buffer_bytes)
+        self.table = ConnectionTable(sessions, telemetry, limits)
         self.server: asyncio.Server | None = None
 
-    def allow(self, room: ResourceLimits) -> None:
-        self.room = room
-        self.pool.allow(room.ring_bytes)
+    def set_limits(self, limits: ResourceLimits) -> None:
+        """Changes the limits; what is open stays."""
+        self.table.limits = limits
+        self.pool.resize(limits.buffer_bytes)
 
     async def open(self, address: str) -> None:
+        """Starts to accept connections; raises OSError where the address can't be had."""
         listening = socket.socket()
         try:
             listening.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-            listening.setsockopt(
-                socket.SOL_SOCKET, socket.SO_RCVBUF, TAKEN_BYTES // 2
-            )  # it is doubled
+            # The kernel doubles the value that is set.
+            listening.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE_BUFFER_BYTES // 2)
             listening.bind(host_and_port(address))
             self.server = await asyncio.start_server(
-                self.serve, sock=listening, backlog=AT_ONCE, limit=READ_AT_ONCE
+                self._serve, sock=listening, backlog=ACCEPTED_AT_ONCE, limit=READ_BYTES
             )
             listening.listen(BACKLOG)
         except OSError:
@@ -82,158 +81,97 @@
             raise
 
     def close(self) -> None:
+        """Accepts no more connections."""
         if self.server:
             self.server.close()
 
-    async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """A connection from its start to its end; nothing that goes wrong with it goes further."""
-        peer = Peer(writer, self.pool)
-        self.telemetry.count("taken.connections")
-        self.peers[peer] = self.strangers[peer] = None
-        self.make_room()
-        pump = asyncio.create_task(peer.outlet.pump())
-        why = "ended"
+    async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        """Serves a connection from its start to its end."""
+        connection = Connection(writer, self.pool)
+        self.telemetry.count("received.connections")
+        self.table.add(connection)
+        writing = asyncio.create_task(connection.outbound.write_forever())
+        reason = "ended"
         try:
-            while data := await reader.read(READ_AT_ONCE):
-                self.telemetry.count("taken.bytes", len(data))
-                self.read(peer, data)
+            while data := await reader.read(READ_BYTES):
+                self.telemetry.count("received.bytes", len(data))
+                self._handle_data(connection, data)
         except OSError as error:
-            why = str(error)
+            reason = str(error)
         except asyncio.CancelledError:
-            why = "the steward ends"  # nothing waits for this task: its end is the connection's
+            # Nothing waits for this task: its end is the connection's.
+            reason = "the controller ends"
         except Exception as error:
-            why = f"{type(error).__name__}: {error}"
+            reason = f"{type(error).__name__}: {error}"
             self.telemetry.count("dropped.connections")
-            self.telemetry.log.event("error", "connection_failed", why=why)
+            self.telemetry.log.event("error", "connection_failed", why=reason)
         finally:
-            pump.cancel()
-            self.end(peer, why)
-
-    def read(self, peer: Peer, data: bytes) -> None:
-        """Nothing counts that comes from a connection that was ended, or whose proxy has a new stream."""
-        peer.heard = time.monotonic()
-        self.streams.hear(peer)
-        for line in peer.cutter.feed(data):
-            if peer.is_ending():
+            writing.cancel()
+            self._end(connection, reason)
+
+    def _handle_data(self, connection: Connection, data: bytes) -> None:
+        """Handles the lines; none counts once the connection is closing or its session replaced."""
+        connection.last_heard_at = time.monotonic()
+        self.sessions.resume(connection)
+        for line in connection.line_reader.feed(data):
+            if connection.is_closing():
                 return
-            said = line if isinstance(line, Refused) else read_line(line)
-            if isinstance(said, Refused):
-                self.refuse(peer, said)
-            elif isinstance(note := self.admission.admit(peer.party, said), Refused):
-                self.refuse(peer, note)
-            else:
-                self.accept(peer, said, note)
-
-    def refuse(self, peer: Peer, what: Refused) -> None:
-        """It costs a stranger the connection, and a stream or a collector where nothing can follow it."""
-        self.telemetry.refuse(
-            what.stage.value, what.why, role=peer.party.role.value, proxy=peer.party.proxy
+            self._handle_line(connection, line)
+
+    def _handle_line(self, connection: Connection, line: bytes | Rejection) -> None:
+        message = line if isinstance(line, Rejection) else parse_line(line)
+        if isinstance(message, Rejection):
+            self._reject(connection, message)
+            return
+        event = self.admission.admit(connection.identity, message)
+        if isinstance(event, Rejection):
+            self._reject(connection, event)
+        else:
+            self._accept(connection, message, event)
+
+    def _reject(self, connection: Connection, rejection: Rejection) -> None:
+        """Costs an unidentified peer the connection, and another one where no line can follow."""
+        identity = connection.identity
+        self.telemetry.reject(
+            rejection.stage.value, rejection.reason, role=identity.role.value, proxy=identity.proxy
         )
-        if peer.is_stranger():
-            peer.outlet.turn_away(ERROR)
-        elif what.is_end:
-            # Guards against a proxy that counts as left and stays so, on a stream that is of no more use.
+        if identity.is_unidentified():
+            connection.outbound.send_and_close(ERROR_LINE)
+        elif rejection.breaks_framing:
+            # Guards against a proxy that counts as left and stays so, in a session that is of no
+            # more use.
             self.telemetry.count("dropped.unreadable")
-            peer.outlet.reset()
-            self.streams.end(peer, what.why)
-
-    def accept(self, peer: Peer, said: Said, note: events.Event | None) -> None:
-        self.telemetry.count(TAKEN[type(said)])
-        if isinstance(said, HostSaid) and said.report:
-            self.telemetry.count_report(said.report)
-        if isinstance(said, Asked):
-            self.answer(peer)
-        if isinstance(said, CollectorSaid):
-            self.replace_collector(peer)
-        if not peer.is_stranger():
-            self.take_off(peer)
-            peer.join()
-        if isinstance(note, events.ProxyJoined):
-            self.streams.join(peer, note)
-        elif note is not None:
-            self.put(note)
-
-    def answer(self, peer: Peer) -> None:
-        """One that does nothing but ask moves to the end of those that stay: the quiet ones go first."""
-        peer.outlet.send(ALIVE)
-        if not peer.is_stranger():
-            return
-        self.take_off(peer)
-        self.askers[peer] = None
-        peer.times_asked += 1
-        if peer.times_asked > MOST_ASKED:
-            self.turn_away(peer)
-        elif len(self.askers) > self.room.askers:
-            self.turn_away(next(iter(self.askers)))
-
-    def replace_collector(self, peer: Peer) -> None:
-        """One that a cut has silenced never ends by itself: it goes when its zone's collector is back.
-
-        Guards against a flood of collectors, too, that leaves proxies no room: those that never brought sums
-        go first, then the one that has been quiet for longest."""
-        late, zone = time.monotonic() - QUIET_COLLECTOR_S, peer.party.zone
-        others = [
-            old
-            for old in self.peers
-            if old is not peer
-            and old.party.role is Role.COLLECTOR
-            and old.party.zone == zone
-            and not old.is_ending()
-        ]
-        others.sort(key=lambda old: (old.party.has_told, old.heard))
-        for place, old in enumerate(others):
-            if old.heard < late or len(others) - place >= MOST_COLLECTORS:
-                self.telemetry.count("dropped.collectors")
-                old.outlet.reset()
-
-    def end(self, peer: Peer, why: str) -> None:
-        self.drop(peer)
-        self.streams.end(peer, why)
-        if peer.party.role is Role.COLLECTOR:
-            self.telemetry.log.event("info", "collector_left", why=why)
-        peer.cutter.ring.release()
-        peer.outlet.close()
-
-    def drop(self, peer: Peer) -> None:
-        """It takes no room any more."""
-        self.peers.pop(peer, None)
-        self.take_off(peer)
-
-    def take_off(self, peer: Peer) -> None:
-        """Off the lists of those that are yet to say who they are."""
-        self.strangers.pop(peer, None)
-        self.askers.pop(peer, None)
-
-    def make_room(self) -> None:
-        """Where descriptors are few those that have but asked go first, then strangers, the oldest first.
-
-        Guards against proxies back from a cut that are turned away unheard, for the room is full of their
-        own old streams: these count as left, and go before the last few strangers. Harm: one that only stood
-        still dials again."""
-        if len(self.peers) <= self.room.peers:
-            return
-        few = len(self.strangers) <= AT_ONCE
-        if not self.askers and few and (silent := self.streams.oldest_silent()):
-            self.telemetry.count("dropped.silent_streams")
-            self.drop(silent)
-            silent.outlet.reset()
-        elif waiting := self.askers or self.strangers:
-            self.turn_away(next(iter(waiting)))
-
-    def room_for_probes(self) -> int:
-        return self.room.probes + max(0, self.room.peers - len(self.peers)) // 2
-
-    def sweep(self) -> None:
-        """Ends strangers whose time is over, and looks for silent streams."""
-        self.streams.look()
-        late = time.monotonic() - STRANGER_S
-        for peer in [peer for peer in self.strangers if peer.since < late]:
-            self.turn_away(peer)
-        for peer in self.askers:
-            peer.times_asked = 0
-
-    def turn_away(self, peer: Peer) -> None:
-        """It no longer counts, though its connection's end is still to run: each is to make room for one."""
-        self.drop(peer)
-        self.telemetry.count("dropped.strangers")
-        peer.outlet.turn_away(ERROR)
+            connection.outbound.abort()
+            self.sessions.close(connection, rejection.reason)
+
+    def _accept(
+        self, connection: Connection, message: InboundMessage, event: events.Event | None
+    ) -> None:
+        self.telemetry.count(RECEIVED_COUNTERS[type(message)])
+        match message:
+            case OutcomesMessage(load_report=load_report) if load_report:
+                self.telemetry.count_load_report(load_report)
+            case LivenessCheckMessage():
+                self._answer_liveness_check(connection)
+            case CollectorMessage():
+                self.table.replace_collectors(connection)
+        if not connection.identity.is_unidentified():
+            self.table.mark_identified(connection)
+            connection.allow_long_lines()
+        if isinstance(event, events.ProxyJoined):
+            self.sessions.open(connection, event)
+        elif event is not None:
+            self.submit(event)
+
+    def _answer_liveness_check(self, connection: Connection) -> None:
+        connection.outbound.send(ALIVE_LINE)
+        if connection.identity.is_unidentified():
+            self.table.record_liveness_check(connection)
+
+    def _end(self, connection: Connection, reason: str) -> None:
+        self.table.remove(connection)
+        self.sessions.close(connection, reason)
+        if connection.identity.role is Role.COLLECTOR:
+            self.telemetry.log.event("info", "collector_left", why=reason)
+        connection.line_reader.buffer.release()
+        connection.outbound.close()
--- a/plankroute/net/proxies/outbound_buffer.py
+++ b/plankroute/net/proxies/outbound_buffer.py
@@ -1,62 +1,78 @@
-"""Relay: bytes to a peer at the pace at which it reads, holding up nobody else."""
+"""Sends bytes to a peer at the pace at which it reads, without holding up any other."""
 
 import asyncio
 
-from plankroute.net.proxies.line_codec import MOST_LINE
-from plankroute.net.proxies.ring_buffer import Pool, Ring
+from plankroute.net.proxies.line_codec import MAX_LINE_BYTES
+from plankroute.net.proxies.ring_buffer import MemoryPool, RingBuffer
 
-MOST_WAITING = (
-    2 * MOST_LINE
-)  # bytes to a slow reader: one longest message while another is under way
-WRITE_AT_ONCE = 16384  # bytes handed to the transport, which holds no more than as many again
+# For a slow reader: one longest message while another is under way.
+MAX_WAITING_BYTES = 2 * MAX_LINE_BYTES
+# A guess: handed to the transport at once, which holds no more than as many again.
+WRITE_BYTES = 16384
 
 
-class Outlet:
-    """The ring of what waits for one peer, and the task that empties it."""
+class OutboundBuffer:
+    """What waits to be written to one peer, and the task that writes it."""
 
-    def __init__(self, writer: asyncio.StreamWriter, pool: Pool) -> None:
-        self.writer, self.ring, self.wake = writer, Ring(MOST_WAITING, pool), asyncio.Event()
-        writer.transport.set_write_buffer_limits(high=WRITE_AT_ONCE)
+    def __init__(self, writer: asyncio.StreamWriter, pool: MemoryPool) -> None:
+        self.writer = writer
+        self.waiting = RingBuffer(MAX_WAITING_BYTES, pool)
+        self.has_data = asyncio.Event()
+        writer.transport.set_write_buffer_limits(high=WRITE_BYTES)
 
     def send(self, data: bytes) -> bool:
-        """Straight to the kernel where nothing waits before it: hundreds of proxies need no turn of a task
-        each."""
+        """Writes or buffers all of the data, or nothing (False): no room, or it is closing.
+
+        Data goes straight to the kernel where nothing waits before it: hundreds of proxies need no
+        switch of tasks each.
+        """
         transport = self.writer.transport
         if transport.is_closing():
             return False
         if (
-            not self.ring.size
-            and len(data) <= WRITE_AT_ONCE
+            not self.waiting.size
+            and len(data) <= WRITE_BYTES
             and not transport.get_write_buffer_size()
         ):
             self.writer.write(data)
             return True
-        if not self.ring.put(data):
+        if not self.waiting.append(data):
             return False
-        self.wake.set()
+        self.has_data.set()
         return True
 
-    async def pump(self) -> None:
+    async def write_forever(self) -> None:
+        """Writes what waits, until it is cancelled or the connection breaks."""
         try:
             while True:
-                await self.wake.wait()
-                self.wake.clear()
-                while data := self.ring.take(WRITE_AT_ONCE):
+                await self.has_data.wait()
+                self.has_data.clear()
+                while data := self.waiting.take(WRITE_BYTES):
                     self.writer.write(data)
                     await self.writer.drain()
         except OSError:
-            pass  # the reading side of the connection sees its end and tells of it
+            pass  # the reading side of the connection meets its end and reports it
+
+    def is_closing(self) -> bool:
+        """Whether the connection is being closed, by either side."""
+        return self.writer.transport.is_closing()
 
-    def reset(self) -> None:
+    def abort(self) -> None:
+        """Closes the connection at once; what waits is dropped."""
         self.writer.transport.abort()
 
-    def turn_away(self, words: bytes) -> None:
-        """Last words and the end; one that does not read what it is sent is not waited for."""
+    def send_and_close(self, last_line: bytes) -> None:
+        """Sends what waits and the last line, then closes; does not wait for a slow reader."""
         transport = self.writer.transport
-        if not transport.is_closing():
-            self.writer.write(self.ring.take(self.ring.size) + words)
-            transport.abort() if transport.get_write_buffer_size() else transport.close()
+        if transport.is_closing():
+            return
+        self.writer.write(self.waiting.take(self.waiting.size) + last_line)
+        if transport.get_write_buffer_size():
+            transport.abort()
+        else:
+            transport.close()
 
     def close(self) -> None:
-        self.ring.release()
+        """Releases the buffer and closes the connection."""
+        self.waiting.release()
         self.writer.close()
--- a/plankroute/net/proxies/sender.py
+++ b/plankroute/net/proxies/sender.py
@@ -1,31 +1,39 @@
-"""Send: messages become bytes on their proxy's stream."""
+"""Sends the core's messages to the sessions of their proxies."""
 
 from plankroute.controller.messages import Message
 from plankroute.net.process.telemetry import Telemetry
-from plankroute.net.proxies.line_codec import Writer
-from plankroute.net.proxies.sessions import Streams
+from plankroute.net.proxies.line_codec import MessageEncoder
+from plankroute.net.proxies.sessions import Sessions
 
 
-class Sender:
-    def __init__(self, streams: Streams, writer: Writer, telemetry: Telemetry) -> None:
-        self.streams, self.writer, self.telemetry = streams, writer, telemetry
+class MessageSender:
+    """Encodes messages and hands them to the connections of their proxies."""
+
+    def __init__(self, sessions: Sessions, encoder: MessageEncoder, telemetry: Telemetry) -> None:
+        self.sessions = sessions
+        self.encoder = encoder
+        self.telemetry = telemetry
 
     def send(self, message: Message) -> None:
-        peer = self.streams.by_proxy.get(message.proxy)
-        if peer is None:
+        """Sends a message; one for a proxy without a session is dropped and counted."""
+        connection = self.sessions.by_proxy.get(message.proxy)
+        if connection is None:
             self.telemetry.count("dropped.messages")
             return
-        data = self.writer.write(message)
-        if not peer.outlet.send(data):
-            # It reads nothing, or its connection is gone: what follows would rest on what it never got.
+        data = self.encoder.encode(message)
+        if not connection.outbound.send(data):
+            # The proxy reads nothing, or is gone: what follows would rest on what it never got.
             self.telemetry.count("dropped.messages")
             self.telemetry.log.event(
-                "error", "stream_overrun", proxy=message.proxy, waiting=peer.outlet.ring.size
+                "error",
+                "session_overrun",
+                proxy=message.proxy,
+                waiting=connection.outbound.waiting.size,
             )
-            peer.outlet.reset()
+            connection.outbound.abort()
             return
         if message.sequence_number is not None:
-            peer.expect(message.sequence_number)
+            connection.expect_ack(message.sequence_number)
         self.telemetry.count("sent.messages")
         self.telemetry.count("sent.lines", message.line_count())
         self.telemetry.count("sent.bytes", len(data))
--- a/plankroute/net/proxies/sessions.py
+++ b/plankroute/net/proxies/sessions.py
@@ -1,4 +1,4 @@
-"""Streams: which connection is whose, and which proxies are joined, as the core is told."""
+"""Sessions of proxies: which connection is whose, and which proxies are joined."""
 
 import time
 from collections.abc import Callable
@@ -6,81 +6,106 @@
 
 from plankroute.events import events
 from plankroute.net.process.telemetry import Telemetry
-from plankroute.net.proxies.connection import Peer
+from plankroute.net.proxies.connection import Connection
 
 
-class Streams:
-    """One a proxy: the newest. One that owes answers and says nothing counts as left until it speaks again.
+class Sessions:
+    """One for each proxy: the newest.
 
-    Guards against a cut, which ends no connection: lines written to silent streams would wait in the
-    channel's books for good, and leave no room for the proxies that come back. The connection stays, since
-    one that the steward ends is held against it. Harm: a proxy that stands still for longer gets no orders.
+    A session that owes acknowledgements and says nothing is stalled: its proxy counts as left until
+    it speaks again. Guards against a network cut, which ends no connection: lines written to
+    stalled sessions would stay in the channel's accounting for good, and leave no room for the
+    proxies that come back. The connection stays open, since one that the controller ends is held
+    against it. Harm: a proxy that stands still for longer gets no tables.
+
+    Args:
+        joined: Proxies that are joined; kept up to date here.
+        telemetry: Counters and log.
+        max_ack_s: The longest regular time until an acknowledgement, in seconds.
+        submit: Hands an event to the core.
     """
 
-    PATIENCE = (
-        3.0  # times the longest regular way: a slow channel and a stalled proxy answer within it
-    )
+    # A guess, times `max_ack_s`: a slow channel and a proxy that stood still acknowledge within it.
+    STALL_FACTOR = 3.0
 
     def __init__(
         self,
         joined: set[int],
         telemetry: Telemetry,
-        answer_s: float,
-        put: Callable[[events.Event], None],
+        max_ack_s: float,
+        submit: Callable[[events.Event], None],
     ) -> None:
-        self.joined, self.telemetry, self.put = joined, telemetry, put
-        self.silent_s = self.PATIENCE * answer_s
-        self.by_proxy: dict[int, Peer] = {}
-        self.hellos: dict[Peer, events.ProxyJoined] = {}
-
-    def join(self, peer: Peer, hello: events.ProxyJoined) -> None:
-        """A new stream may come before the old one is seen to end: that end is then no leaving."""
-        if old := self.by_proxy.get(hello.proxy):
-            self.tell_left(hello.proxy)
-            del self.hellos[old]
-            old.outlet.reset()
-        self.by_proxy[hello.proxy], self.hellos[peer] = peer, hello
+        self.joined = joined
+        self.telemetry = telemetry
+        self.submit = submit
+        self.stall_timeout_s = self.STALL_FACTOR * max_ack_s
+        self.by_proxy: dict[int, Connection] = {}
+        self.hellos: dict[Connection, events.ProxyJoined] = {}
+
+    def open(self, connection: Connection, hello: events.ProxyJoined) -> None:
+        """Opens a proxy's session.
+
+        A new one may come before the old one is seen to end: that end is then no leaving.
+        """
+        replaced = self.by_proxy.get(hello.proxy)
+        if replaced:
+            self._report_left(hello.proxy)
+            del self.hellos[replaced]
+            replaced.outbound.abort()
+        self.by_proxy[hello.proxy] = connection
+        self.hellos[connection] = hello
         self.joined.add(hello.proxy)
-        self.telemetry.log.event("info", "proxy_joined", proxy=hello.proxy, again=old is not None)
-        self.put(hello)
-
-    def end(self, peer: Peer, why: str) -> None:
-        if hello := self.hellos.pop(peer, None):
-            del self.by_proxy[hello.proxy]
-            self.telemetry.log.event("info", "proxy_left", proxy=hello.proxy, why=why)
-            self.tell_left(hello.proxy)
-
-    def tell_left(self, proxy: int) -> None:
-        """Once a stream: guards against a silent one, told already, that counts again among those that break
-        together."""
+        self.telemetry.log.event(
+            "info", "proxy_joined", proxy=hello.proxy, again=replaced is not None
+        )
+        self.submit(hello)
+
+    def close(self, connection: Connection, reason: str) -> None:
+        """Closes the session of a connection, if it has one."""
+        hello = self.hellos.pop(connection, None)
+        if hello is None:
+            return
+        del self.by_proxy[hello.proxy]
+        self.telemetry.log.event("info", "proxy_left", proxy=hello.proxy, why=reason)
+        self._report_left(hello.proxy)
+
+    def _report_left(self, proxy: int) -> None:
+        """Reports a proxy as left, once a session.
+
+        Guards against a stalled session, reported already, that counts again among those that break
+        together.
+        """
         if proxy in self.joined:
             self.joined.discard(proxy)
-            self.put(events.ProxyLeft(proxy))
+            self.submit(events.ProxyLeft(proxy))
 
-    def look(self) -> None:
-        """Finds the silent ones."""
+    def check_stalled(self) -> None:
+        """Reports the proxies of sessions that have stalled as left."""
         now = time.monotonic()
-        for proxy, peer in self.by_proxy.items():
-            if proxy in self.joined and peer.owes_for(now) > self.silent_s:
-                self.telemetry.count("dropped.silent")
+        for proxy, connection in self.by_proxy.items():
+            if proxy in self.joined and connection.silent_s(now) > self.stall_timeout_s:
+                self.telemetry.count("sessions.stalled")
                 self.telemetry.log.event(
-                    "warning", "stream_silent", proxy=proxy, owes=len(peer.party.marks)
+                    "warning",
+                    "session_stalled",
+                    proxy=proxy,
+                    unacknowledged=len(connection.identity.unacknowledged),
                 )
-                self.tell_left(proxy)
-
-    def oldest_silent(self) -> Peer | None:
-        """Of those that count as left, whoever has been silent for longest."""
-        silent = (
-            peer
-            for peer, hello in self.hellos.items()
-            if hello.proxy not in self.joined and not peer.is_ending()
+                self._report_left(proxy)
+
+    def longest_stalled(self) -> Connection | None:
+        """Returns, of the stalled sessions, the connection that has been silent for longest."""
+        stalled = (
+            connection
+            for connection, hello in self.hellos.items()
+            if hello.proxy not in self.joined and not connection.is_closing()
         )
-        return min(silent, key=lambda peer: peer.heard, default=None)
+        return min(stalled, key=lambda connection: connection.last_heard_at, default=None)
 
-    def hear(self, peer: Peer) -> None:
-        """A silent stream speaks again: its proxy is joined anew, on what it holds."""
-        hello = self.hellos.get(peer)
-        if hello and hello.proxy not in self.joined and not peer.is_ending():
+    def resume(self, connection: Connection) -> None:
+        """Bytes came: if the session was stalled its proxy joins anew, with the tables it holds."""
+        hello = self.hellos.get(connection)
+        if hello and hello.proxy not in self.joined and not connection.is_closing():
             self.joined.add(hello.proxy)
-            self.telemetry.log.event("info", "stream_back", proxy=hello.proxy)
-            self.put(replace(hello, fresh=False))
+            self.telemetry.log.event("info", "session_resumed", proxy=hello.proxy)
+            self.submit(replace(hello, fresh=False))
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -1,4 +1,4 @@
-"""What ends while something is still owed: streams, watches, probes, strangers, and the steward itself.
+"""What ends while something is still owed: sessions, watches, probes, strangers, and the steward itself.
 
 Stand-ins hold at a named byte or event and go on when told."""
 
@@ -17,8 +17,8 @@
 from plankroute.events import events
 from plankroute.events.events import HealthCheckOutcome
 from plankroute.net.discovery import watch as discovery_module
-from plankroute.net.process.clock import patience
-from plankroute.net.proxies import listener
+from plankroute.net.process.clock import tolerant_timeout
+from plankroute.net.proxies import connection_table
 
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 DRAINED = orjson.dumps(listing(43, "s-1", whole=False, state="DRAINING")) + b"\n"
@@ -31,14 +31,14 @@
 
 def told(stage: Stage) -> list[events.Event]:
     """Every note that streams put from here on."""
-    streams, out = stage.service.listener.streams, list[events.Event]()
-    put = streams.put
+    sessions, out = stage.service.listener.sessions, list[events.Event]()
+    submit = sessions.submit
 
     def keep(note: events.Event) -> None:
         out.append(note)
-        put(note)
+        submit(note)
 
-    streams.put = keep
+    sessions.submit = keep
     return out
 
 
@@ -46,11 +46,11 @@
     """A proxy's stream that owes an answer and counts as left."""
     proxy = await stage.dial(HELLO)
     await proxy.hear("replace=1")
-    streams = stage.service.listener.streams
-    streams.silent_s = -1.0
-    stage.service.listener.sweep()
-    streams.silent_s = 60.0
-    assert 3 not in streams.joined
+    sessions = stage.service.listener.sessions
+    sessions.stall_timeout_s = -1.0
+    stage.service.listener.table.sweep()
+    sessions.stall_timeout_s = 60.0
+    assert 3 not in sessions.joined
     return proxy
 
 
@@ -77,7 +77,7 @@
         else:
             proxy.writer.close()
         peers = 1 if "replaced" in how else 0
-        await stage.until(lambda: len(stage.service.listener.peers) == peers)
+        await stage.until(lambda: len(stage.service.listener.table.connections) == peers)
         kinds = [type(note).__name__ for note in notes_told]
         twice = how.startswith("speaks")
         assert kinds.count("ProxyLeft") == 1 + twice
@@ -95,14 +95,14 @@
         watch = await stage.agent.watches.get()
         old = await stage.dial(HELLO)
         await old.hear("replace=1")
-        publisher, lists = stage.service.router.controller.publisher, stage.counts["taken.lists"]
+        publisher, lists = stage.service.core.controller.publisher, stage.counts["received.lists"]
         if end == "not yet":
             old.reader._transport.pause_reading()  # type: ignore[attr-defined]
         else:
             old.writer.close() if end == "fin" else old.writer.transport.abort()
             await stage.until(lambda: not publisher.zone_of_proxy)
         stage.agent.tell(watch, DRAINED)
-        await stage.until(lambda: stage.counts["taken.lists"] > lists)
+        await stage.until(lambda: stage.counts["received.lists"] > lists)
         new = await stage.dial(RETURNED)
         first = await new.hear()
         assert "replace=1" in first and "s-2:" in first and "s-1:" not in first
@@ -112,17 +112,17 @@
 
 def test_what_waited_for_the_old_stream_is_neither_written_to_the_new_one_nor_lost_from_the_books():
     async def scene(stage: Stage) -> None:
-        publisher = stage.service.router.controller.publisher
+        publisher = stage.service.core.controller.publisher
         old = await stage.dial(HELLO)
         await old.hear("replace=1")
-        peer = stage.service.listener.streams.by_proxy[3]
+        connection = stage.service.listener.sessions.by_proxy[3]
         old.reader._transport.pause_reading()  # type: ignore[attr-defined]
-        while peer.outlet.send(b"push stamp=" + b"9" * 50000 + b"\r\n"):
+        while connection.outbound.send(b"push stamp=" + b"9" * 50000 + b"\r\n"):
             await asyncio.sleep(0)
-        assert peer.outlet.ring.size > 1 << 20 and publisher.channel.unacknowledged
+        assert connection.outbound.waiting.size > 1 << 20 and publisher.channel.unacknowledged
         new = await stage.dial(RETURNED)
         bound = await new.hear()
-        assert "replace=1" in bound and peer.outlet.ring.size == 0
+        assert "replace=1" in bound and connection.outbound.waiting.size == 0
         new.say(f"ack node=3 nonce={bound.split('stamp=')[1]} latency=1", "probe")
         assert await new.hear() == "alive"  # nothing of the old one came before it
         await stage.until(lambda: publisher.channel.unacknowledged == 0)
@@ -135,20 +135,20 @@
 
     async def scene(stage: Stage) -> None:
         fleet, publisher = (
-            stage.service.router.controller.host_table,
-            stage.service.router.controller.publisher,
+            stage.service.core.controller.host_table,
+            stage.service.core.controller.publisher,
         )
         for _ in range(40):
             await (await stage.dial(RETURNED)).hear()
         assert (
             list(publisher.zone_of_proxy) == [3]
-            and len(stage.service.listener.streams.by_proxy) == 1
+            and len(stage.service.listener.sessions.by_proxy) == 1
         )
         assert fleet.disconnect_alarm_us == 0
         for proxy in range(4, 8):
             await (await stage.dial(HELLO.replace("=3", f"={proxy}"))).hear("replace=1")
-        for peer in list(stage.service.listener.peers):
-            peer.outlet.reset()
+        for connection in list(stage.service.listener.table.connections):
+            connection.outbound.abort()
         await stage.until(lambda: fleet.disconnect_alarm_us > 0)  # that is what it is for
 
     play(scene)
@@ -159,57 +159,58 @@
 
 def test_a_strangers_hello_that_arrives_as_it_is_turned_away_counts_for_nothing():
     async def scene(stage: Stage) -> None:
-        listens = stage.service.listener
+        table = stage.service.listener.table
         late = await stage.dial()
         late.writer.write(HELLO[:-1].encode())
-        await stage.until(lambda: stage.counts["taken.bytes"] == len(HELLO) - 1)
-        (peer,) = listens.peers
-        peer.since -= listener.STRANGER_S
+        await stage.until(lambda: stage.counts["received.bytes"] == len(HELLO) - 1)
+        (connection,) = table.connections
+        connection.connected_at -= connection_table.IDENTIFICATION_TIMEOUT_S
         late.writer.write(b"1\r\n")
-        listens.sweep()
+        table.sweep()
         assert await late.hear() == "error" and await late.is_ended()
-        assert not listens.streams.by_proxy and not listens.peers
+        assert not table.sessions.by_proxy and not table.connections
         assert await (await stage.dial(HELLO)).hear("replace=1")
 
     play(scene)
 
 
-def test_proxies_that_return_find_room_where_their_own_silent_streams_have_taken_it():
+def test_proxies_that_return_find_room_where_their_own_stall_timeout_streams_have_taken_it():
     async def scene(stage: Stage) -> None:
-        listens = stage.service.listener
+        table = stage.service.listener.table
         olds = [await stage.dial(HELLO.replace("=3", f"={proxy}")) for proxy in range(6)]
         for old in olds:
             await old.hear("replace=1")
-        listens.room, listens.streams.silent_s = replace(listens.room, peers=6), -1.0
-        listens.sweep()
-        listens.streams.silent_s = 60.0
+        table.limits = replace(table.limits, connections=6)
+        table.sessions.stall_timeout_s = -1.0
+        table.sweep()
+        table.sessions.stall_timeout_s = 60.0
         news = list[Caller]()
         for proxy in range(6):
             news.append(
                 await stage.dial()
             )  # its first word comes later than room has to be found for it
-            await stage.until(lambda: len(listens.strangers) == 1)
+            await stage.until(lambda: len(table.unidentified) == 1)
             news[-1].say(RETURNED.replace("=3", f"={proxy}"))
             assert await news[-1].hear("replace=1")
-        assert len(listens.peers) <= 6 and len(listens.streams.joined) == 6
+        assert len(table.connections) <= 6 and len(table.sessions.joined) == 6
 
     play(scene)
 
 
 def test_collectors_without_end_leave_room_and_the_one_that_brings_sums():
     async def scene(stage: Stage) -> None:
-        listens = stage.service.listener
+        table = stage.service.listener.table
         collector = await stage.dial("agent locality=a")
         sums = "outcomes locality=a endpoint=s-1 total=9 errors=0 rtt=41.7 interval=1000"
         collector.say(sums)
-        await stage.until(lambda: stage.counts["taken.host"] == 1)
+        await stage.until(lambda: stage.counts["received.outcomes"] == 1)
         flood = [await stage.dial("agent locality=a") for _ in range(100)]
         await stage.until(
-            lambda: stage.counts["taken.collector"] == 101 and len(listens.peers) < 10
+            lambda: stage.counts["received.collector"] == 101 and len(table.connections) < 10
         )
         assert await flood[0].is_ended()
         collector.say(sums)
-        await stage.until(lambda: stage.counts["taken.host"] == 2)
+        await stage.until(lambda: stage.counts["received.outcomes"] == 2)
         assert await (await stage.dial(HELLO)).hear("replace=1")
 
     play(scene)
@@ -299,11 +300,11 @@
 @pytest.mark.parametrize("fault", FAULTS)
 def test_a_watch_that_goes_wrong_costs_its_time_out_and_a_pause(fault, monkeypatch):
     """Guards against a watch that is kept for good while it brings nothing, such as one that drips."""
-    monkeypatch.setattr(discovery_module, "QUIET_S", 0.2)
+    monkeypatch.setattr(discovery_module, "IDLE_TIMEOUT_S", 0.2)
     log = list[bytes]()
 
     async def scene(stage: Stage, held: Held) -> None:
-        stage.service.discovery.allow(stage.service.configuration.room.list_bytes)
+        stage.service.discovery.set_max_list_bytes(stage.service.configuration.limits.list_bytes)
         proxy = await stage.dial(HELLO)
         await proxy.hear("replace=1")
         assert await held.asked.get() == "/catalog/members?watch=1&after=41"
@@ -330,7 +331,7 @@
         took.append(time.monotonic() - began)
 
     play_fault(fault, scene, [])
-    longest = discovery_module.QUIET_S + 1.5 * discovery_module.AGAIN_S
+    longest = discovery_module.IDLE_TIMEOUT_S + 1.5 * discovery_module.RETRY_PAUSE_S
     assert longest < 3.5 and took[0] < longest + 1.0 < 6.0
 
 
@@ -401,7 +402,7 @@
             )
             prober.check(0)
             await act(stage, await asked.get())
-            await stage.until(lambda: not prober.busy)
+            await stage.until(lambda: not prober.running)
 
     play(scene)
     return results
@@ -439,7 +440,7 @@
         began = time.monotonic()
         await drip(writer, b"HTTP/1.1 200 OK\r\nContent-Length: 4000\r\n\r\n", b"x")
         limits = stage.service.prober.limits
-        assert time.monotonic() - began < limits.dial_s + limits.quiet_s + 1.0
+        assert time.monotonic() - began < limits.connect_timeout_s + limits.idle_timeout_s + 1.0
 
     (result,) = play_probe(act)
     assert result.outcome is HealthCheckOutcome.TIMED_OUT
@@ -451,7 +452,7 @@
     async def act(stage: Stage, writer: asyncio.StreamWriter) -> None:
         limits = stage.service.prober.limits
         time.sleep(
-            1.2 * (limits.dial_s + limits.quiet_s)
+            1.2 * (limits.connect_timeout_s + limits.idle_timeout_s)
         )  # the loop stands still, timers become due
         answer(writer)
 
@@ -462,11 +463,13 @@
 @pytest.mark.parametrize(
     "pause_s, after_s, in_time", [(0.0, 0.4, False), (0.6, 0.05, True), (0.6, 0.9, False)]
 )
-def test_patience_is_as_long_again_as_its_own_timer_was_late(pause_s, after_s, in_time):
+def test_a_tolerant_timeout_is_extended_by_as_much_as_its_own_timer_was_late(
+    pause_s, after_s, in_time
+):
     async def run() -> bool:
         loop, came = asyncio.get_running_loop(), asyncio.Event()
         try:
-            async with patience(0.2):
+            async with tolerant_timeout(0.2):
                 time.sleep(pause_s)
                 loop.call_later(after_s, came.set)
                 await came.wait()
--- a/tests/test_messages.py
+++ b/tests/test_messages.py
@@ -9,7 +9,7 @@
 from plankroute.controller.messages import Message, TableUpdate
 from plankroute.events import commands, events
 from plankroute.events.commands import RetryPolicy
-from plankroute.net.proxies.line_codec import MOST_PARTS, ROWS_A_PART, Writer
+from plankroute.net.proxies.line_codec import MAX_MESSAGE_PARTS, ROWS_PER_PART, MessageEncoder
 
 PRODUCTS = ("view", "edit", "pay")
 
@@ -104,7 +104,7 @@
         self.message_builder, self.replay, self.writer = (
             MessageBuilder(len(PRODUCTS)),
             Replay(),
-            Writer(PRODUCTS, uid),
+            MessageEncoder(PRODUCTS, uid),
         )
 
     def join(self, number: int, proxy: Proxy, fresh: bool) -> None:
@@ -122,7 +122,7 @@
             self.replay.obey(order)
         messages = self.message_builder.build(batch)
         for message in messages:
-            assert proxies[message.proxy].read(self.writer.write(message)) == message.line_count()
+            assert proxies[message.proxy].read(self.writer.encode(message)) == message.line_count()
         for number, bound in self.replay.bound.items():
             for product in bound:
                 wanted = {
@@ -200,7 +200,7 @@
         commands.BindProxy(0, 1),
         commands.RequestAcknowledgement(905),
     )
-    assert Writer(PRODUCTS, uid).write(message) == (
+    assert MessageEncoder(PRODUCTS, uid).encode(message) == (
         b"push replace=1 rows=s-00000007:3,s-00000008:1.5 gate=1 again=1 stamp=905\r\n"
     )
     assert (
@@ -249,14 +249,16 @@
 
 
 def test_what_does_not_fit_one_message_goes_on_in_parts():
-    lines = {host: 1.0 for host in range(2 * ROWS_A_PART + 1)}
-    data = Writer(PRODUCTS, uid).write(Message(0, [TableUpdate((0, 1, 2), True, lines)], {}, 5))
+    lines = {host: 1.0 for host in range(2 * ROWS_PER_PART + 1)}
+    data = MessageEncoder(PRODUCTS, uid).encode(
+        Message(0, [TableUpdate((0, 1, 2), True, lines)], {}, 5)
+    )
     assert [b"part=1" in line for line in data.split(b"\r\n")] == [True, True, False, False]
     proxy = Proxy()
     assert proxy.read(data) == len(lines) + 2
     assert len(proxy.rows["edit"]) == len(lines) and proxy.messages == 1
     many = Message(
-        0, [TableUpdate((0,), routes={host: 1.0}) for host in range(MOST_PARTS + 1)], {}, 6
+        0, [TableUpdate((0,), routes={host: 1.0}) for host in range(MAX_MESSAGE_PARTS + 1)], {}, 6
     )
-    proxy.read(Writer(PRODUCTS, uid).write(many))
+    proxy.read(MessageEncoder(PRODUCTS, uid).encode(many))
     assert proxy.messages == 3 and len(proxy.rows["view"]) == len(lines)
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -17,20 +17,34 @@
 from plankroute.events.events import HealthCheckOutcome, ListKind, LoadReport
 from plankroute.events.settings import SettingsError
 from plankroute.net.discovery import http_client as http
-from plankroute.net.discovery.catalogue import EntrySaid, ListSaid, Unread, list_from, read_list
+from plankroute.net.discovery.catalogue import (
+    EndpointList,
+    ListEntry,
+    UnreadableEntry,
+    list_from,
+    parse_list,
+)
 from plankroute.net.discovery.directory import Directory
-from plankroute.net.discovery.http_client import Answer, Limits, fetch
-from plankroute.net.probing.prober import HealthChecker, judge_call
+from plankroute.net.discovery.http_client import CallLimits, Response, fetch
+from plankroute.net.probing.prober import HealthChecker, outcome_of
 from plankroute.net.process.clock import Clock, Timers
 from plankroute.net.process.configuration import parse_configuration
-from plankroute.net.process.errors import CallFailed, Reached, Refused
-from plankroute.net.process.resource_limits import FILES, resource_limits_for
-from plankroute.net.process.router import Router
+from plankroute.net.process.core_runner import CoreRunner
+from plankroute.net.process.errors import CallFailure, CallProgress, Rejection
+from plankroute.net.process.resource_limits import PROCESS_DESCRIPTORS, resource_limits_for
 from plankroute.net.process.telemetry import EventLog, Telemetry
-from plankroute.net.proxies import line_codec as wire
-from plankroute.net.proxies.admission import Admission, Party, Role
-from plankroute.net.proxies.line_reader import LineCutter
-from plankroute.net.proxies.ring_buffer import Pool, Ring
+from plankroute.net.proxies.admission import Admission, PeerIdentity, Role
+from plankroute.net.proxies.line_codec import MessageEncoder, parse_line, parse_load_report
+from plankroute.net.proxies.line_reader import LineReader
+from plankroute.net.proxies.messages import (
+    AckMessage,
+    CollectorMessage,
+    DemandMessage,
+    HelloMessage,
+    LivenessCheckMessage,
+    OutcomesMessage,
+)
+from plankroute.net.proxies.ring_buffer import MemoryPool, RingBuffer
 
 LINES = [
     b"agent locality=a",
@@ -75,12 +89,12 @@
 
 @pytest.mark.parametrize("seed", range(20))
 def test_a_ring_is_a_queue_of_bytes_that_keeps_its_bound(seed):
-    chance, pool = random.Random(seed), Pool(6000)
-    ring, plain = Ring(5000, pool), bytearray()
+    chance, pool = random.Random(seed), MemoryPool(6000)
+    ring, plain = RingBuffer(5000, pool), bytearray()
     for _ in range(400):
         if chance.random() < 0.55:
             piece = bytes(chance.choices(b"ab\n", k=chance.randrange(1500)))
-            if ring.put(piece):
+            if ring.append(piece):
                 plain += piece
             else:
                 assert len(plain) + len(piece) > 4096  # a power of two that fits the pool
@@ -90,12 +104,12 @@
             del plain[:count]
         skip = chance.randrange(ring.size + 1)
         assert ring.size == len(plain) and ring.find(10, skip) == plain.find(10, skip)
-        assert 0 <= pool.left == 6000 - len(ring.data)
+        assert 0 <= pool.available == 6000 - len(ring.data)
 
 
-def cut(pieces: list[bytes], most: int = 200, pool: int = 1 << 20) -> list[bytes | Refused]:
-    cutter = LineCutter(most, Pool(pool))
-    return [line for piece in pieces for line in cutter.feed(piece)]
+def cut(pieces: list[bytes], most: int = 200, pool: int = 1 << 20) -> list[bytes | Rejection]:
+    reader = LineReader(most, MemoryPool(pool))
+    return [line for piece in pieces for line in reader.feed(piece)]
 
 
 def test_lines_are_the_same_wherever_the_bytes_are_cut():
@@ -106,7 +120,7 @@
     assert [line for line in whole if isinstance(line, bytes)][:6] == [
         line + b"\r" for line in LINES
     ]
-    assert sum(isinstance(line, Refused) for line in whole) == 2 and whole[-1] == b"probe\r"
+    assert sum(isinstance(line, Rejection) for line in whole) == 2 and whole[-1] == b"probe\r"
     for at in range(len(text)):
         assert cut([text[:at], text[at:]]) == whole
     assert cut([text[at : at + 1] for at in range(len(text))]) == whole
@@ -116,20 +130,20 @@
     long, pool = b"z" * 5000 + b"\r\n", 2048
     assert [
         type(line) for line in cut([long, b"probe\r\n", long, b"probe\r\n"], 1 << 20, pool)
-    ] == [Refused, bytes, Refused, bytes]
+    ] == [Rejection, bytes, Rejection, bytes]
 
 
 def test_lines_are_read_as_the_protocol_has_them():
-    said = [wire.read_line(line + b"\r") for line in LINES]
+    said = [parse_line(line + b"\r") for line in LINES]
     assert said == [
-        wire.CollectorSaid("a"),
-        wire.Asked(),
-        wire.HelloSaid(3, "a", 21.5, True),
-        wire.HostSaid(
+        CollectorMessage("a"),
+        LivenessCheckMessage(),
+        HelloMessage(3, "a", 21.5, True),
+        OutcomesMessage(
             "a", "s-5be2a07c", 212, 3, 41700, SECOND, LoadReport(in_flight=7.0, utilization=0.61)
         ),
-        wire.AppliedSaid(3, 905, 310400),
-        wire.TrafficSaid(3, "lookup", 19, 0, SECOND),
+        AckMessage(3, 905, 310400),
+        DemandMessage(3, "lookup", 19, 0, SECOND),
     ]
 
 
@@ -156,12 +170,12 @@
     ],
 )
 def test_what_can_not_be_read_is_refused(line):
-    assert isinstance(wire.read_line(line + b"\r"), Refused)
-    assert isinstance(wire.read_line(LINES[0]), Refused)  # no CR
+    assert isinstance(parse_line(line + b"\r"), Rejection)
+    assert isinstance(parse_line(LINES[0]), Rejection)  # no CR
 
 
 @pytest.mark.parametrize(
-    "line, is_end",
+    "line, breaks_framing",
     [
         (b"demand node=3 route=lookup total=nan errors=0 interval=1", False),
         (b"ack node=3 nonce= latency=1", False),
@@ -177,67 +191,74 @@
         (b"GET / HTTP/1.1", True),
     ],
 )
-def test_a_spoilt_message_is_told_from_a_connection_of_no_more_use(line, is_end):
-    refused = wire.read_line(line + b"\r")
-    assert isinstance(refused, Refused) and refused.is_end is is_end
+def test_a_spoilt_message_is_told_from_a_connection_of_no_more_use(line, breaks_framing):
+    refused = parse_line(line + b"\r")
+    assert isinstance(refused, Rejection) and refused.breaks_framing is breaks_framing
 
 
 def test_a_load_that_can_not_be_is_not_believed_and_the_sums_beside_it_are():
     line = LINES[3].replace(b"inflight:7", b"inflight:38654705664")
-    said = wire.read_line(line + b"\r")
+    said = parse_line(line + b"\r")
     assert (
-        isinstance(said, wire.HostSaid)
+        isinstance(said, OutcomesMessage)
         and said.attempts == 212
-        and said.report == LoadReport(utilization=0.61)
+        and said.load_report == LoadReport(utilization=0.61)
     )
 
 
 @pytest.mark.parametrize("memory_mb, descriptors", [(32, 256), (64, 256), (80, 384), (192, 1024)])
 def test_what_is_held_at_most_follows_from_the_limits(memory_mb, descriptors):
-    room = resource_limits_for(memory_mb, descriptors)
-    assert room.ring_bytes + 10 * room.list_bytes < memory_mb << 20
-    assert room.peers >= 0.8 * descriptors and room.peers + room.probes + FILES < descriptors
-    assert 0 < room.askers < room.peers / 8
+    limits = resource_limits_for(memory_mb, descriptors)
+    assert limits.buffer_bytes + 10 * limits.list_bytes < memory_mb << 20
+    assert (
+        limits.connections >= 0.8 * descriptors
+        and limits.connections + limits.health_checks + PROCESS_DESCRIPTORS < descriptors
+    )
+    assert 0 < limits.liveness_checkers < limits.connections / 8
 
 
 def test_a_pool_that_shrinks_takes_nothing_away_and_grows_nothing_until_enough_came_back():
-    pool = Pool(4096)
-    ring = Ring(8192, pool)
-    assert ring.put(bytes(4000))
-    pool.allow(2048)
-    assert len(ring.take(4000)) == 4000 and pool.left == 2048 and not ring.put(bytes(2049))
-    pool.allow(8192)
-    assert ring.put(bytes(8000))
+    pool = MemoryPool(4096)
+    ring = RingBuffer(8192, pool)
+    assert ring.append(bytes(4000))
+    pool.resize(2048)
+    assert len(ring.take(4000)) == 4000 and pool.available == 2048 and not ring.append(bytes(2049))
+    pool.resize(8192)
+    assert ring.append(bytes(8000))
 
 
 @pytest.mark.parametrize("seed", range(30))
 def test_generated_garbage_is_refused_or_read_and_never_raises(seed):
     chance, admission = random.Random(seed), Admission(named("s-5be2a07c"), 9, 8 * SECOND)
-    party = Party()
+    identity = PeerIdentity()
     for _ in range(300):
         line = bytearray(chance.choice(LINES) + b"\r")
         for _ in range(chance.randrange(4)):
             line[chance.randrange(len(line))] = chance.choice(b"0=, :-.eEnx\xff\r")
         end = chance.randrange(len(line) + 1) if chance.random() < 0.3 else len(line)
-        said = wire.read_line(bytes(line[:end]))
-        if not isinstance(said, Refused):
-            admission.admit(party, said)
+        said = parse_line(bytes(line[:end]))
+        if not isinstance(said, Rejection):
+            admission.admit(identity, said)
 
 
-def admitted(admission: Admission, party: Party, *lines: bytes) -> list:
-    return [admission.admit(party, wire.read_line(line + b"\r")) for line in lines]
+def admitted(admission: Admission, identity: PeerIdentity, *lines: bytes) -> list:
+    return [admission.admit(identity, parse_line(line + b"\r")) for line in lines]
 
 
 def test_a_proxy_and_a_collector_may_each_say_what_is_theirs():
-    admission, proxy, collector = Admission(named("s-5be2a07c"), 9, 8 * SECOND), Party(), Party()
+    admission, proxy, collector = (
+        Admission(named("s-5be2a07c"), 9, 8 * SECOND),
+        PeerIdentity(),
+        PeerIdentity(),
+    )
     assert admitted(admission, proxy, LINES[2]) == [events.ProxyJoined(3, 0, 21.5, True)]
     admission.joined.add(3)
-    proxy.marks.extend((904, 905, 906))
+    proxy.unacknowledged.extend((904, 905, 906))
     assert admitted(admission, proxy, LINES[4], LINES[5]) == [
         events.Acknowledged(3, 905, 310400),
         events.ProxyRequestStats(3, 0, 19, 0, SECOND),
     ]
-    assert list(proxy.marks) == [906]
+    assert list(proxy.unacknowledged) == [906]
     assert admitted(admission, collector, LINES[0]) == [None] and collector.role is Role.COLLECTOR
     assert admitted(admission, collector, LINES[3], LINES[5]) == [
         events.HostRequestStats(
@@ -271,10 +292,10 @@
     ],
 )
 def test_what_a_peer_may_not_say_is_refused(first, line):
-    admission, party = Admission(named("s-5be2a07c"), 9, 8 * SECOND), Party()
+    admission, identity = Admission(named("s-5be2a07c"), 9, 8 * SECOND), PeerIdentity()
     for known in [first] if first else []:
-        admitted(admission, party, known)
-    assert isinstance(admitted(admission, party, line)[0], Refused)
+        admitted(admission, identity, known)
+    assert isinstance(admitted(admission, identity, line)[0], Rejection)
 
 
 def test_hosts_keep_their_ids_and_what_can_not_be_read_leaves_them_as_they_were():
@@ -316,8 +337,8 @@
     ],
 )
 def test_what_is_no_list_is_refused(raw):
-    assert isinstance(list_from(raw), Refused) and isinstance(
-        read_list(b'{"rev":1,"all":tr'), Refused
+    assert isinstance(list_from(raw), Rejection) and isinstance(
+        parse_list(b'{"rev":1,"all":tr'), Rejection
     )
 
 
@@ -338,7 +359,7 @@
     ],
 )
 def test_a_wrong_entry_is_unread(wrong):
-    assert isinstance(list_from(listing(member("s-1") | wrong)).entries[0], Unread)
+    assert isinstance(list_from(listing(member("s-1") | wrong)).entries[0], UnreadableEntry)
 
 
 def test_the_clock_never_steps_and_a_host_starts_once():
@@ -351,22 +372,28 @@
         .entries[0]
         .started_us
     )
-    assert clock.now() - started == 2 * SECOND
-    before, wall[0], steady[0] = clock.now(), wall[0] - 3600 * 10**9, 10**9
-    assert clock.now() == before + SECOND
+    assert clock.now_us() - started == 2 * SECOND
+    before, wall[0], steady[0] = clock.now_us(), wall[0] - 3600 * 10**9, 10**9
+    assert clock.now_us() == before + SECOND
     again, new = known.apply_list(
         list_from(
             listing(member("s-1", boot_ms=boot_ms), member("s-2", boot_ms=wall[0] / 1e6 - 500))
         )
     )[0].entries
-    assert again.started_us == started and clock.now() - new.started_us == SECOND // 2
+    assert again.started_us == started and clock.now_us() - new.started_us == SECOND // 2
 
 
 def test_alarms_come_in_order_and_not_too_soon():
-    alarms = Timers()
+    timers = Timers()
     for due, token in ((30, 1), (10, 2), (30, 3), (20, 4)):
-        alarms.set(due, token)
-    assert (alarms.next_us(), alarms.due(9), alarms.due(20), alarms.due(99), alarms.next_us()) == (
+        timers.schedule(due, token)
+    assert (
+        timers.next_due_us(),
+        timers.pop_due(9),
+        timers.pop_due(20),
+        timers.pop_due(99),
+        timers.next_due_us(),
+    ) == (
         10,
         [],
         [2, 4],
@@ -384,43 +411,48 @@
 
 
 def test_load_reports_of_probes():
-    assert wire.read_report(
+    assert parse_load_report(
         b"TEXT inflight=7, queue=2, util=0.61, latency_ms=3.5, other=1\n"
     ) == LoadReport(in_flight=7.0, queue_length=2.0, utilization=0.61, service_time_us=3500.0)
-    assert wire.read_report(b"TEXT inflight=-7, queue=nan") == LoadReport()
-    assert wire.read_report(b"<html>") is None
+    assert parse_load_report(b"TEXT inflight=-7, queue=nan") == LoadReport()
+    assert parse_load_report(b"<html>") is None
 
 
 def test_load_reports_by_the_settings_names_and_by_the_protocols():
     named = [b"rif:7,q:2,busy:0.61,lat_ms:3.5", b"inflight:7,queue:2,util:0.61,latency_ms:3.5"]
     for said in [
-        wire.read_line(LINES[3].rpartition(b"=")[0] + b"=" + figures + b"\r") for figures in named
+        parse_line(LINES[3].rpartition(b"=")[0] + b"=" + figures + b"\r") for figures in named
     ]:
-        assert said.report == LoadReport(
+        assert said.load_report == LoadReport(
             in_flight=7.0, queue_length=2.0, utilization=0.61, service_time_us=3500.0
         )
-    wrong = wire.read_line(LINES[3].replace(b"inflight:7", b"inflight:x,queue:-1,eps:inf") + b"\r")
-    assert wrong.report == LoadReport(utilization=0.61) and wrong.attempts == 212
-    assert wire.read_report(b"TEXT rif=7, busy=0.61") == LoadReport(in_flight=7.0, utilization=0.61)
+    wrong = parse_line(LINES[3].replace(b"inflight:7", b"inflight:x,queue:-1,eps:inf") + b"\r")
+    assert wrong.load_report == LoadReport(utilization=0.61) and wrong.attempts == 212
+    assert parse_load_report(b"TEXT rif=7, busy=0.61") == LoadReport(
+        in_flight=7.0, utilization=0.61
+    )
     telemetry = Telemetry(EventLog("n", lambda line: None))
     for report in (LoadReport(), LoadReport(in_flight=0.0)):
-        telemetry.count_report(report)
-    assert telemetry.counts == {"dropped.reports": 1, "taken.reports": 1}
+        telemetry.count_load_report(report)
+    assert telemetry.counts == {"dropped.load_reports": 1, "received.load_reports": 1}
 
 
 @pytest.mark.parametrize(
     "answer, outcome",
     [
-        (Answer(200, b"", 0), HealthCheckOutcome.ANSWERED),
-        (Answer(503, b"", 0), HealthCheckOutcome.ERROR),
-        (CallFailed(Reached.NOTHING, "", timed_out=True), HealthCheckOutcome.UNREACHABLE),
-        (CallFailed(Reached.NOTHING, "refused"), HealthCheckOutcome.UNREACHABLE),
-        (CallFailed(Reached.ASKED, "reset"), HealthCheckOutcome.ERROR),
-        (CallFailed(Reached.ASKED, "", timed_out=True), HealthCheckOutcome.TIMED_OUT),
+        (Response(200, b"", 0), HealthCheckOutcome.ANSWERED),
+        (Response(503, b"", 0), HealthCheckOutcome.ERROR),
+        (
+            CallFailure(CallProgress.NOT_CONNECTED, "", timed_out=True),
+            HealthCheckOutcome.UNREACHABLE,
+        ),
+        (CallFailure(CallProgress.NOT_CONNECTED, "refused"), HealthCheckOutcome.UNREACHABLE),
+        (CallFailure(CallProgress.REQUEST_SENT, "reset"), HealthCheckOutcome.ERROR),
+        (CallFailure(CallProgress.REQUEST_SENT, "", timed_out=True), HealthCheckOutcome.TIMED_OUT),
     ],
 )
 def test_probe_outcomes(answer, outcome):
-    assert judge_call(answer)[0] is outcome
+    assert outcome_of(answer) is outcome
 
 
 def answering(data: bytes, stay: bool = False):
@@ -438,11 +470,13 @@
     return serve
 
 
-def call(data: bytes, stay: bool = False) -> Answer | CallFailed:
-    async def run() -> Answer | CallFailed:
+def call(data: bytes, stay: bool = False) -> Response | CallFailure:
+    async def run() -> Response | CallFailure:
         async with await asyncio.start_server(answering(data, stay), "127.0.0.1", 0) as server:
             address = "127.0.0.1:%d" % server.sockets[0].getsockname()[1]
-            limits = Limits(dial_s=5.0, quiet_s=0.2 if stay else 5.0, max_body_bytes=100)
+            limits = CallLimits(
+                connect_timeout_s=5.0, idle_timeout_s=0.2 if stay else 5.0, max_body_bytes=100
+            )
             return await fetch(address, "/ping", limits)
 
     return asyncio.run(run())
@@ -450,28 +484,30 @@
 
 def test_a_call_says_how_far_it_came():
     ok = b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nTEXT"
-    assert call(ok) == Answer(200, b"TEXT", ANY)
+    assert call(ok) == Response(200, b"TEXT", ANY)
     chunked = (
         b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nTE\r\n2\r\nXT\r\n0\r\n\r\n"
     )
-    assert call(chunked) == Answer(200, b"TEXT", ANY)
+    assert call(chunked) == Response(200, b"TEXT", ANY)
     for data, reached in (
-        (b"", Reached.ASKED),
-        (b"junk\r\n\r\n", Reached.ASKED),
-        (ok[:-2], Reached.BODY),
-        (ok.replace(b"4", b"400") + b"x" * 400, Reached.BODY),
+        (b"", CallProgress.REQUEST_SENT),
+        (b"junk\r\n\r\n", CallProgress.REQUEST_SENT),
+        (ok[:-2], CallProgress.RESPONSE_BODY),
+        (ok.replace(b"4", b"400") + b"x" * 400, CallProgress.RESPONSE_BODY),
     ):
         failed = call(data)
-        assert isinstance(failed, CallFailed) and failed.reached is reached and not failed.timed_out
+        assert (
+            isinstance(failed, CallFailure) and failed.progress is reached and not failed.timed_out
+        )
     silent = call(b"HTTP/1.1 200", stay=True)
-    assert isinstance(silent, CallFailed) and silent.timed_out
+    assert isinstance(silent, CallFailure) and silent.timed_out
 
 
 def test_a_far_host_is_no_slow_one(monkeypatch):
     """The way there and back is as long as the connection took to come up: 3 s of the 10 since asking."""
     monkeypatch.setattr(http, "monotonic", iter([0.0, 3.0, 13.0]).__next__)
     answer = call(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
-    assert isinstance(answer, Answer) and answer.served_us == 7_000_000
+    assert isinstance(answer, Response) and answer.served_us == 7_000_000
 
 
 def test_probes_begin_one_after_another():
@@ -481,11 +517,11 @@
         telemetry = Telemetry(EventLog("n", lambda line: None))
         directory = Directory(Clock(), ("a",), ("m",), ("p",))
         directory.apply_list(
-            ListSaid(
+            EndpointList(
                 1,
                 True,
                 tuple(
-                    EntrySaid(f"s-{n}", "127.0.0.1:9", "a", "m", 0, READY, 1.0, 0.0)
+                    ListEntry(f"s-{n}", "127.0.0.1:9", "a", "m", 0, READY, 1.0, 0.0)
                     for n in range(3)
                 ),
             )
@@ -495,10 +531,10 @@
         )
         for host in range(3):
             prober.check(host)
-        assert len(prober.busy) == 1 and len(prober.waiting) == 2
-        while prober.waiting or prober.busy:
+        assert len(prober.running) == 1 and len(prober.waiting) == 2
+        while prober.waiting or prober.running:
             await asyncio.sleep(0)
-        assert telemetry.counts["sent.probes"] == 3
+        assert telemetry.counts["sent.health_checks"] == 3
 
     asyncio.run(run())
 
@@ -506,21 +542,25 @@
 def test_a_note_that_fails_takes_no_timer_along():
     async def run() -> None:
         telemetry, message_builder = Telemetry(EventLog("n", lambda line: None)), MessageBuilder(1)
-        router = Router(
-            Controller(start_facts(), 7), message_builder, Clock(), telemetry, gather_us=0
+        runner = CoreRunner(
+            Controller(start_facts(), 7),
+            message_builder,
+            Clock(),
+            telemetry,
+            min_batch_interval_us=0,
         )
-        router.put(full(entry(100)))
-        router.flush()
-        tokens = sorted(token for _, _, token in router.alarms.heap)
+        runner.submit(full(entry(100)))
+        runner.flush()
+        tokens = sorted(token for _, _, token in runner.timers.heap)
         assert tokens == [Controller.TURN, Controller.PULSE]
-        router.alarms.heap = [(0, *rest) for _, *rest in router.alarms.heap]
-        router.put(events.HostRequestStats(100, 0, None, 0, 1.0, SECOND, None))  # type: ignore[arg-type]
-        router.flush()
-        assert telemetry.counts["core.failed"] == 1 and not router.alarms.heap
+        runner.timers.heap = [(0, *rest) for _, *rest in runner.timers.heap]
+        runner.submit(events.HostRequestStats(100, 0, None, 0, 1.0, SECOND, None))  # type: ignore[arg-type]
+        runner.flush()
+        assert telemetry.counts["core.failed"] == 1 and not runner.timers.heap
         for _ in range(2):  # the note was for two parts
-            router.put(events.ProxyLeft(1))
-            router.flush()
-        assert sorted(token for _, _, token in router.alarms.heap) == tokens
+            runner.submit(events.ProxyLeft(1))
+            runner.flush()
+        assert sorted(token for _, _, token in runner.timers.heap) == tokens
 
     asyncio.run(run())
 
@@ -546,14 +586,15 @@
         Telemetry(EventLog("n1", lambda line: None)),
         [],
     )
-    router = Router(
+    runner = CoreRunner(
         Controller(start_facts(warmup_us=SECOND), 7), MessageBuilder(1), Clock(), telemetry, 1000
     )
-    router.send, router.forget = sent.append, known.forget
-    core, sizes, now = router.controller, [], 10**15
+    runner.outputs.send_message = sent.append
+    runner.outputs.forget_host = known.forget
+    core, sizes, now = runner.controller, [], 10**15
 
     def work(*batch: events.Event) -> None:
-        router.work_on(
+        runner.run_batch(
             now, [*batch, *map(events.TimerExpired, (Controller.PULSE, Controller.TURN))]
         )
 
@@ -573,7 +614,7 @@
             events.ProxyJoined(gone, 0, 9.0, False),
             events.HostRequestStats(known.ids[f"s-{n + 5}"], 0, 9, 0, 2e5, SECOND, None),
         )
-        publisher, message_builder = core.publisher, router.message_builder
+        publisher, message_builder = core.publisher, runner.message_builder
         sizes.append(
             [
                 len(each)
@@ -629,11 +670,11 @@
         named(*[f"s-{n}" for n in range(40)]),
         start_facts(bind_reinstates_hosts=True, warmup_us=SECOND),
     )
-    router = Router(
+    runner = CoreRunner(
         Controller(facts, 7), MessageBuilder(1), Clock(), Telemetry(EventLog("n", print)), 1000
     )
     now, over = 10**15, []
-    channel = router.controller.publisher.channel
+    channel = runner.controller.publisher.channel
 
     def send(message) -> None:
         over.append(
@@ -643,11 +684,11 @@
         )
 
     def work(*batch: events.Event) -> None:
-        router.work_on(
+        runner.run_batch(
             now, [*batch, *map(events.TimerExpired, (Controller.PULSE, Controller.TURN))]
         )
 
-    router.send = send
+    runner.outputs.send_message = send
     first = [member(f"s-{n}", boot_ms=5.0 * (n % 3)) for n in range(40)]
     work(known.apply_list(list_from(listing(*first)), ListKind.CACHED)[0])
     work(*[events.ProxyJoined(proxy, 0, 9.0, proxy % 2 == 0) for proxy in range(6)])
@@ -662,7 +703,7 @@
             events.ProxyLeft(gone),
             events.ProxyJoined(gone, 0, 9.0, n % 4 == 0),
         )
-    assert len(over) > 100 and min(over) >= 0 and router.telemetry.counts["core.failed"] == 0
+    assert len(over) > 100 and min(over) >= 0 and runner.telemetry.counts["core.failed"] == 0
     assert sum(over) < 5 * len(over)  # they hold little more than that
 
 
@@ -709,32 +750,38 @@
     known = Directory(
         Clock(lambda: 10**18, lambda: 10**18),
         configuration.zones,
-        configuration.kinds,
-        configuration.products,
+        configuration.machine_types,
+        configuration.request_classes,
     )
     admission = Admission(known, 60 * stewards, 8 * SECOND)
     telemetry = Telemetry(EventLog("n", lambda line: None))
-    router = Router(
+    runner = CoreRunner(
         Controller(configuration.facts, configuration.seed),
         MessageBuilder(3),
         Clock(),
         telemetry,
         1000,
     )
-    writer, out, now = wire.Writer(configuration.products, known.uid), list[str](), 10**15
-    router.send = lambda message: out.append(f"{message.proxy} {writer.write(message).decode()}")
+    encoder, out, now = (
+        MessageEncoder(configuration.request_classes, known.uid),
+        list[str](),
+        10**15,
+    )
+    runner.outputs.send_message = lambda message: out.append(
+        f"{message.proxy} {encoder.encode(message).decode()}"
+    )
 
     def host(n: int, state: str = "SERVING", boot_ms: float = 0) -> dict:
         return member(name(f"h{n:03}"), state, zones[n * 7 % 3], boot_ms, model=kinds[n * 5 % 2])
 
     def work(*batch: events.Event) -> None:
-        router.work_on(
+        runner.run_batch(
             now, [*batch, *map(events.TimerExpired, (Controller.PULSE, Controller.TURN))]
         )
 
     def say(*lines: str) -> list[events.Event]:
-        party, said = Party(), [wire.read_line(f"{line}\r".encode()) for line in lines]
-        return [note for line in said if (note := admission.admit(party, line)) is not None]
+        identity, said = PeerIdentity(), [parse_line(f"{line}\r".encode()) for line in lines]
+        return [note for line in said if (note := admission.admit(identity, line)) is not None]
 
     work(known.apply_list(list_from(listing(*[host(n) for n in range(200)])), ListKind.CACHED)[0])
     for proxy in range(60):
@@ -751,12 +798,12 @@
         work(told, *say(f"agent locality={zones[0]}", *sums))
         work(
             *(
-                events.Acknowledged(p, router.controller.publisher.channel.sequence_number, 1)
+                events.Acknowledged(p, runner.controller.publisher.channel.sequence_number, 1)
                 for p in range(60)
             )
         )
-    assert router.telemetry.counts["core.failed"] == 0
-    held = {host for table in router.controller.publisher.tables for host in table.published}
+    assert runner.telemetry.counts["core.failed"] == 0
+    held = {host for table in runner.controller.publisher.tables for host in table.published}
     assert 24 <= len(held) < 150 if stewards > 1 else len(held) == 200  # else a part of the hosts
     return out
 
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -25,8 +25,8 @@
 )
 
 from plankroute.net.process.resource_limits import resource_limits_for
-from plankroute.net.proxies import listener
-from plankroute.net.proxies.connection import Peer
+from plankroute.net.proxies import connection_table
+from plankroute.net.proxies.connection import Connection
 
 
 def test_a_proxy_joins_in_pieces_is_bound_and_answers_its_marks():
@@ -35,7 +35,7 @@
         assert await asker.hear() == "alive"
         proxy = await stage.dial()
         proxy.writer.write(HELLO[:9].encode())
-        await stage.until(lambda: stage.counts["taken.bytes"] == len("probe\r\n" + HELLO[:9]))
+        await stage.until(lambda: stage.counts["received.bytes"] == len("probe\r\n" + HELLO[:9]))
         proxy.say(HELLO[9:])
         bound = await proxy.hear("replace=1")
         assert all(f"s-{n}:" in bound for n in (1, 2, 3)) and "gate=1 again=1" in bound
@@ -50,9 +50,9 @@
         )
         assert await proxy.hear("alive") == "alive"
         await stage.until(
-            lambda: stage.service.router.controller.publisher.channel.unacknowledged == 0
+            lambda: stage.service.core.controller.publisher.channel.unacknowledged == 0
         )
-        assert stage.counts["dropped.read"] == 1 and stage.counts["dropped.admit"] == 3
+        assert stage.counts["rejected.parsing"] == 1 and stage.counts["rejected.admission"] == 3
 
     play(scene)
 
@@ -117,7 +117,7 @@
             os.kill(os.getpid(), signal.SIGHUP)
             await stage.until(lambda: stage.counts["dropped.configurations"] == 7)
             assert elsewhere.asked.empty() and not old.transport.is_closing()
-            await reload(stage, orjson.dumps(moved), "taken.configurations")
+            await reload(stage, orjson.dumps(moved), "received.configurations")
             assert await elsewhere.asked.get() == "/catalog/members?watch=1&after=41"
             watch = await elsewhere.watches.get()
             elsewhere.tell(
@@ -125,9 +125,9 @@
             )
             assert "s-1:0" in await proxy.hear("rows")  # on the same stream
             await stage.until(lambda: old.write(b"1\r\n\n\r\n") or old.transport.is_closing())
-            assert stage.service.listener.room == resource_limits_for(192, 600)
+            assert stage.service.listener.table.limits == resource_limits_for(192, 600)
             await reload(
-                stage, orjson.dumps(moved), "taken.configurations"
+                stage, orjson.dumps(moved), "received.configurations"
             )  # the same again: nothing moves
             assert elsewhere.asked.empty() and stage.agent.asked.qsize() == 1
 
@@ -146,34 +146,34 @@
         new = await stage.dial(HELLO.replace("cold=1", "cold=0"))
         await new.hear("replace=1")
         assert await old.is_ended()
-        await stage.until(lambda: len(stage.service.listener.peers) == 1)
-        assert list(stage.service.router.controller.publisher.zone_of_proxy) == [3]
-        assert 3 in stage.service.listener.streams.by_proxy
+        await stage.until(lambda: len(stage.service.listener.table.connections) == 1)
+        assert list(stage.service.core.controller.publisher.zone_of_proxy) == [3]
+        assert 3 in stage.service.listener.sessions.by_proxy
         new.writer.transport.abort()
-        await stage.until(lambda: not stage.service.router.controller.publisher.zone_of_proxy)
+        await stage.until(lambda: not stage.service.core.controller.publisher.zone_of_proxy)
 
     play(scene)
 
 
-def test_a_silent_stream_counts_as_left_until_it_speaks_again():
+def test_a_stall_timeout_stream_counts_as_left_until_it_speaks_again():
     async def scene(stage: Stage) -> None:
         proxy = await stage.dial(HELLO)
         bound = await proxy.hear("replace=1")
-        publisher, streams = (
-            stage.service.router.controller.publisher,
-            stage.service.listener.streams,
+        publisher, sessions = (
+            stage.service.core.controller.publisher,
+            stage.service.listener.sessions,
         )
-        stage.service.listener.sweep()
+        stage.service.listener.table.sweep()
         assert publisher.zone_of_proxy and publisher.channel.unacknowledged
-        streams.silent_s = -1.0
-        stage.service.listener.sweep()
+        sessions.stall_timeout_s = -1.0
+        stage.service.listener.table.sweep()
         await stage.until(lambda: not publisher.zone_of_proxy)
         assert publisher.channel.unacknowledged == 0 and not proxy.writer.transport.is_closing()
-        stage.service.listener.sweep()
-        streams.silent_s = 60.0
+        stage.service.listener.table.sweep()
+        sessions.stall_timeout_s = 60.0
         proxy.say(f"ack node=3 nonce={bound.split('stamp=')[1]} latency=1")
         assert await proxy.hear("replace=1")
-        assert stage.counts["dropped.silent"] == 1 and list(publisher.zone_of_proxy) == [3]
+        assert stage.counts["sessions.stalled"] == 1 and list(publisher.zone_of_proxy) == [3]
 
     play(scene)
 
@@ -199,28 +199,30 @@
             rude + b"\r\n" + HELLO.encode() + b"\r\n"
         )  # what follows no longer counts
         assert await caller.hear("error") == "error"
-        await stage.until(lambda: not stage.service.listener.peers)
-        assert not stage.service.listener.streams.by_proxy
+        await stage.until(lambda: not stage.service.listener.table.connections)
+        assert not stage.service.listener.sessions.by_proxy
 
     play(scene)
 
 
 def test_strangers_have_their_time_and_who_has_asked_stays():
     async def scene(stage: Stage) -> None:
-        listens = stage.service.listener
+        table = stage.service.listener.table
         asker, silent, half = await stage.dial("probe"), await stage.dial(), await stage.dial()
         half.writer.write(HELLO[:20].encode())
         await asker.hear("alive")
-        await stage.until(lambda: len(listens.peers) == 3 and stage.counts["taken.bytes"] == 27)
-        listens.sweep()
-        assert len(listens.strangers) == 2  # in time yet
-        for peer in listens.peers:
-            peer.since -= listener.STRANGER_S
+        await stage.until(
+            lambda: len(table.connections) == 3 and stage.counts["received.bytes"] == 27
+        )
+        table.sweep()
+        assert len(table.unidentified) == 2  # in time yet
+        for connection in table.connections:
+            connection.connected_at -= connection_table.IDENTIFICATION_TIMEOUT_S
         half.writer.write(
             HELLO[20:24].encode()
         )  # the time counts from connecting, not from the last byte
-        await stage.until(lambda: stage.counts["taken.bytes"] == 31)
-        listens.sweep()
+        await stage.until(lambda: stage.counts["received.bytes"] == 31)
+        table.sweep()
         assert await silent.hear() == await half.hear() == "error"
         assert await silent.is_ended() and await half.is_ended()
         asker.say("probe")
@@ -231,24 +233,24 @@
 
 def test_hundreds_of_strangers_leave_room_for_proxies_and_collectors():
     async def scene(stage: Stage) -> None:
-        listens = stage.service.listener
-        listens.room = replace(listens.room, peers=60, askers=3)
+        table = stage.service.listener.table
+        table.limits = replace(table.limits, connections=60, liveness_checkers=3)
         collector, proxy = await stage.dial("agent locality=a"), await stage.dial(HELLO)
         await proxy.hear("replace=1")
         silent = await asyncio.gather(*[stage.dial() for _ in range(200)])
         asking = await asyncio.gather(*[stage.dial("probe") for _ in range(50)])
-        await stage.until(lambda: stage.counts["taken.asked"] == 50)
+        await stage.until(lambda: stage.counts["received.liveness_check"] == 50)
         late, hello = await stage.dial(), HELLO.replace("=3", "=4")
         late.writer.write(hello[:20].encode())
         await stage.until(
-            lambda: len(listens.peers) <= 60 and stage.counts["taken.connections"] == 253
+            lambda: len(table.connections) <= 60 and stage.counts["received.connections"] == 253
         )
         late.say(hello[20:], "probe")
         assert await late.hear("alive") == "alive"
-        assert len(listens.askers) <= 3 and await asking[0].hear() == "alive"
+        assert len(table.liveness_checkers) <= 3 and await asking[0].hear() == "alive"
         assert await silent[0].hear() == "error"
         collector.say("outcomes locality=a endpoint=s-1 total=9 errors=0 rtt=41.7 interval=1000")
-        await stage.until(lambda: stage.counts["taken.host"] == 1)
+        await stage.until(lambda: stage.counts["received.outcomes"] == 1)
         proxy.say("probe")
         assert await proxy.hear("alive") == "alive"
 
@@ -260,15 +262,15 @@
 )
 def test_a_stream_that_goes_on_unreadable_ends_and_the_proxys_new_one_is_taken(torn):
     async def scene(stage: Stage) -> None:
-        publisher = stage.service.router.controller.publisher
+        publisher = stage.service.core.controller.publisher
         proxy, collector = await stage.dial(HELLO), await stage.dial("agent locality=a")
         await proxy.hear("replace=1")
         good = "demand node=3 route=lookup total=1 errors=0 interval=1000"
         proxy.say("ack node=3 nonce=nan latency=1", good.replace("=1 ", "=-3 "), good)
         await stage.until(
-            lambda: stage.counts["taken.traffic"] == 1
+            lambda: stage.counts["received.demand"] == 1
         )  # what is spoilt costs itself alone
-        assert publisher.zone_of_proxy and stage.counts["dropped.read"] == 2
+        assert publisher.zone_of_proxy and stage.counts["rejected.parsing"] == 2
         for caller in (proxy, collector):
             caller.writer.write(torn)
             assert await caller.is_ended()
@@ -282,11 +284,11 @@
 def test_a_collector_that_fell_silent_goes_when_its_zones_is_back(monkeypatch):
     async def scene(stage: Stage) -> None:
         old, other = await stage.dial("agent locality=a"), await stage.dial("agent locality=b")
-        await stage.until(lambda: stage.counts["taken.collector"] == 2)
+        await stage.until(lambda: stage.counts["received.collector"] == 2)
         await stage.dial("agent locality=a")
-        await stage.until(lambda: stage.counts["taken.collector"] == 3)
+        await stage.until(lambda: stage.counts["received.collector"] == 3)
         assert stage.counts["dropped.collectors"] == 0  # heard of a moment ago
-        monkeypatch.setattr(listener, "QUIET_COLLECTOR_S", -1.0)
+        monkeypatch.setattr(connection_table, "COLLECTOR_TIMEOUT_S", -1.0)
         await stage.dial("agent locality=a")
         assert await old.is_ended()
         other.say("probe")
@@ -300,13 +302,13 @@
         still, proxy = await stage.dial(HELLO), await stage.dial(HELLO.replace("=3", "=4"))
         await still.hear("replace=1")
         await proxy.hear("replace=1")
-        peer: Peer = stage.service.listener.streams.by_proxy[3]
+        connection: Connection = stage.service.listener.sessions.by_proxy[3]
         still.reader._transport.pause_reading()  # type: ignore[attr-defined]
-        while peer.outlet.send(b"x" * 60000 + b"\r\n"):
+        while connection.outbound.send(b"x" * 60000 + b"\r\n"):
             await asyncio.sleep(0)
         proxy.say("probe")
         assert await proxy.hear("alive") == "alive"
-        assert peer.outlet.ring.size > 1 << 20
+        assert connection.outbound.waiting.size > 1 << 20
 
     play(scene)
 
@@ -315,8 +317,8 @@
     log: list[bytes] = []
 
     async def scene(stage: Stage) -> None:
-        router = stage.service.router
-        for part, name in ((router.controller, "deliver"), (router.message_builder, "build")):
+        runner = stage.service.core
+        for part, name in ((runner.controller, "deliver"), (runner.message_builder, "build")):
             works = getattr(part, name)
             monkeypatch.setattr(part, name, lambda *_: 1 // 0)
             proxy = await stage.dial(HELLO)
@@ -370,21 +372,21 @@
 
     async def scene(stage: Stage) -> None:
         prober = stage.service.prober
-        prober.at_once = lambda: 1
+        prober.capacity = lambda: 1
         stage.service.directory.hosts[
             1
         ].address = stage.service.configuration.discovery  # it answers without an end
         for host in (0, 1, 2, 2):
             prober.check(host)
         assert (
-            len(prober.busy) == 1
+            len(prober.running) == 1
             and len(prober.waiting) == 2
-            and stage.counts["dropped.probes"] == 1
+            and stage.counts["dropped.health_checks"] == 1
         )
-        await stage.until(lambda: stage.counts["sent.probes"] == 2)
+        await stage.until(lambda: stage.counts["sent.health_checks"] == 2)
 
     stage = play(scene, log)
-    assert stage.counts["sent.probes"] == 2 and not stage.service.prober.waiting
+    assert stage.counts["sent.health_checks"] == 2 and not stage.service.prober.waiting
     assert not [line for line in log if b"loop_failed" in line]
 
 
