--- a/plankroute/net/peers/shared_discovery.py
+++ b/plankroute/net/peers/shared_discovery.py
@@ -82,8 +82,8 @@
         )
         self.name, self.group, self.call_facts, self.seed = facts.name, facts.group, call, seed
         self.held, self.server = EndpointList(), LinkServer(self)
-        self.ahead = DrainNoticeOverlay(self.directory, self.telemetry, self.put)
-        self.over = self.ahead.over
+        self.ahead = DrainNoticeOverlay(self.directory, self.telemetry, self.submit)
+        self.list_filter = self.ahead.over
         self.clients: dict[str, LinkClient] = {}
         self.incoming: dict[str, ListReceiver] = {}
         self.partial: ListReceiver | None = (
@@ -123,7 +123,7 @@
                 await asyncio.sleep(OPEN_EVERY_S)
         self.telemetry.log.event("info", "links_open", address=self.listen)
 
-    async def watch_always(self) -> None:
+    async def watch_forever(self) -> None:
         """The beats of who follows whom; calls to the service are a task of their own."""
         while True:
             events: list[FollowEvent] = [TickDue()]
@@ -187,15 +187,15 @@
 
     # What the service and others say
 
-    def hear(self) -> None:
+    def record_contact(self) -> None:
         """A watch that goes on from the revision held says that the service knows it."""
-        super().hear()
+        super().record_contact()
         if self.roles.is_asking and self.held.revision >= 0:
             self.work([ListUpdated(self.held.revision, True)])
 
-    def take(self, text: bytes) -> bool:
+    def accept_list(self, text: bytes) -> bool:
         """The service's own word."""
-        if not super().take(text):
+        if not super().accept_list(text):
             return False
         self.believe(text, by_service=True)
         return True
@@ -220,14 +220,14 @@
                 None if isinstance(revision, int) else "no list"
             )  # what it goes on to say may explain it
         self.anew.discard(name)
-        if not Discovery.take(self, text):
+        if not Discovery.accept_list(self, text):
             return "no list"
         self.believe(text, by_service=False)
         return None
 
     def hear_frame(self, name: str, frame: Frame) -> str | None:
         """Why the link is of no more use, if so."""
-        incoming = self.incoming.setdefault(name, ListReceiver(self.limits.most_body))
+        incoming = self.incoming.setdefault(name, ListReceiver(self.limits.max_body_bytes))
         objection: str | None = None
         match frame:
             case ListStart(revision, whole, size, check, offset):
@@ -242,7 +242,10 @@
                     objection = self.take_from(name, text)
             case Heartbeat(revision, age_us):
                 if not self.roles.is_watching and age_us < NEVER_HEARD_US:
-                    self.has_word, self.heard_us = True, max(self.heard_us, now_us() - age_us)
+                    self.has_contact, self.last_contact_us = (
+                        True,
+                        max(self.last_contact_us, now_us() - age_us),
+                    )
                     self.mend_age()
                 self.work([HeartbeatReceived(name, revision, age_us)])
             case HealthCheckResults():
