--- a/plankroute/cli/state.py
+++ b/plankroute/cli/state.py
@@ -13,7 +13,7 @@
     WarmStartRequest,
     encode_frame,
 )
-from plankroute.net.peers.links import read_views
+from plankroute.net.peers.link_frames import read_views
 from plankroute.net.process.address import host_and_port
 from plankroute.net.process.file_store import Disk
 from plankroute.warm_start.codec import MOST_BYTES, Unusable, read_file, read_view
--- a/plankroute/cold_start/__init__.py
+++ b/plankroute/cold_start/__init__.py
@@ -1,2 +1,4 @@
-"""A start of many stewards at once that spares the list service and the hosts: decisions without I/O or
-clocks."""
+"""A start of many controllers at once that spares the list service and the hosts.
+
+Cores without I/O, clocks or random module: events and the time in, commands out.
+"""
--- a/plankroute/cold_start/endpoint_list.py
+++ b/plankroute/cold_start/endpoint_list.py
@@ -1,110 +1,116 @@
-"""The list of hosts as it is held and handed on: whole, or what has changed since a revision. Decides nothing
-about whom to believe (`follow.py`)."""
+"""The endpoint list as it is held and handed on: complete, or what has changed since a revision.
+
+Decides nothing about whom to believe (`watcher_election.py`).
+"""
 
 from collections import deque
-from typing import Any
-from zlib import crc32
+from collections.abc import Iterable
+from dataclasses import dataclass
+from typing import Any, TypedDict
 
 import orjson
 
-MOST_CHANGES = (
-    4096  # kept: more than an hour of releases; who is further behind gets the whole list
-)
+# Kept: more than an hour of releases; who is further behind gets the complete list. A guess.
+MAX_CHANGES = 4096
+NO_REVISION = -1  # no list yet
 DELETED = "DELETED"
-CLOSED = frozenset({"DRAINING", DELETED})
+CLOSED_STATES = frozenset({"DRAINING", DELETED})
+
+# An entry as the list service wrote it: only `uid` and `state` are read here.
+Entry = dict[str, Any]
+
+
+class RawList(TypedDict):
+    """A list as the service writes it; its form was checked by who read it."""
+
+    rev: int
+    all: bool
+    targets: list[Any]
+
+
+@dataclass(frozen=True, slots=True)
+class Change:
+    """An entry that was new, or other than before, at a revision."""
+
+    revision: int
+    entry: Entry
 
 
 class EndpointList:
-    """Entries as the list service wrote them, by name; a whole list has the same bytes wherever it is
-    held."""
+    """Entries by host name; a complete list has the same bytes wherever it is held."""
 
     def __init__(self) -> None:
-        self.revision = -1  # -1: no list yet
-        self.entries: dict[str, dict[str, Any]] = {}
-        self.changes: deque[tuple[int, dict[str, Any]]] = deque(maxlen=MOST_CHANGES)
-        self.complete_from = -1  # changes after that revision are all there
-        self.cached: tuple[int, bytes] | None = None
-
-    def take(self, raw: dict[str, Any]) -> None:
-        """A list that this steward has come to believe; its form was checked."""
-        targets = [
+        self.revision = NO_REVISION
+        self.entries: dict[str, Entry] = {}
+        self.changes: deque[Change] = deque(maxlen=MAX_CHANGES)
+        self.complete_since = NO_REVISION  # changes after that revision are all there
+        self.encoded: bytes | None = None  # cached until the next list
+
+    def apply(self, raw: RawList) -> None:
+        """Take a list that this controller has come to believe."""
+        entries = [
             item
             for item in raw["targets"]
             if isinstance(item, dict) and isinstance(item.get("uid"), str)
         ]
         if raw["all"]:
-            self.entries = {item["uid"]: item for item in targets}
-            self.changes.clear()
-            self.complete_from = raw["rev"]
-        for item in targets if not raw["all"] else ():
-            if len(self.changes) == MOST_CHANGES:
-                self.complete_from = self.changes[0][0]
-            self.changes.append((raw["rev"], item))
-            self.entries[item["uid"]] = item
-            if item.get("state") == DELETED:
-                del self.entries[item["uid"]]
-        self.revision, self.cached = raw["rev"], None
-
-    def whole(self) -> bytes:
-        if self.cached is None:
-            entries = [self.entries[uid] for uid in sorted(self.entries)]
-            self.cached = (
-                self.revision,
-                orjson.dumps(
-                    {"rev": self.revision, "all": True, "targets": entries},
-                    option=orjson.OPT_SORT_KEYS,
-                ),
+            self.replace_all(raw["rev"], entries)
+        else:
+            self.apply_changes(raw["rev"], entries)
+        self.revision = raw["rev"]
+        self.encoded = None
+
+    def replace_all(self, revision: int, entries: Iterable[Entry]) -> None:
+        """Take a complete list."""
+        self.entries = {entry["uid"]: entry for entry in entries}
+        self.changes.clear()
+        self.complete_since = revision
+
+    def apply_changes(self, revision: int, entries: Iterable[Entry]) -> None:
+        """Take the changes of one revision."""
+        for entry in entries:
+            if len(self.changes) == MAX_CHANGES:
+                self.complete_since = self.changes[0].revision
+            self.changes.append(Change(revision, entry))
+            self.entries[entry["uid"]] = entry
+            if entry.get("state") == DELETED:
+                del self.entries[entry["uid"]]
+
+    def complete(self) -> bytes:
+        """The complete list as JSON."""
+        if self.encoded is None:
+            entries = [self.entries[host] for host in sorted(self.entries)]
+            self.encoded = orjson.dumps(
+                {"rev": self.revision, "all": True, "targets": entries},
+                option=orjson.OPT_SORT_KEYS,
             )
-        return self.cached[1]
+        return self.encoded
+
+    def changes_since(self, revision: int) -> bytes | None:
+        """What brings a list of that revision up to this one, as JSON.
 
-    def since(self, revision: int) -> bytes | None:
-        """What brings a list of that revision up to this one; None where only the whole list does."""
-        if not self.complete_from <= revision <= self.revision:
+        None where only the complete list does.
+        """
+        if not self.knows_changes_since(revision):
             return None
-        targets = list(self.newest(revision).values())
-        return orjson.dumps({"rev": self.revision, "all": False, "targets": targets})
-
-    def newest(self, revision: int) -> dict[str, dict[str, Any]]:
-        return {item["uid"]: item for at, item in self.changes if at > revision}
-
-    def closings(self, revision: int) -> list[dict[str, Any]]:
-        """Entries that close a host since then; where changes are not all known, all that drain now."""
-        known = self.complete_from <= revision <= self.revision
-        newest = self.newest(revision) if known else self.entries
-        return [item for item in newest.values() if item.get("state") in CLOSED]
-
-
-class ListReceiver:
-    """A list that comes in parts; where its link broke it goes on at the next one that has the same."""
-
-    def __init__(self, most: int) -> None:
-        self.most, self.data = most, bytearray()
-        self.revision, self.size, self.check, self.is_whole = -1, 0, 0, False
-
-    def partial(self) -> tuple[int, int, int] | None:
-        """Revision, check sum and bytes that are there of a whole list, for who can go on with it."""
-        return (self.revision, self.check, len(self.data)) if self.is_whole and self.data else None
-
-    def begin(
-        self, revision: int, is_whole: bool, size: int, check: int, offset: int
-    ) -> str | None:
-        """Why it can't be taken, if so."""
-        if not 0 <= size <= self.most:
-            return "too large"
-        if offset and (revision, check, offset) != self.partial():
-            return "goes on with another one"
-        if not offset:
-            self.data = bytearray()
-        self.revision, self.is_whole, self.size, self.check = revision, is_whole, size, check
-        return None
-
-    def add(self, part: bytes) -> tuple[bytes | None, str | None]:
-        """The list, once it is there; or why it can't be one."""
-        if len(self.data) + len(part) > self.size:
-            self.data = bytearray()
-            return None, "more than was announced"
-        self.data += part
-        if len(self.data) < self.size:
-            return None, None
-        data, self.data = bytes(self.data), bytearray()
-        return (data, None) if crc32(data) == self.check else (None, "spoilt on its way")
+        entries = list(self.newest_since(revision).values())
+        return orjson.dumps({"rev": self.revision, "all": False, "targets": entries})
+
+    def knows_changes_since(self, revision: int) -> bool:
+        """Whether all changes after that revision are there."""
+        return self.complete_since <= revision <= self.revision
+
+    def newest_since(self, revision: int) -> dict[str, Entry]:
+        """By host name, the newest change after that revision."""
+        return {
+            change.entry["uid"]: change.entry
+            for change in self.changes
+            if change.revision > revision
+        }
+
+    def closed_since(self, revision: int) -> list[Entry]:
+        """Entries that close a host since then; where changes are missing, all that drain now."""
+        entries = self.entries
+        if self.knows_changes_since(revision):
+            entries = self.newest_since(revision)
+        return [entry for entry in entries.values() if entry.get("state") in CLOSED_STATES]
--- a/plankroute/cold_start/watcher_election.py
+++ b/plankroute/cold_start/watcher_election.py
@@ -1,411 +1,345 @@
-"""Who of the stewards watches the list service for the others, whom this one follows, and when it leaves
-them.
-
-Decides by its own view of who is there; two views that differ cost a few calls more, and no drain."""
-
-from collections.abc import Iterable
-from dataclasses import dataclass, field
-from enum import Enum
-
-import xxhash
+"""Which controllers watch the list service, whom this one follows, and when it leaves them.
+
+Watchers are elected by rendezvous hashing over the live controllers, without a vote. Decides by its
+own view of who is there; two views that differ cost a few requests more, and no drain.
+"""
+
+from enum import Enum, auto
+
+from plankroute.cold_start.election_messages import (
+    Command,
+    Connect,
+    Disconnect,
+    ElectionFacts,
+    Event,
+    FrameReceived,
+    HeartbeatReceived,
+    LinkClosed,
+    ListUpdated,
+    LiveControllersChanged,
+    ReportTransition,
+    SetWatch,
+    TickDue,
+    Transition,
+)
+from plankroute.cold_start.followed_links import Finding, FollowedLink, compare_links
+from plankroute.cold_start.rendezvous import rendezvous_order
 
 SECOND_US = 1_000_000
-READY_PART = 0.8  # of the stated stewards: with so many in view the watchers are the same ones for nearly all
-SETTLE_US = 4 * SECOND_US  # without them: a group of hundreds has come together by then
-QUIET_US = 3 * SECOND_US // 2  # in company, and nobody new for so long: this is all there is
-AVOID_US = (
-    10 * SECOND_US
-)  # who was left: two patiences of membership, which tells by then if it is gone
-LIAR_US = 60 * SECOND_US  # who claimed a revision that the service does not know
-FRESH_US = 3 * SECOND_US  # the service's word is no older: signs of life come each 2 s
-NEVER_HEARD_US = 1 << 40  # the age of a word that never came
-OLD_US = 5 * SECOND_US  # behind the others' word: it is cut off from the service
-STALE_US = 10 * SECOND_US  # all that are followed may be cut off from the service: it is asked then
-DIFFER_US = (
-    2 * SECOND_US
-)  # two that are followed have different revisions: beyond what is on its way
-ALONE_US = 3 * SECOND_US  # without anybody to follow, before the service itself is called
-SLOW_US = 60 * SECOND_US  # a first list that takes longer never ends: 3 MB on a link of 50 KB/s
-LATER_US = (
-    2 * SECOND_US
-)  # a watcher that is none any more goes on for so long: the next one comes up
+# Of the configured controllers: with so many in view nearly all elect the same watchers. A guess.
+READY_PART = 0.8
+# Without them: a group of hundreds has come together by then.
+SETTLE_US = 4 * SECOND_US
+# In company, and nobody new for so long: these are all there are. A guess.
+QUIET_US = 3 * SECOND_US // 2
+# A controller that was left is avoided for two probe time-outs of membership, which tells by then
+# if it has failed.
+AVOID_US = 10 * SECOND_US
+# One that claimed a revision which the service does not know. A guess.
+AVOID_FALSE_REVISION_US = 60 * SECOND_US
+# A claim counts as contradicted by the service while it is no older.
+RECENT_HEARTBEAT_US = SECOND_US
+# Two that are followed may differ for so long: a revision is on its way.
+MAX_DIFFERENCE_US = 2 * SECOND_US
+# Without anybody to follow, before the service itself is watched. A guess.
+INDEPENDENT_AFTER_US = 3 * SECOND_US
+# A controller that is no watcher any more watches on for so long: the next one comes up.
+HANDOVER_US = 2 * SECOND_US
 TICK_US = SECOND_US // 10
-MOST_BEAT_US = (
-    3 * TICK_US
-)  # of a time in which this steward itself stood still, what counts against others
-
-
-def rendezvous_order(names: Iterable[str], key: str) -> list[str]:
-    """Rendezvous hashing (Thaler and Ravishankar 1998): each name has a figure for the key, the highest
-    first.
-
-    Everyone with the same names finds the same order without a vote; one that goes moves nobody else."""
-    return sorted(
-        names,
-        key=lambda name: (xxhash.xxh3_64_intdigest(f"{key}\0{name}".encode()), name),
-        reverse=True,
-    )
+# Of a time in which this controller itself stood still, what counts against others.
+MAX_TICK_US = 3 * TICK_US
+# Entries of avoided controllers per watcher, before expired ones are cleaned up.
+MAX_AVOIDED_PER_WATCHER = 4
 
 
 class Role(Enum):
-    WAITING = "waiting"  # for the view to settle
-    WATCHER = "watcher"
-    FOLLOWER = "follower"
-    ON_ITS_OWN = "on_its_own"  # it calls the service, since nobody can be followed
-
-
-@dataclass(frozen=True, slots=True)
-class ElectionFacts:
-    name: str
-    group: str
-    controller_count: int  # as stated
-    watchers: int
-    stall_us: int  # without a frame: left for the next
-
-
-# In
-
-
-@dataclass(frozen=True, slots=True)
-class LiveControllersChanged:
-    """All other stewards that are there, as membership has it."""
-
-    names: frozenset[str]
-
-
-@dataclass(frozen=True, slots=True)
-class FrameReceived:
-    """A frame came from one that is followed."""
-
-    name: str
-
-
-@dataclass(frozen=True, slots=True)
-class HeartbeatReceived:
-    """One that is followed says which revision it holds, and how old its word from the service is."""
-
-    name: str
-    revision: int
-    age_us: int
-
-
-@dataclass(frozen=True, slots=True)
-class LinkClosed:
-    name: str
-
-
-@dataclass(frozen=True, slots=True)
-class ListUpdated:
-    """The revision that this steward itself holds now; `by_service`: the service's own word."""
-
-    revision: int
-    by_service: bool
-
-
-@dataclass(frozen=True, slots=True)
-class TickDue:
-    pass
-
-
-Event = (
-    LiveControllersChanged | FrameReceived | HeartbeatReceived | LinkClosed | ListUpdated | TickDue
-)
-
-
-# Out
-
-
-@dataclass(frozen=True, slots=True)
-class Connect:
-    """`light`: only what it says is wanted, no lists. `anew`: the whole list, whatever is held."""
-
-    name: str
-    light: bool
-    anew: bool = False
-
-
-@dataclass(frozen=True, slots=True)
-class Disconnect:
-    name: str
+    """This controller's part."""
 
+    WAITING = auto()  # for the view to settle
+    WATCHER = auto()
+    FOLLOWER = auto()
+    INDEPENDENT = auto()  # it watches the service, since nobody can be followed
 
-@dataclass(frozen=True, slots=True)
-class SetWatch:
-    """Call the list service, or leave it. `place`: among the watchers; None: by the stated rank, in
-    rounds."""
 
-    on: bool
-    place: int | None = None
-
-
-@dataclass(frozen=True, slots=True)
-class ReportTransition:
-    """For the log and the counters."""
-
-    what: str
-    name: str = ""
-
-
-Command = Connect | Disconnect | SetWatch | ReportTransition
-
-
-@dataclass(slots=True)
-class FollowedLink:
-    """One steward that is followed."""
-
-    light: bool
-    moved_us: int
-    since_us: int
-    is_moving: bool = False  # frames have come, though it has not said yet what it holds
-    revision: int | None = None
-    age_us: int = 0
-    said_us: int = 0
-    anew: bool = False
-
-
-@dataclass(slots=True)
-class State:
-    links: dict[str, FollowedLink] = field(default_factory=dict)
-    avoided_us: dict[str, int] = field(default_factory=dict)
+class WatcherElection:
+    """Elects watchers, follows two of them, and watches the service itself where that fails.
 
+    Attributes:
+        links: by name, the controllers that are followed.
+        avoided_until_us: by name, those that were left.
+        is_asking_service: followed controllers can't both be right: the service decides.
+    """
 
-class WatcherElection:
     def __init__(self, facts: ElectionFacts) -> None:
-        self.facts, self.role, self.state = facts, Role.WAITING, State()
+        self.facts = facts
+        self.role = Role.WAITING
+        self.links: dict[str, FollowedLink] = {}
+        self.avoided_until_us: dict[str, int] = {}
         self.names: frozenset[str] = frozenset()
         self.watchers: list[str] = []
-        self.began_us: int | None = None
-        self.changed_us = self.without_us = 0
+        self.started_us: int | None = None
+        self.names_changed_us = 0
+        self.last_contact_us = 0  # when a followed controller last had contact with the service
         self.demoted_us: int | None = None
-        self.is_watching, self.is_asking = False, False
-        self.differs_us: int | None = None
+        self.is_watching = False
+        self.is_asking_service = False
+        self.difference_since_us: int | None = None
         self.revision = -1
-        self.read_us: int | None = None
-        self.slept_us = 0  # time that others need not answer for
-        self.out: list[Command] = []
-
-    def awake_us(self, now_us: int) -> int:
-        """Guards against a steward that was paused, or starved of its core, and finds all others late."""
-        passed_us = now_us - (now_us if self.read_us is None else self.read_us)
-        self.slept_us += max(0, passed_us - MOST_BEAT_US)
-        self.read_us = now_us
-        return now_us - self.slept_us
+        self.last_read_us: int | None = None
+        self.paused_us = 0  # time that others need not answer for
+        self.commands: list[Command] = []
 
     def deliver(self, now_us: int, events: list[Event]) -> list[Command]:
-        now_us = self.awake_us(now_us)
-        if self.began_us is None:
-            self.began_us = self.changed_us = self.without_us = now_us
+        """One step.
+
+        Args:
+            now_us: steady time.
+            events: what has happened, in order.
+
+        Returns:
+            What is to be done, in order.
+        """
+        now_us = self.unpaused_us(now_us)
+        if self.started_us is None:
+            self.started_us = now_us
+            self.names_changed_us = now_us
+            self.last_contact_us = now_us
         for event in events:
             self.handle(now_us, event)
-        self.look(now_us)
-        out, self.out = self.out, []
-        return out
+        self.update_role(now_us)
+        commands = self.commands
+        self.commands = []
+        return commands
+
+    def unpaused_us(self, now_us: int) -> int:
+        """The time without this process's own pauses.
+
+        Guards against a controller that was paused, or starved of its core, and finds all others
+        late.
+        """
+        passed_us = 0 if self.last_read_us is None else now_us - self.last_read_us
+        self.paused_us += max(0, passed_us - MAX_TICK_US)
+        self.last_read_us = now_us
+        return now_us - self.paused_us
 
     def handle(self, now_us: int, event: Event) -> None:
-        links = self.state.links
+        """Note what an event says."""
         match event:
             case LiveControllersChanged(names) if names != self.names:
-                self.names, self.changed_us = names, now_us
-                group = self.facts.group
-                self.watchers = rendezvous_order({*names, self.facts.name}, group)[
-                    : self.facts.watchers
-                ]
-            case FrameReceived(name) if name in links:
-                links[name].moved_us, links[name].is_moving = now_us, True
-            case HeartbeatReceived(name, revision, age_us) if name in links:
-                link = links[name]
-                link.moved_us = link.said_us = now_us
-                link.revision, link.age_us = revision, age_us
-            case LinkClosed(name) if name in links:
-                self.leave(now_us, name, "ended", hang=False)
-            case ListUpdated(revision, by_service):
-                self.on_holds(now_us, revision, by_service)
-
-    def on_holds(self, now_us: int, revision: int, by_service: bool) -> None:
-        """Guards against a peer that claims a revision which the service has not reached."""
-        self.revision = revision
-        if not by_service:
-            return
-        self.is_asking = False
-        for name, link in list(self.state.links.items()):
-            if (
-                link.revision is not None
-                and link.revision > revision
-                and now_us - link.said_us < SECOND_US
-            ):
-                self.leave(now_us, name, "ahead", LIAR_US)
+                self.names = names
+                self.names_changed_us = now_us
+                order = rendezvous_order({*names, self.facts.name}, self.facts.group)
+                self.watchers = order[: self.facts.watcher_count]
+            case FrameReceived(name) if name in self.links:
+                self.links[name].on_frame(now_us)
+            case HeartbeatReceived(name, revision, age_us) if name in self.links:
+                self.links[name].on_heartbeat(now_us, revision, age_us)
+            case LinkClosed(name) if name in self.links:
+                del self.links[name]
+                self.avoid(now_us, name, Transition.LEFT_ENDED)
+            case ListUpdated(revision, from_service):
+                self.revision = revision
+                if from_service:
+                    self.on_service_revision(now_us, revision)
+            case TickDue():
+                pass
+
+    def on_service_revision(self, now_us: int, revision: int) -> None:
+        """The service's own word.
+
+        Guards against a peer that claims a revision which the service has not reached.
+        """
+        self.is_asking_service = False
+        for name, link in list(self.links.items()):
+            is_ahead = link.revision is not None and link.revision > revision
+            if is_ahead and now_us - link.last_heartbeat_us < RECENT_HEARTBEAT_US:
+                self.leave(now_us, name, Transition.LEFT_AHEAD, AVOID_FALSE_REVISION_US)
+
+    # Roles
 
     def is_settled(self, now_us: int) -> bool:
-        """Guards against calls of all while nobody knows anybody yet."""
-        assert self.began_us is not None
+        """Guards against requests of all while nobody knows anybody yet."""
+        assert self.started_us is not None
         return (
             1 + len(self.names) >= READY_PART * self.facts.controller_count
-            or now_us - self.began_us >= SETTLE_US
-            or (len(self.names) > 0 and now_us - self.changed_us >= QUIET_US)
+            or now_us - self.started_us >= SETTLE_US
+            or (len(self.names) > 0 and now_us - self.names_changed_us >= QUIET_US)
         )
 
-    def look(self, now_us: int) -> None:
+    def update_role(self, now_us: int) -> None:
+        """Act as what this controller is elected to be."""
         if self.role is Role.WAITING and not self.is_settled(now_us):
             return
         if self.facts.name in self.watchers or not self.names:
-            self.be_watcher(now_us)
+            self.act_as_watcher()
         else:
-            self.be_follower(now_us)
+            self.act_as_follower(now_us)
 
-    def be_watcher(self, now_us: int) -> None:
-        role = Role.WATCHER if self.names else Role.ON_ITS_OWN
+    def act_as_watcher(self) -> None:
+        """Watch the service; follow nobody."""
         self.demoted_us = None
-        if role is not self.role:
-            self.become(role)
-            for name in list(self.state.links):
-                self.drop(name)
-            place = self.watchers.index(self.facts.name) if role is Role.WATCHER else None
-            self.watch(True, place)
-
-    def become(self, role: Role) -> None:
-        self.role = role
-        self.out.append(ReportTransition(role.value))
-
-    def watch(self, on: bool, place: int | None = None) -> None:
-        if on is not self.is_watching:
-            self.is_watching = on
-            self.out.append(SetWatch(on, place))
-
-    def be_follower(self, now_us: int) -> None:
+        if self.names:
+            if self.role is not Role.WATCHER:
+                self.change_role(Role.WATCHER, Transition.WATCHER)
+                self.disconnect_all()
+                self.set_watch(True, self.watchers.index(self.facts.name))
+        elif self.role is not Role.INDEPENDENT:
+            self.change_role(Role.INDEPENDENT, Transition.INDEPENDENT)
+            self.disconnect_all()
+            self.set_watch(True)
+
+    def act_as_follower(self, now_us: int) -> None:
+        """Follow two watchers; watch the service only where that does not do."""
         if self.role in (Role.WAITING, Role.WATCHER):
             if self.role is Role.WATCHER:
                 self.demoted_us = now_us
-            self.become(Role.FOLLOWER)
-            self.without_us = now_us
-        for name, link in list(self.state.links.items()):
-            if name not in self.watchers:
-                self.drop(name)
-            elif now_us - link.moved_us > self.facts.stall_us:
-                self.leave(now_us, name, "stalled")
-            elif link.revision is None and now_us - link.since_us > SLOW_US:
-                self.leave(now_us, name, "slow")
-        self.compare(now_us)
-        self.fill(now_us)
+            self.change_role(Role.FOLLOWER, Transition.FOLLOWER)
+            self.last_contact_us = now_us
+        self.drop_silent_links(now_us)
+        self.compare_followed(now_us)
+        self.connect_missing(now_us)
         self.choose_service(now_us)
 
-    def fill(self, now_us: int) -> None:
+    def change_role(self, role: Role, transition: Transition) -> None:
+        """Take a role, and report it."""
+        self.role = role
+        self.commands.append(ReportTransition(transition))
+
+    def set_watch(self, is_enabled: bool, watcher_rank: int | None = None) -> None:
+        """Watch the service, or stop, if that is a change."""
+        if is_enabled is not self.is_watching:
+            self.is_watching = is_enabled
+            self.commands.append(SetWatch(is_enabled, watcher_rank))
+
+    def choose_service(self, now_us: int) -> None:
+        """Watch the service where nobody can be followed, or two can't both be right."""
+        has_contact = any(
+            link.has_service_contact() for link in self.links.values() if not link.heartbeats_only
+        )
+        if has_contact:
+            self.last_contact_us = now_us
+            if self.demoted_us is not None and now_us - self.demoted_us >= HANDOVER_US:
+                self.demoted_us = None
+        is_without_contact = now_us - self.last_contact_us >= INDEPENDENT_AFTER_US
+        needs_service = self.is_asking_service or is_without_contact
+        if needs_service and self.role is Role.FOLLOWER and not self.is_watching:
+            self.change_role(Role.INDEPENDENT, Transition.INDEPENDENT)
+        elif not needs_service and self.role is Role.INDEPENDENT:
+            self.change_role(Role.FOLLOWER, Transition.FOLLOWER)
+        if needs_service or self.demoted_us is None:
+            self.set_watch(needs_service)
+
+    # Links
+
+    def drop_silent_links(self, now_us: int) -> None:
+        """Leave those that are no watchers any more, are stalled, or take too long."""
+        for name, link in list(self.links.items()):
+            if name not in self.watchers:
+                self.disconnect(name)
+            elif now_us - link.last_frame_us > self.facts.stall_timeout_us:
+                self.leave(now_us, name, Transition.LEFT_STALLED)
+            elif link.is_first_list_overdue(now_us):
+                self.leave(now_us, name, Transition.LEFT_SLOW)
+
+    def connect_missing(self, now_us: int) -> None:
         """Two are followed, one for its lists, one as a witness of what it says."""
-        mine = [
+        candidates = [
             name
             for name in rendezvous_order(self.watchers, self.facts.name)
-            if self.state.avoided_us.get(name, 0) <= now_us
+            if self.avoided_until_us.get(name, 0) <= now_us
         ]
-        links = self.state.links
-        for light in (False, True):
-            free = [name for name in mine if name not in links]
-            if free and not any(link.light is light for link in links.values()):
-                links[free[0]] = FollowedLink(light, now_us, now_us)
-                self.out.append(Connect(free[0], light))
-        if not any(not link.light for link in links.values()):
-            for name, link in list(links.items())[
-                :1
-            ]:  # the witness alone is left: its lists are wanted now
-                self.dial_anew(now_us, name, False)
-
-    def dial_anew(self, now_us: int, name: str, anew: bool) -> None:
-        self.drop(name)
-        self.state.links[name] = FollowedLink(False, now_us, now_us, anew=anew)
-        self.out.append(Connect(name, False, anew))
-
-    def compare(self, now_us: int) -> None:
-        """Whom to leave, where two that are followed say different things, or both less than what is held."""
-        told = {name: link for name, link in self.state.links.items() if link.revision is not None}
-        main = next((name for name, link in told.items() if not link.light), None)
+        for heartbeats_only in (False, True):
+            free = [name for name in candidates if name not in self.links]
+            if free and self.first_link(heartbeats_only) is None:
+                self.links[free[0]] = FollowedLink(heartbeats_only, now_us, now_us)
+                self.commands.append(Connect(free[0], heartbeats_only))
+        if self.links and self.first_link(heartbeats_only=False) is None:
+            # The witness alone is left: its lists are wanted now.
+            self.reconnect(now_us, next(iter(self.links)))
+
+    def first_link(self, heartbeats_only: bool) -> str | None:
+        """The name of the first link of that kind."""
+        for name, link in self.links.items():
+            if link.heartbeats_only is heartbeats_only:
+                return name
+        return None
+
+    def first_heard_link(self, heartbeats_only: bool) -> str | None:
+        """The name of the first link of that kind on which a heartbeat came."""
+        for name, link in self.links.items():
+            if link.heartbeats_only is heartbeats_only and link.revision is not None:
+                return name
+        return None
+
+    def reconnect(self, now_us: int, name: str, full_list: bool = False) -> None:
+        """Follow a controller anew, for its lists."""
+        self.disconnect(name)
+        self.links[name] = FollowedLink(False, now_us, now_us, is_full_list=full_list)
+        self.commands.append(Connect(name, False, full_list))
+
+    def compare_followed(self, now_us: int) -> None:
+        """Leave one, where two that are followed differ, or both say less than is held."""
+        main = self.first_heard_link(heartbeats_only=False)
         if main is None:
             return
-        witness = next((name for name, link in told.items() if link.light), None)
-        one, other = told[main], told[witness] if witness else None
-        if witness and other and self.is_blank(one) and not self.is_blank(other):
-            self.drop(main)  # it has no word yet, the witness has: they change their parts
-            self.dial_anew(now_us, witness, False)
-        elif other and self.is_old(now_us, one, other):
-            self.leave(now_us, main, "old")
-        elif witness and other and self.is_old(now_us, other, one):
-            self.leave(now_us, witness, "old")
-        elif self.is_lower(one) and not one.anew and (other is None or self.is_lower(other)):
-            # Both fresh, both below what is held: the service began anew; one alone has to ask it.
-            if self.lasts(now_us):
-                if other is None:
-                    self.is_asking = True
-                else:
-                    self.out.append(ReportTransition("began_anew", main))
-                    self.dial_anew(now_us, main, True)
-        elif other and one.revision != other.revision and max(one.age_us, other.age_us) < OLD_US:
-            if self.lasts(now_us):
-                if one.revision < other.revision:  # type: ignore[operator]
-                    self.leave(now_us, main, "behind")
-                else:
-                    self.is_asking = True
-        elif (
-            one.revision is not None
-            and 0 <= one.revision < self.revision
-            and not self.is_lower(one)
-        ):
-            self.leave(now_us, main, "old")  # cut off from the service, and behind what is held
+        witness = self.first_heard_link(heartbeats_only=True)
+        witness_link = self.links[witness] if witness else None
+        finding = compare_links(self.links[main], witness_link, self.revision, now_us)
+        match finding:
+            case Finding.CONSISTENT:
+                self.difference_since_us = None
+            case Finding.MAIN_STALE:
+                self.leave(now_us, main, Transition.LEFT_STALE)
+            case Finding.WITNESS_STALE if witness:
+                self.leave(now_us, witness, Transition.LEFT_STALE)
+            case Finding.MAIN_HAS_NO_CONTACT if witness:
+                self.disconnect(main)  # they change their parts
+                self.reconnect(now_us, witness)
+            case _ if self.difference_lasts(now_us):
+                self.settle_difference(now_us, finding, main, has_witness=witness is not None)
+
+    def settle_difference(
+        self, now_us: int, finding: Finding, main: str, has_witness: bool
+    ) -> None:
+        """Act on a difference between revisions that has lasted."""
+        if finding is Finding.MAIN_BEHIND:
+            self.leave(now_us, main, Transition.LEFT_BEHIND)
+        elif finding is Finding.REVISIONS_FELL and has_witness:
+            self.commands.append(ReportTransition(Transition.LIST_RESTARTED, main))
+            self.reconnect(now_us, main, full_list=True)
         else:
-            self.differs_us = None
-
-    def is_blank(self, link: FollowedLink) -> bool:
-        """It has no list, or but the one that it was handed at its start."""
-        return link.revision == -1 or link.age_us >= NEVER_HEARD_US
+            # One alone that says so has to be checked with the service.
+            self.is_asking_service = True
 
-    def is_old(self, now_us: int, one: FollowedLink, other: FollowedLink) -> bool:
-        """Guards also against a watcher left for its first call, which the service is yet to answer."""
-        return one.age_us > other.age_us + OLD_US and now_us - one.since_us > OLD_US
-
-    def is_lower(self, link: FollowedLink) -> bool:
-        return (
-            link.revision is not None
-            and 0 <= link.revision < self.revision
-            and link.age_us < FRESH_US
-        )
-
-    def lasts(self, now_us: int) -> bool:
+    def difference_lasts(self, now_us: int) -> bool:
         """A difference that is on its way is none."""
-        if self.differs_us is None:
-            self.differs_us = now_us
-        return now_us - self.differs_us >= DIFFER_US
-
-    def choose_service(self, now_us: int) -> None:
-        """The service itself, where nobody can be followed, or two say what can't both be true."""
-        has_word = any(not link.light and self.has_word(link) for link in self.state.links.values())
-        self.without_us = now_us if has_word else self.without_us
-        if self.demoted_us is not None and now_us - self.demoted_us >= LATER_US and has_word:
-            self.demoted_us = None
-        wants = self.is_asking or now_us - self.without_us >= ALONE_US
-        if wants and self.role is Role.FOLLOWER and not self.is_watching:
-            self.become(Role.ON_ITS_OWN)
-        elif not wants and self.role is Role.ON_ITS_OWN:
-            self.become(Role.FOLLOWER)
-        if wants or self.demoted_us is None:
-            self.watch(wants)
-
-    def has_word(self, link: FollowedLink) -> bool:
-        """Guards against watchers that all have lost the service, while others could reach it."""
-        if link.revision is None:
-            return link.is_moving
-        return link.revision >= 0 and link.age_us <= STALE_US
-
-    def leave(
-        self, now_us: int, name: str, why: str, avoid_us: int = AVOID_US, hang: bool = True
-    ) -> None:
-        self.out.append(ReportTransition(f"left_{why}", name))
-        self.state.avoided_us[name] = now_us + avoid_us
-        if len(self.state.avoided_us) > 4 * self.facts.watchers:
-            self.state.avoided_us = {
-                who: until for who, until in self.state.avoided_us.items() if until > now_us
+        if self.difference_since_us is None:
+            self.difference_since_us = now_us
+        return now_us - self.difference_since_us >= MAX_DIFFERENCE_US
+
+    def leave(self, now_us: int, name: str, reason: Transition, avoid_us: int = AVOID_US) -> None:
+        """Follow that controller no more, and avoid it for a while."""
+        self.avoid(now_us, name, reason, avoid_us)
+        self.disconnect(name)
+
+    def avoid(self, now_us: int, name: str, reason: Transition, avoid_us: int = AVOID_US) -> None:
+        """Report that a controller is left, and avoid it for a while."""
+        self.commands.append(ReportTransition(reason, name))
+        self.avoided_until_us[name] = now_us + avoid_us
+        if len(self.avoided_until_us) > MAX_AVOIDED_PER_WATCHER * self.facts.watcher_count:
+            self.avoided_until_us = {
+                avoided: until_us
+                for avoided, until_us in self.avoided_until_us.items()
+                if until_us > now_us
             }
-        self.differs_us = None
-        if hang:
-            self.drop(name)
-        else:
-            del self.state.links[name]
+        self.difference_since_us = None
+
+    def disconnect(self, name: str) -> None:
+        """Close the link to a controller, if there is one."""
+        if self.links.pop(name, None):
+            self.commands.append(Disconnect(name))
 
-    def drop(self, name: str) -> None:
-        if self.state.links.pop(name, None):
-            self.out.append(Disconnect(name))
+    def disconnect_all(self) -> None:
+        """Close all links."""
+        for name in list(self.links):
+            self.disconnect(name)
--- a/plankroute/net/discovery/backoff_watch.py
+++ b/plankroute/net/discovery/backoff_watch.py
@@ -1,11 +1,10 @@
-"""Discovery called with care: one call a round instead of as many as fail, the watch alone, Retry-After
-heeded.
+"""Discovery with backoff: one request a round instead of as many as fail, and Retry-After heeded.
 
-When is `coldstart.calls`'s to decide; here are the sockets, the clock, log lines and counters."""
+When is `cold_start.backoff`'s to decide; here are the sockets, the clock, log lines and counters.
+"""
 
 import asyncio
 import time
-from typing import Any
 
 from plankroute.cold_start.backoff import (
     BackoffFacts,
@@ -14,80 +13,102 @@
     RequestScheduler,
     Started,
     WatchEnded,
-    retry_after_us,
 )
+from plankroute.cold_start.endpoint_list import RawList
+from plankroute.cold_start.retry_after import parse_retry_after
 from plankroute.net.discovery.http_client import Call
 from plankroute.net.discovery.watch import Discovery
 from plankroute.net.process.clock import monotonic_us as now_us
 
-LOOK_S = 0.5  # between looks at how old the list is
+SECOND_US = 1_000_000
+AGE_CHECK_S = 0.5  # between looks at how old the list is
 
 
 class BackoffDiscovery(Discovery):
-    """`list_old_us`: without a word for so long, what is listed is said to be old."""
+    """Watches the list service; `prepare` before `start`."""
 
     def prepare(self, facts: BackoffFacts, list_old_us: int, seed: int) -> None:
-        self.caller, self.list_old_us = RequestScheduler(facts, seed), list_old_us
-        self.last_contact_us, self.is_old, self.times_heard = now_us(), False, 0
-        self.looking: asyncio.Task[None] | None = None
-
-    def start(self, known: Any) -> None:
+        """Set what the constructor, which is Discovery's, does not take.
+
+        Args:
+            facts: settings of the backoff.
+            list_old_us: without contact for so long, the list is said to be old.
+            seed: of the jitter.
+        """
+        self.scheduler = RequestScheduler(facts, seed)
+        self.list_old_us = list_old_us
+        self.last_contact_us = now_us()
+        self.is_old = False
+        self.contacts = 0
+        self.checking_age: asyncio.Task[None] | None = None
+
+    def start(self, known: RawList) -> None:
+        """Start with the list that was known before, if any."""
         super().start(known)
-        self.looking = asyncio.create_task(self.look())
+        self.checking_age = asyncio.create_task(self.check_age())
 
     def close(self) -> None:
-        for task in (self.looking, self.watching):
+        """End all requests."""
+        for task in (self.checking_age, self.watching):
             if task:
                 task.cancel()
 
     async def watch_forever(self) -> None:
-        await self.call_on(self.caller, Started())
+        """Request after request, by the configured rank."""
+        await self.request_forever(self.scheduler, Started())
 
-    async def call_on(self, caller: RequestScheduler, event: Event) -> None:
-        """Call after call, each when the caller says after how the one before ended."""
+    async def request_forever(self, scheduler: RequestScheduler, event: Event) -> None:
+        """Each request when the scheduler says after how the one before ended."""
         while True:
-            due_us = caller.deliver(now_us(), event).due_us
-            await asyncio.sleep(max(0, due_us - now_us()) / 1e6)
-            event = await self.call_once()
-
-    async def call_once(self) -> Event:
-        """One watch from the revision that is held, to its end. A list held is never asked for whole
-        again."""
-        self.telemetry.count("sent.calls")
-        before, began_us, call = self.times_heard, now_us(), None
+            due_us = scheduler.deliver(now_us(), event).due_us
+            await asyncio.sleep(max(0, due_us - now_us()) / SECOND_US)
+            event = await self.request_once()
+
+    async def request_once(self) -> Event:
+        """One watch from the revision that is held, to its end.
+
+        A list that is held is never asked for as a whole again.
+        """
+        self.telemetry.count("list_requests.sent")
+        contacts_before = self.contacts
+        started_us = now_us()
+        call = None
         try:
             call = await self.watch_from(self.revision or 0)
-        except Exception as error:  # an error of ours must not leave the steward without a list
+        except Exception as error:  # an error of ours must not leave the controller without a list
             self.telemetry.log.event(
                 "error", "discovery_failed", why=f"{type(error).__name__}: {error}"
             )
-        if self.times_heard > before:
-            return WatchEnded(now_us() - began_us)
-        self.telemetry.count("refused.calls")
-        return RequestFailed(self.asked_to_wait(call))
-
-    def asked_to_wait(self, call: Call | None) -> int | None:
-        text = call.retry_after if call else None
-        asked = retry_after_us(text, time.time())
-        if text is not None:
-            self.telemetry.count("dropped.retry_after" if asked is None else "taken.retry_after")
-        return asked
+        if self.contacts > contacts_before:
+            return WatchEnded(now_us() - started_us)
+        self.telemetry.count("list_requests.failed")
+        return RequestFailed(self.retry_after_us(call))
+
+    def retry_after_us(self, call: Call | None) -> int | None:
+        """How long the service asks to wait, if it does."""
+        field = call.retry_after if call else None
+        wait_us = parse_retry_after(field, time.time())
+        if field is not None:
+            outcome = "invalid" if wait_us is None else "heeded"
+            self.telemetry.count(f"list_requests.retry_after_{outcome}")
+        return wait_us
 
     def record_contact(self) -> None:
+        """The service has said something."""
         super().record_contact()
-        self.times_heard += 1
-        self.mend_age()
+        self.contacts += 1
+        self.clear_old()
 
-    def mend_age(self) -> None:
-        """Said to be old, and no longer so."""
+    def clear_old(self) -> None:
+        """Say that the list is no longer old, if it was said to be."""
         if self.is_old and now_us() - self.last_contact_us < self.list_old_us:
             self.is_old = False
             self.telemetry.log.event("info", "list_fresh", revision=self.revision)
 
-    async def look(self) -> None:
-        """What came late may mean drains that were missed: said openly, and nothing more can be done."""
+    async def check_age(self) -> None:
+        """Say that the list is old: drains may have been missed, and nothing more can be done."""
         while True:
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(AGE_CHECK_S)
             if not self.is_old and now_us() - self.last_contact_us > self.list_old_us:
                 self.is_old = True
                 self.telemetry.count("list_old")
@@ -95,5 +116,5 @@
                     "warning",
                     "list_old",
                     revision=self.revision,
-                    for_s=round((now_us() - self.last_contact_us) / 1e6, 1),
+                    for_s=round((now_us() - self.last_contact_us) / SECOND_US, 1),
                 )
--- a/plankroute/net/peers/drain_notices.py
+++ b/plankroute/net/peers/drain_notices.py
@@ -1,81 +1,114 @@
-"""Drains ahead of the list that holds them, laid over what the core is told. Decides nothing: that is
-`coldstart.early`'s."""
+"""Drain notices laid over what the controller is told of hosts.
+
+Decides nothing: which notices are believed is `cold_start.drain_notices`'s to say.
+"""
 
 import asyncio
 from collections.abc import Callable, Iterable
 from dataclasses import replace
 
 from plankroute.cold_start.drain_notices import DrainNotices
+from plankroute.cold_start.endpoint_list import NO_REVISION
 from plankroute.events import events
 from plankroute.events.events import HostState, ListKind
 from plankroute.net.discovery.directory import Directory
 from plankroute.net.process.clock import monotonic_us as now_us
 from plankroute.net.process.telemetry import Telemetry
 
-MOST_LOGGED = 30  # hosts of one line
+MAX_LOGGED = 30  # hosts of one line
 
 
 class DrainNoticeOverlay:
-    """`over` stands between every list and the core."""
+    """`filter_list` stands between every list and the controller.
+
+    Attributes:
+        core: the notices that are believed.
+        revision: of the last list.
+        listed: as the list has those hosts that a notice has closed, by name.
+        after_list: called once a list is handed on, if set.
+    """
 
     def __init__(
-        self, directory: Directory, telemetry: Telemetry, put: Callable[[events.Event], None]
+        self, directory: Directory, telemetry: Telemetry, submit: Callable[[events.Event], None]
     ) -> None:
-        self.directory, self.telemetry, self.put = directory, telemetry, put
-        self.core, self.revision = DrainNotices(), -1
-        self.listed: dict[
-            str, events.HostEntry
-        ] = {}  # as the list has those that were closed ahead of it
+        self.directory = directory
+        self.telemetry = telemetry
+        self.submit = submit
+        self.core = DrainNotices()
+        self.revision = NO_REVISION
+        self.listed: dict[str, events.HostEntry] = {}
         self.after_list: Callable[[], None] | None = None
 
-    def hear(self, name: str, revision: int, closed: Iterable[tuple[str, HostState]]) -> None:
-        """Hosts that are known here are shut at once; those that are not come with their list."""
-        new = self.core.hear(
-            now_us(), name, revision, closed, self.revision, len(self.directory.hosts)
+    def receive(self, source: str, revision: int, closed: Iterable[tuple[str, HostState]]) -> None:
+        """Close hosts that are known here at once; those that are not come with their list."""
+        listed_hosts = len(self.directory.hosts)
+        accepted = self.core.receive(
+            now_us(), source, revision, closed, self.revision, listed_hosts
+        )
+        self.telemetry.counts["drain_notices.rejected"] = self.core.rejected
+        if not accepted:
+            return
+        self.telemetry.count("drain_notices.accepted", len(accepted))
+        self.telemetry.log.event(
+            "info",
+            "drain_notices_accepted",
+            other=source,
+            revision=revision,
+            hosts=accepted[:MAX_LOGGED],
         )
-        self.telemetry.counts["early.refused"] = self.core.refused
-        if new:
-            self.telemetry.count("early.drains", len(new))
-            self.telemetry.log.event(
-                "info", "drains_early", other=name, revision=revision, hosts=new[:MOST_LOGGED]
-            )
-            known = [
-                self.directory.hosts[self.directory.ids[uid]].entry
-                for uid in new
-                if uid in self.directory.ids
-            ]
-            self.tell([self.shut(entry) for entry in known if entry is not None])
-
-    def over(self, revision: int, whole: bool, listed: events.HostList) -> events.HostList:
-        """A list that is believed settles what was told up to its revision; the rest holds on over it."""
-        settled = self.core.settle(None if whole and revision < self.revision else revision)
+        entries = [
+            self.directory.hosts[self.directory.ids[uid]].entry
+            for uid in accepted
+            if uid in self.directory.ids
+        ]
+        self.submit_changes([self.overlaid(entry) for entry in entries if entry is not None])
+
+    def filter_list(
+        self, revision: int, is_complete: bool, listed: events.HostList
+    ) -> events.HostList:
+        """A list that is believed settles notices up to its revision; the rest holds on over it."""
+        revisions_restarted = is_complete and revision < self.revision
+        settled = self.core.on_list(None if revisions_restarted else revision)
         self.revision = revision
-        entries = {entry.host: self.shut(entry) for entry in listed.entries}
-        for entry in self.as_listed(settled):
+        entries = {entry.host: self.overlaid(entry) for entry in listed.entries}
+        for entry in self.pop_listed(settled):
             entries.setdefault(entry.host, entry)
         if self.after_list:
             asyncio.get_running_loop().call_soon(self.after_list)
         return events.HostList(listed.kind, tuple(entries.values()))
 
-    def shut(self, entry: events.HostEntry) -> events.HostEntry:
+    def overlaid(self, entry: events.HostEntry) -> events.HostEntry:
+        """The entry as its notice has it, if there is one."""
         uid = self.directory.uid(entry.host)
-        if (told := self.core.told.get(uid)) is None:
+        notice = self.core.by_host.get(uid)
+        if notice is None:
             self.listed.pop(uid, None)
             return entry
         self.listed[uid] = entry
-        return replace(entry, state=told.state)
-
-    def as_listed(self, uids: list[str]) -> list[events.HostEntry]:
-        """What was told of them no longer counts."""
-        return [
-            entry
-            for uid in uids
-            if (entry := self.listed.pop(uid, None)) is not None and uid in self.directory.ids
-        ]
+        return replace(entry, state=notice.state)
+
+    def pop_listed(self, uids: list[str]) -> list[events.HostEntry]:
+        """Entries as the list has them, of hosts whose notice no longer counts."""
+        entries = list[events.HostEntry]()
+        for uid in uids:
+            entry = self.listed.pop(uid, None)
+            if entry is not None and uid in self.directory.ids:
+                entries.append(entry)
+        return entries
+
+    def expire(self) -> None:
+        """Open hosts whose notices no list has confirmed for too long."""
+        self.reopen(self.core.expire(now_us()))
+
+    def retract(self, source: str) -> None:
+        """Open hosts that this source has closed alone."""
+        self.reopen(self.core.retract(source))
 
     def reopen(self, uids: list[str]) -> None:
-        self.tell(self.as_listed(uids))
+        """Submit these hosts as the list has them."""
+        self.submit_changes(self.pop_listed(uids))
 
-    def tell(self, entries: list[events.HostEntry]) -> None:
+    def submit_changes(self, entries: list[events.HostEntry]) -> None:
+        """Submit entries as changes of the list."""
         if entries:
-            self.put(events.HostList(ListKind.CHANGES, tuple(entries)))
+            self.submit(events.HostList(ListKind.CHANGES, tuple(entries)))
--- /dev/null
+++ b/plankroute/net/peers/link_server.py
@@ -0,0 +1,342 @@
+"""The server's end of links, over TCP: lists handed on in order and resumed where they broke off.
+
+Sockets and bounds only; who follows whom is decided in `cold_start.watcher_election`.
+"""
+
+import asyncio
+import socket
+from typing import Protocol
+from zlib import crc32
+
+import orjson
+
+from plankroute.cold_start.endpoint_list import EndpointList
+from plankroute.cold_start.link_codec import (
+    LINK_VERSION,
+    PART_BYTES,
+    DrainNoticeFrame,
+    Frame,
+    FrameDecoder,
+    HealthCheckResults,
+    Heartbeat,
+    Hello,
+    ListPart,
+    ListProgress,
+    ListStart,
+    SharedHealthCheck,
+    WarmStartHandover,
+    WarmStartRequest,
+    encode_frame,
+)
+from plankroute.net.peers.link_frames import json_array_chunks, read_views, view_frames
+from plankroute.net.process.address import host_and_port
+from plankroute.net.process.telemetry import Telemetry
+
+# Between heartbeats: four in the shortest time after which a controller is left.
+HEARTBEAT_S = 0.5
+HELLO_TIMEOUT_S = 2.0  # a guess
+# For one part to be taken by the kernel: three of them in the stall time-out of who reads it.
+WRITE_TIMEOUT_S = 5.0
+# Links at once: two of each of 300 controllers over three watchers, and more than twice that.
+MAX_LINKS = 512
+# Of a list that is handed out: a drain notice can't overtake what waits there any more.
+MAX_UNSENT_BYTES = PART_BYTES
+MAX_DRAIN_NOTICE_BYTES = 32768  # of entries in one frame
+READ_BYTES = 65536  # from the socket at once
+MAX_RESULTS = 256  # of health checks in one frame
+
+FirstFrame = Hello | WarmStartRequest | WarmStartHandover
+
+
+class ViewStore(Protocol):
+    """Who knows what is learned of hosts, and keeps it for others: `peers.warm_start`."""
+
+    most: int
+
+    def for_another(self, name: str) -> list[tuple[str, int, bytes]]:
+        """Views for that controller: whose, age in microseconds, bytes."""
+
+    def keep(self, name: str, data: bytes) -> None:
+        """Keep a view for the successor of that name."""
+
+
+class LinkOwner(Protocol):
+    """Who has the links: `peers.shared_discovery`."""
+
+    group: str
+    name: str
+    telemetry: Telemetry
+    endpoint_list: EndpointList
+
+    def age_us(self) -> int:
+        """Age of the last contact with the list service."""
+
+    def on_health_checks(self, frame: HealthCheckResults) -> None:
+        """Take results of another controller."""
+
+
+class FollowerConnection:
+    """One controller that follows this one.
+
+    Attributes:
+        revision: of the follower's list.
+        progress: of a list that broke off before.
+        notified_revision: up to which it has heard of drains, be it without the list.
+        has_news: set when there is something to send.
+        results: health checks to send.
+    """
+
+    def __init__(self, writer: asyncio.StreamWriter, hello: Hello) -> None:
+        self.writer = writer
+        self.hello = hello
+        self.revision = hello.revision
+        self.progress: ListProgress | None = hello.progress
+        self.notified_revision = hello.revision
+        self.has_news = asyncio.Event()
+        self.results: list[SharedHealthCheck] = []
+
+    def add_results(self, results: list[SharedHealthCheck]) -> None:
+        """Send these results soon; the oldest go where there are too many."""
+        self.results = (self.results + results)[-MAX_RESULTS:]
+        self.has_news.set()
+
+
+class LinkServer:
+    """Accepts links, and serves followers and those that ask for views of hosts."""
+
+    def __init__(self, owner: LinkOwner) -> None:
+        self.owner = owner
+        self.server: asyncio.Server | None = None
+        self.followers: dict[FollowerConnection, None] = {}
+        self.open_links = 0
+        self.views: ViewStore | None = None  # None: no views are told
+
+    async def open(self, address: str) -> None:
+        """Listen.
+
+        Raises:
+            OSError: the address is in use, or not of this machine.
+        """
+        listening = socket.socket()
+        try:
+            listening.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+            listening.bind(host_and_port(address))
+            self.server = await asyncio.start_server(self.serve, sock=listening, backlog=MAX_LINKS)
+        except OSError:
+            listening.close()
+            raise
+
+    def close(self) -> None:
+        """Stop listening, and end all links."""
+        if self.server:
+            self.server.close()
+        for follower in list(self.followers):
+            follower.writer.transport.abort()
+
+    def on_list_changed(self) -> None:
+        """The list has changed: followers are served at once."""
+        for follower in self.followers:
+            follower.has_news.set()
+
+    def share(
+        self, results: list[SharedHealthCheck], excluded: FollowerConnection | None = None
+    ) -> None:
+        """Send health checks to all followers but one."""
+        for follower in self.followers:
+            if follower is not excluded:
+                follower.add_results(results)
+
+    # One link
+
+    async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        """Serve one link to its end."""
+        telemetry = self.owner.telemetry
+        self.open_links += 1
+        try:
+            if self.open_links > MAX_LINKS:
+                telemetry.count("links.rejected.too_many")
+                return
+            await self.serve_accepted(reader, writer)
+        except TimeoutError:
+            telemetry.count("links.timed_out")
+        except OSError:
+            telemetry.count("links.broken")
+        except asyncio.CancelledError:
+            pass  # the controller ends: nobody waits for this task
+        finally:
+            self.open_links -= 1
+            writer.transport.abort()
+
+    async def serve_accepted(
+        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+    ) -> None:
+        """Serve a link by what its first frame asks for."""
+        decoder = FrameDecoder()
+        first = await self.read_first(reader, decoder)
+        match first:
+            case None:
+                self.owner.telemetry.count("links.rejected.hello")
+            case Hello():
+                await self.serve_follower(first, reader, writer, decoder)
+            case WarmStartRequest() | WarmStartHandover():
+                await self.serve_views(first, reader, writer, decoder)
+
+    async def read_first(
+        self, reader: asyncio.StreamReader, decoder: FrameDecoder
+    ) -> FirstFrame | None:
+        """The first frame; None where it is not one that opens a link.
+
+        Guards against strangers, other versions and other groups: they have said nothing of use by
+        then.
+        """
+        async with asyncio.timeout(HELLO_TIMEOUT_S):
+            frames: list[Frame | None] = []
+            while not frames:
+                data = await reader.read(READ_BYTES)
+                if not data:
+                    return None
+                frames = decoder.feed(data)
+        first = frames[0]
+        decoder.unread += frames[1:]
+        if not isinstance(first, Hello | WarmStartRequest | WarmStartHandover):
+            return None
+        if not isinstance(first, Hello) and self.views is None:
+            return None
+        is_known = first.version == LINK_VERSION and first.group == self.owner.group
+        return first if is_known else None
+
+    async def serve_views(
+        self,
+        first: WarmStartRequest | WarmStartHandover,
+        reader: asyncio.StreamReader,
+        writer: asyncio.StreamWriter,
+        decoder: FrameDecoder,
+    ) -> None:
+        """Views of hosts, asked for or handed over; whole or not at all within the time-out."""
+        assert self.views
+        async with asyncio.timeout(WRITE_TIMEOUT_S):
+            if isinstance(first, WarmStartHandover):
+                async for view in read_views(reader, decoder, self.views.most):
+                    self.views.keep(first.name, view.data)
+                return
+            for name, age_us, data in self.views.for_another(first.name):
+                for frame in view_frames(name, age_us, data):
+                    writer.write(frame)
+                    await writer.drain()
+            writer.close()
+            await writer.wait_closed()
+
+    # Followers
+
+    async def serve_follower(
+        self,
+        hello: Hello,
+        reader: asyncio.StreamReader,
+        writer: asyncio.StreamWriter,
+        decoder: FrameDecoder,
+    ) -> None:
+        """Send lists, heartbeats and results, and take results, until the follower goes."""
+        writer.transport.set_write_buffer_limits(high=MAX_UNSENT_BYTES, low=0)
+        writer.get_extra_info("socket").setsockopt(
+            socket.IPPROTO_TCP, socket.TCP_NOTSENT_LOWAT, MAX_UNSENT_BYTES
+        )
+        follower = FollowerConnection(writer, hello)
+        self.followers[follower] = None
+        self.owner.telemetry.count("links.accepted")
+        reading = asyncio.create_task(self.read_results(reader, decoder, follower))
+        try:
+            await self.send_updates(follower, reading)
+        finally:
+            reading.cancel()
+            self.followers.pop(follower, None)
+
+    async def read_results(
+        self, reader: asyncio.StreamReader, decoder: FrameDecoder, follower: FollowerConnection
+    ) -> None:
+        """Take and share the follower's health checks; any other frame ends the link."""
+        frames = decoder.take_unread()
+        while True:
+            for frame in frames:
+                if not isinstance(frame, HealthCheckResults):
+                    return
+                self.owner.on_health_checks(frame)
+                self.share(list(frame.results[:MAX_RESULTS]), follower)
+            data = await reader.read(READ_BYTES)
+            if not data:
+                return
+            frames = decoder.feed(data)
+
+    async def send_updates(self, follower: FollowerConnection, reading: asyncio.Task[None]) -> None:
+        """Lists as they change, heartbeats in between, until the other end goes."""
+        while not reading.done():
+            held = self.owner.endpoint_list
+            follower.has_news.clear()
+            await self.send_drain_notices(follower, held)
+            is_outdated = held.revision >= 0 and follower.revision != held.revision
+            if is_outdated and not follower.hello.heartbeats_only:
+                await self.send_list(follower, held)
+            if follower.results:
+                results = tuple(follower.results)
+                follower.results = []
+                await self.send(follower, HealthCheckResults(results))
+            await self.send(follower, Heartbeat(held.revision, self.owner.age_us()))
+            try:
+                async with asyncio.timeout(HEARTBEAT_S):
+                    await follower.has_news.wait()
+            except TimeoutError:
+                pass
+
+    async def send_list(self, follower: FollowerConnection, held: EndpointList) -> None:
+        """Changes, if they are all known; else the complete list, from where it had broken off."""
+        telemetry = self.owner.telemetry
+        revision = held.revision
+        data = held.changes_since(follower.revision)
+        is_complete = data is None
+        if data is None:
+            data = held.complete()
+        checksum = crc32(data)
+        offset = 0
+        if is_complete and follower.progress:
+            progress = follower.progress
+            if (progress.revision, progress.checksum) == (revision, checksum):
+                offset = min(progress.received_bytes, len(data))
+                telemetry.count("links.lists_resumed")
+        telemetry.count("links.complete_lists_sent" if is_complete else "links.changes_sent")
+        follower.progress = None
+        await self.send(follower, ListStart(revision, is_complete, len(data), checksum, offset))
+        for at in range(offset, len(data), PART_BYTES):
+            await self.send(follower, ListPart(data[at : at + PART_BYTES]))
+            await self.send_drain_notices(follower, held)
+        follower.revision = revision
+
+    async def send_drain_notices(self, follower: FollowerConnection, held: EndpointList) -> None:
+        """Send drains ahead of the list that holds them.
+
+        Guards against a drain that waits behind a large list on a slow link: it goes between its
+        parts, and over the links of witnesses, which carry no lists.
+        """
+        if held.revision == follower.notified_revision or held.revision < 0:
+            return
+        revision = held.revision
+        entries = held.closed_since(follower.notified_revision)
+        follower.notified_revision = revision
+        if not entries:
+            return
+        if not follower.hello.heartbeats_only and held.knows_changes_since(follower.revision):
+            return  # the changes themselves come next, and are as short
+        encoded = [orjson.dumps(entry) for entry in entries]
+        for chunk in json_array_chunks(encoded, MAX_DRAIN_NOTICE_BYTES):
+            self.owner.telemetry.count("links.drain_notices_sent")
+            await self.send(follower, DrainNoticeFrame(revision, chunk))
+
+    async def send(self, follower: FollowerConnection, frame: Frame) -> None:
+        """Send a frame.
+
+        Raises:
+            TimeoutError: the other end takes nothing any more.
+        """
+        data = encode_frame(frame)
+        self.owner.telemetry.count("links.bytes_sent", len(data))
+        follower.writer.write(data)
+        async with asyncio.timeout(WRITE_TIMEOUT_S):
+            await follower.writer.drain()
--- a/plankroute/net/peers/shared_discovery.py
+++ b/plankroute/net/peers/shared_discovery.py
@@ -1,33 +1,24 @@
-"""Discovery shared among stewards: a few watch the list service, the others take lists from them over links.
+"""Discovery shared among controllers: a few watch the list service, the others follow them.
 
-Who and whom is `coldstart.follow`'s to decide; here its actions meet sockets, log lines and counters."""
+Who follows whom is `cold_start.watcher_election`'s to decide; here its commands meet sockets, log
+lines and counters.
+"""
 
 import asyncio
 from collections.abc import Callable
-from typing import Any, Literal
+from typing import Literal
 
 import msgspec
 import orjson
 
-from plankroute.cold_start.backoff import BackoffFacts, Event, RequestScheduler, Started
-from plankroute.cold_start.endpoint_list import EndpointList, ListReceiver
-from plankroute.cold_start.link_codec import (
-    LINK_VERSION,
-    DrainNoticeFrame,
-    Frame,
-    HealthCheckResults,
-    Heartbeat,
-    Hello,
-    ListPart,
-    ListStart,
-)
-from plankroute.cold_start.watcher_election import (
-    NEVER_HEARD_US,
-    TICK_US,
+from plankroute.cold_start.backoff import BackoffFacts, RequestScheduler, Started
+from plankroute.cold_start.backoff import Event as BackoffEvent
+from plankroute.cold_start.election_messages import (
     Command,
     Connect,
     Disconnect,
     ElectionFacts,
+    Event,
     FrameReceived,
     HeartbeatReceived,
     LinkClosed,
@@ -36,34 +27,64 @@
     ReportTransition,
     SetWatch,
     TickDue,
-    WatcherElection,
+    Transition,
 )
-from plankroute.cold_start.watcher_election import Event as FollowEvent
+from plankroute.cold_start.endpoint_list import NO_REVISION, EndpointList, RawList
+from plankroute.cold_start.followed_links import NEVER_HEARD_US
+from plankroute.cold_start.link_codec import (
+    LINK_VERSION,
+    DrainNoticeFrame,
+    Frame,
+    HealthCheckResults,
+    Heartbeat,
+    Hello,
+    ListPart,
+    ListStart,
+)
+from plankroute.cold_start.list_receiver import ListTransferError
+from plankroute.cold_start.watcher_election import TICK_US, WatcherElection
 from plankroute.net.discovery.backoff_watch import BackoffDiscovery
 from plankroute.net.discovery.catalogue import STATES
 from plankroute.net.discovery.watch import Discovery
 from plankroute.net.peers.drain_notices import DrainNoticeOverlay
-from plankroute.net.peers.links import LinkClient, LinkServer
+from plankroute.net.peers.link_client import LinkClient, LinkError, LinkTarget
+from plankroute.net.peers.link_server import LinkServer
+from plankroute.net.peers.list_transfers import ListTransfers
 from plankroute.net.peers.membership import MembershipService
 from plankroute.net.process.address import host_and_port
 from plankroute.net.process.clock import monotonic_us as now_us
 
-PLACE_US = 200_000  # between first calls of watchers: the second finds the list on its way already
-OPEN_EVERY_S = 1.0  # between tries for an address that is held
+SECOND_US = 1_000_000
+# Between first requests of watchers: the second finds the list on its way already. A guess.
+WATCHER_STAGGER_US = 200_000
+BIND_RETRY_S = 1.0  # between tries for an address that is in use
 WARNINGS = frozenset(
-    {"left_behind", "left_old", "left_ahead", "left_stalled", "began_anew", "on_its_own"}
+    {
+        Transition.LEFT_BEHIND,
+        Transition.LEFT_STALE,
+        Transition.LEFT_AHEAD,
+        Transition.LEFT_STALLED,
+        Transition.LIST_RESTARTED,
+        Transition.INDEPENDENT,
+    }
 )
 
 
-class Closed(msgspec.Struct):
-    """Of an entry of the list, what a drain ahead of it needs."""
+class ClosedEntry(msgspec.Struct):
+    """Of an entry of the list, what a drain notice needs."""
 
     uid: str
     state: Literal["DRAINING", "DELETED"]
 
 
 class SharedDiscovery(BackoffDiscovery):
-    """Needs membership; `prepare_links` before `start`."""
+    """Needs membership; `prepare_links` before `start`.
+
+    Attributes:
+        endpoint_list: what is held, and handed on.
+        drain_notices: laid over all lists.
+        result_listener: takes health checks of other controllers.
+    """
 
     def prepare_links(
         self,
@@ -71,250 +92,304 @@
         facts: ElectionFacts,
         listen: str,
         port: int,
-        call: BackoffFacts,
+        backoff: BackoffFacts,
         seed: int,
     ) -> None:
-        self.members, self.roles, self.listen, self.port = (
-            members,
-            WatcherElection(facts),
-            listen,
-            port,
-        )
-        self.name, self.group, self.call_facts, self.seed = facts.name, facts.group, call, seed
-        self.held, self.server = EndpointList(), LinkServer(self)
-        self.ahead = DrainNoticeOverlay(self.directory, self.telemetry, self.submit)
-        self.list_filter = self.ahead.over
+        """Set what the constructor, which is Discovery's, does not take.
+
+        Args:
+            members: tells which controllers are there.
+            facts: settings of the election.
+            listen: "host:port" at which links are accepted.
+            port: at which all others are reached.
+            backoff: settings of requests to the list service.
+            seed: of the jitter.
+        """
+        self.members = members
+        self.election = WatcherElection(facts)
+        self.listen = listen
+        self.port = port
+        self.name = facts.name
+        self.group = facts.group
+        self.backoff_facts = backoff
+        self.seed = seed
+        self.endpoint_list = EndpointList()
+        self.server = LinkServer(self)
+        self.drain_notices = DrainNoticeOverlay(self.directory, self.telemetry, self.submit)
+        self.list_filter = self.drain_notices.filter_list
         self.clients: dict[str, LinkClient] = {}
-        self.incoming: dict[str, ListReceiver] = {}
-        self.partial: ListReceiver | None = (
-            None  # what has come of a whole list, wherever it goes on
-        )
-        self.anew = set[str]()
-        self.calling: asyncio.Task[None] | None = None
-        self.serving: asyncio.Task[None] | None = None
-        self.version = -1
-        self.on_results: Callable[[HealthCheckResults], None] = lambda frame: None
-
-    def start(self, known: Any) -> None:
-        """Guards against changes since the list handed over that are taken for a whole one, and handed on."""
+        self.transfers = ListTransfers(self.limits.max_body_bytes)
+        self.full_list_from = set[str]()  # asked for the complete list, whatever is held
+        self.requesting: asyncio.Task[None] | None = None
+        self.opening: asyncio.Task[None] | None = None
+        self.members_version = -1
+        self.result_listener: Callable[[HealthCheckResults], None] = lambda frame: None
+
+    def start(self, known: RawList) -> None:
+        """Start with the list that was known before, if any.
+
+        Guards against changes since the list handed over that are taken for a complete one, and
+        handed on.
+        """
         super().start(known)
         if self.revision is not None:
-            self.held.take(known)
-            self.work([ListUpdated(self.held.revision, False)])
-        self.serving = asyncio.create_task(self.serve())
+            self.endpoint_list.apply(known)
+            self.deliver([ListUpdated(self.endpoint_list.revision, from_service=False)])
+        self.opening = asyncio.create_task(self.open_server())
 
     def close(self) -> None:
-        for task in (self.calling, self.serving):
+        """End all links and requests."""
+        for task in (self.requesting, self.opening):
             if task:
                 task.cancel()
         for client in self.clients.values():
-            client.hang()
+            client.close()
         self.server.close()
         super().close()
 
-    async def serve(self) -> None:
+    async def open_server(self) -> None:
         """Guards against an address that the process before still holds."""
         while True:
             try:
                 await self.server.open(self.listen)
                 break
             except OSError as error:
-                self.telemetry.log_once("links_address_held", address=self.listen, why=str(error))
-                await asyncio.sleep(OPEN_EVERY_S)
+                self.telemetry.log_once("links_address_in_use", address=self.listen, why=str(error))
+                await asyncio.sleep(BIND_RETRY_S)
         self.telemetry.log.event("info", "links_open", address=self.listen)
 
+    # The election
+
     async def watch_forever(self) -> None:
-        """The beats of who follows whom; calls to the service are a task of their own."""
+        """The election's ticks; requests to the service are a task of their own."""
         while True:
-            events: list[FollowEvent] = [TickDue()]
+            events: list[Event] = [TickDue()]
             table = self.members.core.table
-            if table.version != self.version:
-                self.version = table.version
-                events.append(
-                    LiveControllersChanged(
-                        frozenset(table.record_at(place).name for place in table.living_indexes())
-                    )
-                )
-            self.work(events)
-            self.ahead.reopen(self.ahead.core.expire(now_us()))
-            await asyncio.sleep(TICK_US / 1e6)
-
-    def work(self, events: list[FollowEvent]) -> None:
-        """An error of ours is logged with its place, and must not leave the steward without beats."""
+            if table.version != self.members_version:
+                self.members_version = table.version
+                names = frozenset(table.record_at(index).name for index in table.living_indexes())
+                events.append(LiveControllersChanged(names))
+            self.deliver(events)
+            self.drain_notices.expire()
+            await asyncio.sleep(TICK_US / SECOND_US)
+
+    def deliver(self, events: list[Event]) -> None:
+        """One step; an error of ours is logged, and must not leave the controller without ticks."""
         try:
-            for action in self.roles.deliver(now_us(), events):
-                self.carry_out(action)
+            for command in self.election.deliver(now_us(), events):
+                self.carry_out(command)
         except Exception as error:
-            self.telemetry.failed("follow", error)
+            self.telemetry.failed("election", error)
 
-    def carry_out(self, action: Command) -> None:
-        match action:
+    def carry_out(self, command: Command) -> None:
+        """Carry out one command of the election."""
+        match command:
             case Connect():
-                self.dial(action)
+                self.connect(command)
             case Disconnect(name):
-                self.hang(name)
-            case SetWatch(on, place):
-                if self.calling:
-                    self.calling.cancel()
-                self.calling = asyncio.create_task(self.calls(place)) if on else None
-            case ReportTransition(what, name):
-                self.telemetry.count(f"follow.{what}")
-                level = "warning" if what in WARNINGS else "info"
-                self.telemetry.log.event(
-                    level, f"follow_{what}", other=name, revision=self.held.revision
-                )
-                if what == "left_ahead":
-                    self.ahead.reopen(self.ahead.core.left(name))
-
-    async def calls(self, place: int | None) -> None:
-        """To the service: a watcher at once, and in rounds of the few watchers; else as everybody alone."""
-        caller = self.caller
-        event: Event = Started()
-        if place is not None:
-            caller = RequestScheduler(
+                self.disconnect(name)
+            case SetWatch(is_enabled, watcher_rank):
+                self.set_watch(is_enabled, watcher_rank)
+            case ReportTransition(transition, name):
+                self.report(transition, name)
+
+    def set_watch(self, is_enabled: bool, watcher_rank: int | None) -> None:
+        """Start requests to the list service, or end them."""
+        if self.requesting:
+            self.requesting.cancel()
+            self.requesting = None
+        if is_enabled:
+            self.requesting = asyncio.create_task(self.request_as(watcher_rank))
+
+    async def request_as(self, watcher_rank: int | None) -> None:
+        """Watch the service: a watcher at once, in rounds of the few watchers; else by own rank."""
+        scheduler = self.scheduler
+        event: BackoffEvent = Started()
+        if watcher_rank is not None:
+            scheduler = RequestScheduler(
                 BackoffFacts(
-                    place,
-                    self.roles.facts.watchers,
-                    self.call_facts.calls_a_second,
-                    self.call_facts.pause_most_us,
-                    self.call_facts.retry_after_most_us,
+                    rank=watcher_rank,
+                    controller_count=self.election.facts.watcher_count,
+                    requests_per_second=self.backoff_facts.requests_per_second,
+                    max_pause_us=self.backoff_facts.max_pause_us,
+                    max_retry_after_us=self.backoff_facts.max_retry_after_us,
                 ),
                 self.seed,
             )
-            await asyncio.sleep(place * PLACE_US / 1e6)
-            event = await self.call_once()
-        await self.call_on(caller, event)
+            await asyncio.sleep(watcher_rank * WATCHER_STAGGER_US / SECOND_US)
+            event = await self.request_once()
+        await self.request_forever(scheduler, event)
+
+    def report(self, transition: Transition, name: str) -> None:
+        """Log and count what the election has done."""
+        self.telemetry.count(f"election.{transition.value}")
+        self.telemetry.log.event(
+            "warning" if transition in WARNINGS else "info",
+            f"election_{transition.value}",
+            other=name,
+            revision=self.endpoint_list.revision,
+        )
+        if transition is Transition.LEFT_AHEAD:
+            self.drain_notices.retract(name)
 
-    # What the service and others say
+    # Lists of the service and of other controllers
 
     def record_contact(self) -> None:
         """A watch that goes on from the revision held says that the service knows it."""
         super().record_contact()
-        if self.roles.is_asking and self.held.revision >= 0:
-            self.work([ListUpdated(self.held.revision, True)])
+        if self.election.is_asking_service and self.endpoint_list.revision >= 0:
+            self.deliver([ListUpdated(self.endpoint_list.revision, from_service=True)])
 
     def accept_list(self, text: bytes) -> bool:
         """The service's own word."""
         if not super().accept_list(text):
             return False
-        self.believe(text, by_service=True)
+        self.hold_list(text, from_service=True)
         return True
 
-    def believe(self, text: bytes, by_service: bool) -> None:
-        self.held.take(orjson.loads(text))
-        self.server.changed()
-        self.work([ListUpdated(self.held.revision, by_service)])
+    def hold_list(self, text: bytes, from_service: bool) -> None:
+        """Hold a list that was accepted, and hand it on."""
+        self.endpoint_list.apply(orjson.loads(text))
+        self.server.on_list_changed()
+        self.deliver([ListUpdated(self.endpoint_list.revision, from_service)])
+
+    def accept_list_from(self, name: str, text: bytes) -> None:
+        """A list from another controller.
+
+        A lower revision never replaces a higher one, but where the service began anew, as two that
+        are followed say.
 
-    def take_from(self, name: str, text: bytes) -> str | None:
-        """A list from another steward; why it is refused, if so. A lower revision never replaces a higher
-        one, but where the service began anew, as two that are followed say."""
+        Raises:
+            LinkError: it is no list.
+        """
         try:
             revision = orjson.loads(text)["rev"]
-        except (ValueError, KeyError, TypeError):
-            return "no list"
-        if not isinstance(revision, int) or (
-            revision < self.held.revision and name not in self.anew
-        ):
-            self.telemetry.count("links.dropped.lower")
-            return (
-                None if isinstance(revision, int) else "no list"
-            )  # what it goes on to say may explain it
-        self.anew.discard(name)
+        except (ValueError, KeyError, TypeError) as error:
+            raise LinkError("no list") from error
+        is_lower = isinstance(revision, int) and revision < self.endpoint_list.revision
+        if not isinstance(revision, int) or (is_lower and name not in self.full_list_from):
+            self.telemetry.count("links.dropped.lower_revision")
+            if isinstance(revision, int):
+                return  # what the controller goes on to say may explain it
+            raise LinkError("no list")
+        self.full_list_from.discard(name)
         if not Discovery.accept_list(self, text):
-            return "no list"
-        self.believe(text, by_service=False)
-        return None
-
-    def hear_frame(self, name: str, frame: Frame) -> str | None:
-        """Why the link is of no more use, if so."""
-        incoming = self.incoming.setdefault(name, ListReceiver(self.limits.max_body_bytes))
-        objection: str | None = None
+            raise LinkError("no list")
+        self.hold_list(text, from_service=False)
+
+    # Frames
+
+    def on_frame(self, name: str, frame: Frame) -> None:
+        """Take a frame of a controller that is followed.
+
+        Raises:
+            LinkError: the link is of no more use.
+        """
+        try:
+            self.handle_frame(name, frame)
+        except (LinkError, ListTransferError) as error:
+            self.telemetry.count("links.protocol_errors")
+            self.telemetry.log.event("warning", "link_protocol_error", other=name, why=str(error))
+            raise LinkError(str(error)) from error
+
+    def handle_frame(self, name: str, frame: Frame) -> None:
+        """Handle a frame by its kind.
+
+        Raises:
+            LinkError: it is not for this side, or can't be read.
+            ListTransferError: a list can't be taken.
+        """
         match frame:
-            case ListStart(revision, whole, size, check, offset):
-                if offset and self.partial:
-                    incoming, self.incoming[name] = self.partial, self.partial
-                objection = incoming.begin(revision, whole, size, check, offset)
-                self.work([FrameReceived(name)])
+            case ListStart():
+                try:
+                    self.transfers.receiver_for_start(name, frame).start(frame)
+                finally:
+                    self.deliver([FrameReceived(name)])
             case ListPart(data):
-                self.work([FrameReceived(name)])
-                text, objection = incoming.add(data)
+                receiver = self.transfers.receiver_of(name)
+                self.deliver([FrameReceived(name)])
+                text = receiver.add(data)
                 if text is not None:
-                    objection = self.take_from(name, text)
+                    self.accept_list_from(name, text)
             case Heartbeat(revision, age_us):
-                if not self.roles.is_watching and age_us < NEVER_HEARD_US:
-                    self.has_contact, self.last_contact_us = (
-                        True,
-                        max(self.last_contact_us, now_us() - age_us),
-                    )
-                    self.mend_age()
-                self.work([HeartbeatReceived(name, revision, age_us)])
+                self.on_heartbeat(name, revision, age_us)
             case HealthCheckResults():
-                self.heard_results(frame)
-            case DrainNoticeFrame(revision, targets):
-                self.work([FrameReceived(name)])
-                objection = self.heard_drains(name, revision, targets)
+                self.on_health_checks(frame)
+            case DrainNoticeFrame(revision, entries):
+                self.deliver([FrameReceived(name)])
+                self.on_drain_notices(name, revision, entries)
             case _:
-                objection = "not for this side"
-        if objection:
-            self.telemetry.count("links.objected")
-            self.telemetry.log.event("warning", "link_objected", other=name, why=objection)
-        return objection
-
-    def heard_results(self, frame: HealthCheckResults) -> None:
-        self.on_results(frame)
-
-    def heard_drains(self, name: str, revision: int, targets: bytes) -> str | None:
-        """Why they can't be read, if so."""
+                raise LinkError("not for this side")
+
+    def on_heartbeat(self, name: str, revision: int, age_us: int) -> None:
+        """A followed controller's contact with the service is this one's too."""
+        if not self.election.is_watching and age_us < NEVER_HEARD_US:
+            self.has_contact = True
+            self.last_contact_us = max(self.last_contact_us, now_us() - age_us)
+            self.clear_old()
+        self.deliver([HeartbeatReceived(name, revision, age_us)])
+
+    def on_health_checks(self, frame: HealthCheckResults) -> None:
+        """Results of another controller, whichever side dialled."""
+        self.result_listener(frame)
+
+    def on_drain_notices(self, name: str, revision: int, entries: bytes) -> None:
+        """Drains ahead of their list.
+
+        Raises:
+            LinkError: they can't be read.
+        """
         try:
-            said = msgspec.json.decode(targets, type=list[Closed])
-        except msgspec.MsgspecError:
-            return "no drains"
-        self.ahead.hear(name, revision, [(item.uid, STATES[item.state]) for item in said])
-        return None
+            closed = msgspec.json.decode(entries, type=list[ClosedEntry])
+        except msgspec.MsgspecError as error:
+            raise LinkError("no drains") from error
+        states = [(entry.uid, STATES[entry.state]) for entry in closed]
+        self.drain_notices.receive(name, revision, states)
 
     # Links
 
-    def dial(self, wanted: Connect) -> None:
-        table = self.members.core.table
-        place = table.index_by_name.get(wanted.name)
-        if place is None:
-            return self.work([LinkClosed(wanted.name)])
-        address = host_and_port(table.record_at(place).address)[0], self.port
-        if wanted.anew:
-            self.anew.add(wanted.name)
-        partial = self.partial.partial() if self.partial and not wanted.light else None
-        revision = -1 if wanted.anew else self.held.revision
-        hello = Hello(LINK_VERSION, self.group, self.name, revision, wanted.light, partial)
-        self.clients[wanted.name] = LinkClient(
-            self,
-            wanted.name,
-            address,
-            host_and_port(self.listen)[0],
-            hello,
-            self.hear_frame,
-            self.ended,
+    def connect(self, command: Connect) -> None:
+        """Dial a controller at the address that membership has."""
+        record = self.members.core.table.record_of(command.name)
+        if record is None:
+            self.deliver([LinkClosed(command.name)])
+            return
+        if command.full_list:
+            self.full_list_from.add(command.name)
+        hello = Hello(
+            version=LINK_VERSION,
+            group=self.group,
+            name=self.name,
+            revision=NO_REVISION if command.full_list else self.endpoint_list.revision,
+            heartbeats_only=command.heartbeats_only,
+            progress=None if command.heartbeats_only else self.transfers.progress(),
         )
+        host, _ = host_and_port(record.address)
+        own_host, _ = host_and_port(self.listen)
+        target = LinkTarget(command.name, (host, self.port), own_host)
+        self.clients[command.name] = LinkClient(target, hello, self.on_frame, self.on_link_closed)
 
-    def ended(self, client: LinkClient, why: str) -> None:
+    def on_link_closed(self, client: LinkClient, reason: str) -> None:
+        """The other end has closed a link, or it broke."""
         if self.clients.get(client.name) is client:
-            self.telemetry.count("links.ended")
-            self.forget(client.name)
-            self.work([LinkClosed(client.name)])
-
-    def hang(self, name: str) -> None:
-        if client := self.clients.get(name):
-            client.hang()
-            self.forget(name)
-
-    def forget(self, name: str) -> None:
-        """What had come of a whole list is kept for the next one."""
+            self.telemetry.count("links.closed")
+            self.forget_client(client.name)
+            self.deliver([LinkClosed(client.name)])
+
+    def disconnect(self, name: str) -> None:
+        """Close a link from this side."""
+        client = self.clients.get(name)
+        if client:
+            client.close()
+            self.forget_client(name)
+
+    def forget_client(self, name: str) -> None:
+        """The link is no more."""
         del self.clients[name]
-        incoming = self.incoming.pop(name, None)
-        if incoming and incoming.partial():
-            self.partial = incoming
+        self.transfers.end(name)
 
-    def tell_results(self, frame: HealthCheckResults) -> None:
-        """To those that are followed, and to those that follow."""
+    def share_health_checks(self, frame: HealthCheckResults) -> None:
+        """Send results to those that are followed, and to those that follow."""
         for client in self.clients.values():
-            client.say(frame)
+            client.send(frame)
         self.server.share(list(frame.results))
--- a/plankroute/net/peers/warm_start.py
+++ b/plankroute/net/peers/warm_start.py
@@ -18,7 +18,7 @@
     WarmStartRequest,
     encode_frame,
 )
-from plankroute.cold_start.watcher_election import rendezvous_order
+from plankroute.cold_start.rendezvous import rendezvous_order
 from plankroute.config.feature_file import WarmStartSection
 from plankroute.controller.controller import Controller
 from plankroute.events import events
@@ -26,7 +26,7 @@
 from plankroute.net.discovery.directory import Directory
 from plankroute.net.discovery.watch import Discovery
 from plankroute.net.peers.drain_notices import DrainNoticeOverlay
-from plankroute.net.peers.links import read_views, view_frames
+from plankroute.net.peers.link_frames import read_views, view_frames
 from plankroute.net.process.clock import monotonic_us as now_us
 from plankroute.net.process.file_store import ASIDE, Disk, Saver
 from plankroute.net.process.telemetry import Telemetry
@@ -228,7 +228,7 @@
                     )
                 )
             case Close(source, revision, closed):
-                self.ahead.hear(source, revision, closed)
+                self.ahead.receive(source, revision, closed)
             case Noted(source, taken, old, beaten):
                 for name, number in (("taken", taken), ("old", old), ("beaten", beaten)):
                     self.telemetry.count(f"learned.{name}", number)
--- a/plankroute/net/probing/shared_prober.py
+++ b/plankroute/net/probing/shared_prober.py
@@ -1,13 +1,14 @@
-"""Probes shared among stewards: of a survey of all hosts each steward asks its part, and takes the others'
-results.
+"""Health checks shared among controllers: each checks a part of all, and takes others' results.
 
-Who asks is `coldstart.probers`'s to decide; a result of others goes to the core as a note with its age."""
+Who checks which host is `cold_start.probe_sharing`'s to decide; a result of others goes to the
+controller as an event with its age.
+"""
 
 import asyncio
 from collections.abc import Callable
-from typing import Any
+from dataclasses import dataclass
 
-from plankroute.cold_start.link_codec import HealthCheckResults
+from plankroute.cold_start.link_codec import HealthCheckResults, SharedHealthCheck
 from plankroute.cold_start.probe_sharing import (
     RESULT_WAIT_US,
     SURVEY_MIN_HOSTS,
@@ -19,114 +20,169 @@
 from plankroute.net.probing.prober import HealthChecker
 from plankroute.net.process.clock import monotonic_us as now_us
 
-GATHER_S = 0.02  # results are told together: a survey's come some milliseconds apart
-MOST_TOLD = 200  # in one frame: 12 KB
+SECOND_US = 1_000_000
+# Results are sent together: a survey's come some milliseconds apart. A guess.
+GATHER_S = 0.02
+MAX_RESULTS_PER_FRAME = 200  # 12 KB
+
+
+@dataclass(frozen=True, slots=True)
+class UnsentResult:
+    """A result of this controller's own; `checked_us`: steady time."""
+
+    host: str
+    elapsed_us: int
+    checked_us: int
+    boot_ms: float
 
 
 class SharedHealthChecker(HealthChecker):
-    """`prepare_survey` before the first probe."""
+    """`prepare_survey` before the first health check.
+
+    Attributes:
+        batch: hosts that were ordered within one turn of the event loop.
+        surveyed: hosts of a survey that this controller checks itself.
+        awaited: by name, hosts whose result is expected from others.
+        unsent: results for the others.
+    """
 
     def prepare_survey(
         self,
         survey: Survey,
         zones: tuple[str, ...],
-        living: Callable[[], dict[str, str]],
-        tell: Callable[[HealthCheckResults], None],
+        live_controllers: Callable[[], dict[str, str]],
+        share: Callable[[HealthCheckResults], None],
     ) -> None:
-        self.survey, self.zone_names, self.living, self.tell = survey, zones, living, tell
-        self.to_core, self.submit = self.submit, self.on_result
+        """Set what the constructor, which is HealthChecker's, does not take.
+
+        Args:
+            survey: results that are known.
+            zones: names of the zones.
+            live_controllers: names of all controllers that are there, with their zones.
+            share: sends results to other controllers.
+        """
+        self.survey = survey
+        self.zone_names = zones
+        self.live_controllers = live_controllers
+        self.share = share
+        self.submit_to_controller = self.submit
+        self.submit = self.on_own_result
         self.batch: list[int] = []
         self.surveyed = set[int]()
         self.awaited: dict[str, int] = {}
-        self.untold: list[tuple[str, str, int, int, float]] = []
-        self.handle: asyncio.TimerHandle | None = None
+        self.unsent: list[UnsentResult] = []
+        self.sending: asyncio.TimerHandle | None = None
 
     def check(self, host: int) -> None:
-        """Orders of one batch come one after another: together they show whether it is a survey."""
+        """Order a health check.
+
+        Orders of one batch come one after another: together they show whether it is a survey.
+        """
         if not self.batch:
-            asyncio.get_running_loop().call_soon(self.sort)
+            asyncio.get_running_loop().call_soon(self.start_batch)
         self.batch.append(host)
 
-    def sort(self) -> None:
-        batch, self.batch = self.batch, []
+    def start_batch(self) -> None:
+        """Check a few hosts as usual, many as a survey."""
+        batch = self.batch
+        self.batch = []
         if len(batch) < SURVEY_MIN_HOSTS:
             for host in batch:
                 super().check(host)
             return
-        self.survey.zones = self.living()
+        self.survey.zones = self.live_controllers()
         self.telemetry.count("survey.hosts", len(batch))
         for host in batch:
             if host in self.directory.hosts:
-                self.ask(host)
+                self.survey_host(host)
         if self.awaited:
-            asyncio.get_running_loop().call_later(RESULT_WAIT_US / 1e6, self.awaited.clear)
+            wait_s = RESULT_WAIT_US / SECOND_US
+            asyncio.get_running_loop().call_later(wait_s, self.awaited.clear)
 
-    def ask(self, host: int) -> None:
+    def survey_host(self, host: int) -> None:
+        """Check a host, take a result that is fresh, or wait for another controller's."""
         known = self.directory.hosts[host]
         zone = self.zone_names[known.entry.zone] if known.entry else ""
-        if self.survey.is_mine(known.uid, zone):
+        if self.survey.is_assigned(known.uid, zone):
             self.surveyed.add(host)
             super().check(host)
-        elif result := self.survey.fresh(known.uid, known.boot_ms, now_us()):
-            self.note(host, result)
+            return
+        result = self.survey.fresh_result(known.uid, known.boot_ms, now_us())
+        if result:
+            self.submit_shared(host, result)
         else:
             self.awaited[known.uid] = host
 
-    def note(self, host: int, result: SharedResult) -> None:
-        self.telemetry.count("survey.taken")
-        age_us = max(0, now_us() - result.at_us)
-        self.to_core(
+    def submit_shared(self, host: int, result: SharedResult) -> None:
+        """Submit a result of another controller with its age."""
+        self.telemetry.count("survey.results_used")
+        age_us = max(0, now_us() - result.checked_us)
+        self.submit_to_controller(
             events.HealthCheckResult(
                 host, HealthCheckOutcome.ANSWERED, result.elapsed_us, None, age_us
             )
         )
 
-    def on_result(self, note: Any) -> None:
-        """Of a probe of its own; an answer to a survey is told to the others. What failed is not: each
-        steward
-        finds that out for itself before it believes it."""
-        if isinstance(note, events.HealthCheckResult) and note.host in self.surveyed:
-            self.surveyed.discard(note.host)
-            known = self.directory.hosts.get(note.host)
-            if known and note.outcome is HealthCheckOutcome.ANSWERED:
-                self.survey.keep(known.uid, SharedResult(note.elapsed_us, now_us(), known.boot_ms))
-                self.untold.append(
-                    (known.uid, note.outcome.value, note.elapsed_us, now_us(), known.boot_ms)
-                )
-                if self.handle is None:
-                    self.handle = asyncio.get_running_loop().call_later(GATHER_S, self.tell_all)
-        self.to_core(note)
-
-    def tell_all(self) -> None:
-        """Times become ages: the clocks of others know nothing of this one's."""
-        self.handle, now = None, now_us()
-        untold, self.untold = self.untold, []
-        for at in range(0, len(untold), MOST_TOLD):
-            self.telemetry.count("survey.told", len(untold[at : at + MOST_TOLD]))
-            self.tell(
+    def on_own_result(self, event: events.Event) -> None:
+        """A health check of this controller's own has ended.
+
+        An answer to a survey is shared. A failure is not: each controller finds that out for itself
+        before it believes it.
+        """
+        if isinstance(event, events.HealthCheckResult) and event.host in self.surveyed:
+            self.surveyed.discard(event.host)
+            if event.outcome is HealthCheckOutcome.ANSWERED:
+                self.queue_result(event.host, event.elapsed_us)
+        self.submit_to_controller(event)
+
+    def queue_result(self, host: int, elapsed_us: int) -> None:
+        """Keep a result for the others, and send it soon."""
+        known = self.directory.hosts.get(host)
+        if known is None:
+            return
+        self.survey.keep(known.uid, SharedResult(elapsed_us, now_us(), known.boot_ms))
+        self.unsent.append(UnsentResult(known.uid, elapsed_us, now_us(), known.boot_ms))
+        if self.sending is None:
+            loop = asyncio.get_running_loop()
+            self.sending = loop.call_later(GATHER_S, self.send_results)
+
+    def send_results(self) -> None:
+        """Send all results with their ages: others' clocks know nothing of this one's."""
+        self.sending = None
+        sent_us = now_us()
+        unsent = self.unsent
+        self.unsent = []
+        for at in range(0, len(unsent), MAX_RESULTS_PER_FRAME):
+            chunk = unsent[at : at + MAX_RESULTS_PER_FRAME]
+            self.telemetry.count("survey.results_sent", len(chunk))
+            self.share(
                 HealthCheckResults(
                     tuple(
-                        (uid, outcome, took, now - told, configuration)
-                        for uid, outcome, took, told, configuration in untold[at : at + MOST_TOLD]
+                        SharedHealthCheck(
+                            result.host,
+                            HealthCheckOutcome.ANSWERED.value,
+                            result.elapsed_us,
+                            sent_us - result.checked_us,
+                            result.boot_ms,
+                        )
+                        for result in chunk
                     )
                 )
             )
 
-    def hear(self, frame: HealthCheckResults) -> None:
-        """Others' results: answered ones, of hosts that are listed here."""
-        for uid, outcome, elapsed_us, age_us, boot_ms in frame.results:
-            host = self.directory.ids.get(uid)
-            if (
-                host is None
-                or outcome != HealthCheckOutcome.ANSWERED.value
-                or elapsed_us <= 0
-                or age_us < 0
-            ):
-                continue
-            result = SharedResult(elapsed_us, now_us() - age_us, boot_ms)
-            if (
-                self.survey.keep(uid, result)
-                and uid in self.awaited
-                and self.survey.fresh(uid, self.directory.hosts[host].boot_ms, now_us())
-            ):
-                self.note(self.awaited.pop(uid), result)
+    def on_results(self, frame: HealthCheckResults) -> None:
+        """Take others' results: answered ones, of hosts that are listed here."""
+        for check in frame.results:
+            host = self.directory.ids.get(check.host)
+            is_answered = check.outcome == HealthCheckOutcome.ANSWERED.value
+            if host is not None and is_answered and check.elapsed_us > 0 and check.age_us >= 0:
+                self.take_shared(host, check)
+
+    def take_shared(self, host: int, check: SharedHealthCheck) -> None:
+        """Keep the result of another controller, and submit it where it is awaited."""
+        result = SharedResult(check.elapsed_us, now_us() - check.age_us, check.boot_ms)
+        if not self.survey.keep(check.host, result) or check.host not in self.awaited:
+            return
+        boot_ms = self.directory.hosts[host].boot_ms
+        if self.survey.fresh_result(check.host, boot_ms, now_us()):
+            self.submit_shared(self.awaited.pop(check.host), result)
--- a/plankroute/net/process/optional_features.py
+++ b/plankroute/net/process/optional_features.py
@@ -5,9 +5,9 @@
 from typing import TYPE_CHECKING, Any
 
 from plankroute.cold_start.backoff import BackoffFacts
+from plankroute.cold_start.election_messages import ElectionFacts
 from plankroute.cold_start.link_codec import HealthCheckResults
 from plankroute.cold_start.probe_sharing import Survey
-from plankroute.cold_start.watcher_election import ElectionFacts
 from plankroute.config.feature_file import ColdStartSection, FeatureFile
 from plankroute.controller.controller import Controller
 from plankroute.events import events
@@ -81,10 +81,13 @@
             self.me.name, part.probers, part.stewards or self.configuration.facts.controller_count
         )
         prober.prepare_survey(
-            survey, self.configuration.zones, self.living, shared.tell_results if shared else drop
+            survey,
+            self.configuration.zones,
+            self.living,
+            shared.share_health_checks if shared else drop,
         )
         if shared:
-            shared.on_results = prober.hear
+            shared.result_listener = prober.on_results
         return prober
 
     def living(self) -> dict[str, str]:
@@ -105,8 +108,10 @@
         from plankroute.net.peers.warm_start import WarmStartService
 
         shared, telemetry = self.shared, self.telemetry
-        ahead = shared.ahead if shared else DrainNoticeOverlay(directory, telemetry, self.put)
-        discovery.list_filter = ahead.over
+        ahead = (
+            shared.drain_notices if shared else DrainNoticeOverlay(directory, telemetry, self.put)
+        )
+        discovery.list_filter = ahead.filter_list
         group, own_host = (shared.group, host_and_port(shared.listen)[0]) if shared else ("", "")
         self.learned = WarmStartService(part, self.me.name, group, own_host, telemetry, self.put)
         self.learned.attach(controller, directory, discovery, ahead)
@@ -165,9 +170,9 @@
     return BackoffFacts(
         rank=configuration.facts.controller_rank if part.rank is None else part.rank,
         controller_count=part.stewards or configuration.facts.controller_count,
-        calls_a_second=part.calls_a_second,
-        pause_most_us=int(part.pause_most_s * 1e6),
-        retry_after_most_us=int(part.retry_after_most_s * 1e6),
+        requests_per_second=part.calls_a_second,
+        max_pause_us=int(part.pause_most_s * 1e6),
+        max_retry_after_us=int(part.retry_after_most_s * 1e6),
     )
 
 
--- a/plankroute/testbed/cold_start_cases.py
+++ b/plankroute/testbed/cold_start_cases.py
@@ -17,7 +17,7 @@
     ListStart,
     encode_frame,
 )
-from plankroute.cold_start.watcher_election import rendezvous_order
+from plankroute.cold_start.rendezvous import rendezvous_order
 from plankroute.testbed.cold_host_load import ColdFacts
 from plankroute.testbed.cold_start import Case, ColdStart
 from plankroute.testbed.faults import SECOND, Act, Rule, Script, Step, partition, pauses
@@ -356,7 +356,7 @@
         line
         for lines in fleet.lines
         for line in lines
-        if line.get("event") in ("follow_failed", "core_failed")
+        if line.get("event") in ("election_failed", "core_failed")
     ]
     return out + [str(line) for line in bad]
 
@@ -508,7 +508,7 @@
             for lines in start.fleet.lines
             for line in lines
             if line.get("event")
-            in ("follow_failed", "core_failed", "membership_core_failed", "discovery_failed")
+            in ("election_failed", "core_failed", "membership_core_failed", "discovery_failed")
         ]
         return objections + [str(line) for line in failed[:3]], msgspec.to_builtins(start.seen())
     finally:
--- a/tests/cold_start/test_cold_start_golden.py
+++ b/tests/cold_start/test_cold_start_golden.py
@@ -15,21 +15,7 @@
     Started,
     WatchEnded,
 )
-from plankroute.cold_start.link_codec import (
-    DrainNoticeFrame,
-    Frame,
-    FrameDecoder,
-    HealthCheckResults,
-    Heartbeat,
-    Hello,
-    ListPart,
-    ListStart,
-    WarmStartHandover,
-    WarmStartRequest,
-    WarmStartView,
-    encode_frame,
-)
-from plankroute.cold_start.watcher_election import (
+from plankroute.cold_start.election_messages import (
     Command,
     Connect,
     Disconnect,
@@ -43,13 +29,39 @@
     ReportTransition,
     SetWatch,
     TickDue,
-    WatcherElection,
+    Transition,
+)
+from plankroute.cold_start.link_codec import (
+    DrainNoticeFrame,
+    Frame,
+    FrameDecoder,
+    HealthCheckResults,
+    Heartbeat,
+    Hello,
+    ListPart,
+    ListProgress,
+    ListStart,
+    SharedHealthCheck,
+    WarmStartHandover,
+    WarmStartRequest,
+    WarmStartView,
+    encode_frame,
 )
+from plankroute.cold_start.watcher_election import WatcherElection
 from plankroute.seeded_random import SeededRandom
 
 SECOND = 1_000_000
+# Digests were recorded when these transitions had other names.
+RECORDED_AS = {
+    Transition.INDEPENDENT: "on_its_own",
+    Transition.LIST_RESTARTED: "began_anew",
+    Transition.LEFT_STALE: "left_old",
+}
 FRAMES: dict[str, tuple[Frame, str]] = {
-    "hello": (Hello(2, "g", "n1", 5, False, (7, 8, 9)), "0000000e970102a167a26e3105c293070809"),
+    "hello": (
+        Hello(2, "g", "n1", 5, False, ListProgress(7, 8, 9)),
+        "0000000e970102a167a26e3105c293070809",
+    ),
     "hello without a partial list": (
         Hello(2, "g", "n1", -1, True),
         "0000000b970102a167a26e31ffc3c0",
@@ -58,7 +70,7 @@
     "list part": (ListPart(b"part"), "000000089203c40470617274"),
     "heartbeat": (Heartbeat(5, 250_000), "00000008930405ce0003d090"),
     "health check results": (
-        HealthCheckResults((("h1", "answered", 900, 40, 5.5),)),
+        HealthCheckResults((SharedHealthCheck("h1", "answered", 900, 40, 5.5),)),
         "0000001d92059195a26831a8616e737765726564cd038428cb4016000000000000",
     ),
     "drain notice": (
@@ -87,7 +99,7 @@
         case SetWatch(on, place):
             return "watch", on, place
         case ReportTransition(what, name):
-            return "noted", str(getattr(what, "value", what)), name
+            return "noted", RECORDED_AS.get(what, what.value), name
 
 
 def drawn_event(chance: SeededRandom, names: list[str], linked: list[str]) -> Event:
@@ -117,7 +129,7 @@
     now_us = 0
     for _ in range(4000):
         now_us += int(chance.draw() * SECOND // 3) + (chance.draw() < 0.01) * 3 * SECOND
-        linked = list(election.state.links)
+        linked = list(election.links)
         events = [drawn_event(chance, names, linked) for _ in range(int(chance.draw() * 3))]
         for action in election.deliver(now_us, events):
             words = words_of(action)
--- a/tests/test_coldstart.py
+++ b/tests/test_coldstart.py
@@ -5,22 +5,34 @@
 from collections import Counter
 from zlib import crc32
 
+import msgspec
 import orjson
 import pytest
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
 from plankroute.cold_start.backoff import (
-    BURST,
+    RETRY_BURST,
     BackoffFacts,
     RequestFailed,
     RequestScheduler,
     Started,
     WatchEnded,
-    retry_after_us,
 )
 from plankroute.cold_start.drain_notices import DrainNotices
-from plankroute.cold_start.endpoint_list import EndpointList, ListReceiver
+from plankroute.cold_start.election_messages import (
+    Connect,
+    Disconnect,
+    ElectionFacts,
+    HeartbeatReceived,
+    LinkClosed,
+    ListUpdated,
+    LiveControllersChanged,
+    ReportTransition,
+    SetWatch,
+    Transition,
+)
+from plankroute.cold_start.endpoint_list import EndpointList
 from plankroute.cold_start.link_codec import (
     LINK_VERSION,
     DrainNoticeFrame,
@@ -28,35 +40,28 @@
     Heartbeat,
     Hello,
     ListPart,
+    ListProgress,
     ListStart,
     encode_frame,
 )
+from plankroute.cold_start.list_receiver import ListReceiver, ListTransferError
 from plankroute.cold_start.probe_sharing import (
     SharedResult,
     Survey,
     assigned_controllers,
     is_sampled,
 )
-from plankroute.cold_start.watcher_election import (
-    Connect,
-    Disconnect,
-    ElectionFacts,
-    HeartbeatReceived,
-    LinkClosed,
-    ListUpdated,
-    LiveControllersChanged,
-    ReportTransition,
-    SetWatch,
-    WatcherElection,
-    rendezvous_order,
-)
+from plankroute.cold_start.rendezvous import rendezvous_order
+from plankroute.cold_start.retry_after import parse_retry_after
+from plankroute.cold_start.watcher_election import WatcherElection
 from plankroute.events import events
 from plankroute.events.events import HostState
 from plankroute.net.discovery.backoff_watch import BackoffDiscovery
 from plankroute.net.discovery.catalogue import list_from
 from plankroute.net.discovery.directory import Directory
 from plankroute.net.peers.drain_notices import DrainNoticeOverlay
-from plankroute.net.peers.links import LinkServer, json_array_chunks
+from plankroute.net.peers.link_frames import json_array_chunks
+from plankroute.net.peers.link_server import LinkServer
 from plankroute.net.process.clock import Clock
 from plankroute.net.process.telemetry import EventLog, Telemetry
 from plankroute.testbed.cold_start import Case, down_until, run_case
@@ -67,7 +72,7 @@
 
 
 def callers(stewards: int, rate: float = 20.0, **more) -> list[RequestScheduler]:
-    facts = {"pause_most_us": 60 * SECOND, "retry_after_most_us": 30 * SECOND} | more
+    facts = {"max_pause_us": 60 * SECOND, "max_retry_after_us": 30 * SECOND} | more
     return [
         RequestScheduler(BackoffFacts(rank, stewards, rate, **facts), rank + 1)
         for rank in range(stewards)
@@ -124,7 +129,7 @@
     for _ in range(40):
         now = caller.deliver(now, WatchEnded(1000)).due_us
         times.append(now)
-    assert busiest(times) <= BURST + 1 and times[-1] > 15 * SECOND
+    assert busiest(times) <= RETRY_BURST + 1 and times[-1] > 15 * SECOND
 
 
 @pytest.mark.parametrize(
@@ -140,9 +145,9 @@
 
 def test_both_forms_of_retry_after_and_nonsense():
     unix = 784_111_777.0  # Sun, 06 Nov 1994 08:49:37 GMT
-    assert retry_after_us(b"120", unix) == 120 * SECOND
-    assert retry_after_us(b"Sun, 06 Nov 1994 08:49:47 GMT", unix) == 10 * SECOND
-    assert retry_after_us(b"Sun, 06 Nov 1994 08:00:00 GMT", unix) == 0
+    assert parse_retry_after(b"120", unix) == 120 * SECOND
+    assert parse_retry_after(b"Sun, 06 Nov 1994 08:49:47 GMT", unix) == 10 * SECOND
+    assert parse_retry_after(b"Sun, 06 Nov 1994 08:00:00 GMT", unix) == 0
     for nonsense in (
         None,
         b"",
@@ -153,7 +158,7 @@
         b"\xff\xfe",
         b"Sun, 99 Nov",
     ):
-        assert retry_after_us(nonsense, unix) is None
+        assert parse_retry_after(nonsense, unix) is None
 
 
 ALONE = {
@@ -225,37 +230,48 @@
 )
 def test_what_has_changed_since_a_revision_brings_any_older_list_up(steps, behind):
     held, older = EndpointList(), EndpointList()
-    held.take({"rev": 5, "all": True, "targets": [entry(uid) for uid in "abc"]})
-    older.take(orjson.loads(held.whole()))
+    held.apply({"rev": 5, "all": True, "targets": [entry(uid) for uid in "abc"]})
+    older.apply(orjson.loads(held.complete()))
     for number, step in enumerate(steps):
         change = {"rev": 6 + number, "all": False, "targets": [entry(*one) for one in step]}
-        held.take(change)
+        held.apply(change)
         if number < behind:
-            older.take(change)
-    assert (since := held.since(older.revision)) is not None
-    older.take(orjson.loads(since))
-    assert older.whole() == held.whole() and held.since(4) is None and held.since(99) is None
+            older.apply(change)
+    assert (since := held.changes_since(older.revision)) is not None
+    older.apply(orjson.loads(since))
+    assert (
+        older.complete() == held.complete()
+        and held.changes_since(4) is None
+        and held.changes_since(99) is None
+    )
 
 
 def test_a_list_that_broke_off_goes_on_at_another_and_a_bad_one_is_left():
-    data = EndpointList().whole() * 400
+    data = EndpointList().complete() * 400
     incoming = ListReceiver(len(data))
-    assert incoming.begin(7, True, len(data), crc32(data), 0) is None
-    assert incoming.add(data[:100]) == (None, None) and incoming.partial() == (7, crc32(data), 100)
-    assert incoming.begin(8, True, len(data), crc32(data), 100)  # another list
-    assert incoming.begin(7, True, len(data), crc32(data), 100) is None
-    assert incoming.add(data[100:]) == (data, None)
-    assert incoming.begin(7, True, len(data) + 1, 1, 0) == "too large"
-    incoming.begin(7, True, 4, 1, 0)
-    assert incoming.add(b"xxxxx")[1] == "more than was announced"
-    incoming.begin(7, True, 4, 1, 0)
-    assert incoming.add(b"xxxx")[1] == "spoilt on its way"
+    whole = ListStart(7, True, len(data), crc32(data))
+    rest = msgspec.structs.replace(whole, offset=100)
+    incoming.start(whole)
+    assert incoming.add(data[:100]) is None
+    assert incoming.progress() == ListProgress(7, crc32(data), 100)
+    with pytest.raises(ListTransferError, match="^resumes another list$"):
+        incoming.start(msgspec.structs.replace(rest, revision=8))
+    incoming.start(rest)
+    assert incoming.add(data[100:]) == data
+    with pytest.raises(ListTransferError, match="^too large$"):
+        incoming.start(ListStart(7, True, len(data) + 1, 1))
+    incoming.start(ListStart(7, True, 4, 1))
+    with pytest.raises(ListTransferError, match="^longer than announced$"):
+        incoming.add(b"xxxxx")
+    incoming.start(ListStart(7, True, 4, 1))
+    with pytest.raises(ListTransferError, match="^wrong checksum$"):
+        incoming.add(b"xxxx")
 
 
 @given(st.binary(max_size=200), st.integers(1, 50))
 def test_frames_come_out_as_they_went_in_however_they_are_cut_and_noise_ends_it(noise, step):
     frames = [
-        Hello(1, "g", "n", 5, False, (1, 2, 3)),
+        Hello(1, "g", "n", 5, False, ListProgress(1, 2, 3)),
         ListStart(5, True, 9, 1),
         ListPart(noise),
         Heartbeat(5, 0),
@@ -266,7 +282,7 @@
     ] == frames
     spoilt = FrameDecoder()
     out = spoilt.feed(b"\xff" + noise + b"\xff" * 8)
-    assert out in ([], [None]) and len(spoilt.held) <= 70_000
+    assert out in ([], [None]) and len(spoilt.buffer) <= 70_000
 
 
 class Stage:
@@ -281,10 +297,10 @@
         self.done = self.core.deliver(0, [LiveControllersChanged(self.names)])
 
     def main(self) -> str:
-        return next(name for name, link in self.core.state.links.items() if not link.light)
+        return next(name for name, link in self.core.links.items() if not link.heartbeats_only)
 
     def witness(self) -> str:
-        return next(name for name, link in self.core.state.links.items() if link.light)
+        return next(name for name, link in self.core.links.items() if link.heartbeats_only)
 
     def say(self, seconds: float, *said: HeartbeatReceived) -> list:
         """The same words each quarter of a second for so long."""
@@ -314,7 +330,10 @@
     )
     core.deliver(SECOND // 2, [LiveControllersChanged(frozenset())])
     out = [action for at in range(3, 24) for action in core.deliver(at * SECOND // 4, [])]
-    assert out == [ReportTransition("on_its_own"), SetWatch(True, None)]  # alone: in rounds by rank
+    assert out == [
+        ReportTransition(Transition.INDEPENDENT),
+        SetWatch(True, None),
+    ]  # alone: in rounds by rank
 
 
 def test_a_watcher_that_stalls_is_left_for_the_next_and_nobody_at_all_for_the_service():
@@ -338,7 +357,9 @@
     main, witness = stage.main(), stage.witness()
     stage.core.deliver(stage.now, [ListUpdated(50, False)])
     out = stage.say(1, HeartbeatReceived(main, 40, 60 * SECOND), HeartbeatReceived(witness, 50, 0))
-    assert Disconnect(main) in out and not [a for a in out if isinstance(a, Connect) and a.anew]
+    assert Disconnect(main) in out and not [
+        a for a in out if isinstance(a, Connect) and a.full_list
+    ]
     stage = Stage()
     main, witness = stage.main(), stage.witness()
     stage.core.deliver(stage.now, [ListUpdated(50, False)])
@@ -356,10 +377,10 @@
         )
         if not words[1]:
             stage.core.deliver(stage.now, [LinkClosed(witness)])
-            stage.core.state.avoided_us = dict.fromkeys(set(stage.watchers) - {main}, 1 << 60)
+            stage.core.avoided_until_us = dict.fromkeys(set(stage.watchers) - {main}, 1 << 60)
         assert SetWatch(True, None) in stage.say(6, *said)
         out = stage.core.deliver(stage.now, [ListUpdated(50, True)])
-        assert (ReportTransition("left_ahead", main) in out) is (words[0] == 900)
+        assert (ReportTransition(Transition.LEFT_AHEAD, main) in out) is (words[0] == 900)
 
 
 def test_each_host_is_probed_by_as_many_as_stated_its_own_zone_first():
@@ -387,12 +408,14 @@
     assert survey.keep("h", SharedResult(9000, 10 * SECOND, 5.0)) and not survey.keep(
         "h", SharedResult(1, 9 * SECOND, 5.0)
     )
-    assert survey.fresh("h", 5.0, 11 * SECOND) and not survey.fresh("h", 5.0, 13 * SECOND)
-    assert not survey.fresh("h", 6.0, 11 * SECOND)  # another start: another host
-    assert survey.keep("h", SharedResult(1, 9 * SECOND, 6.0)) and survey.fresh(
+    assert survey.fresh_result("h", 5.0, 11 * SECOND) and not survey.fresh_result(
+        "h", 5.0, 13 * SECOND
+    )
+    assert not survey.fresh_result("h", 6.0, 11 * SECOND)  # another start: another host
+    assert survey.keep("h", SharedResult(1, 9 * SECOND, 6.0)) and survey.fresh_result(
         "h", 6.0, 10 * SECOND
     )
-    assert not survey.fresh("x", 0.0, 0)
+    assert not survey.fresh_result("x", 0.0, 0)
 
 
 @pytest.mark.parametrize("way", ["peers", "alone"])
@@ -416,28 +439,30 @@
 
 def test_a_drain_told_ahead_holds_until_a_list_of_its_revision_says_otherwise():
     early = DrainNotices()
-    assert early.hear(0, "n1", 7, [*DRAINS, ("d", HostState.READY)], held=5, listed=10) == [
+    assert early.receive(
+        0, "n1", 7, [*DRAINS, ("d", HostState.READY)], own_revision=5, listed_hosts=10
+    ) == [
         "a",
         "b",
         "c",
     ]
-    assert not early.hear(0, "n2", 7, DRAINS, 5, 10)  # known already
-    assert not early.hear(0, "n2", 5, [("e", HostState.GONE)], 5, 10)  # the list held says more
-    assert early.hear(0, "n2", 8, DRAINS[:1], 5, 10) == ["a"]
-    assert not early.settle(6) and early.settle(7) == ["b", "c"] and early.settle(None) == ["a"]
-    assert not early.told
+    assert not early.receive(0, "n2", 7, DRAINS, 5, 10)  # known already
+    assert not early.receive(0, "n2", 5, [("e", HostState.GONE)], 5, 10)  # the list held says more
+    assert early.receive(0, "n2", 8, DRAINS[:1], 5, 10) == ["a"]
+    assert not early.on_list(6) and early.on_list(7) == ["b", "c"] and early.on_list(None) == ["a"]
+    assert not early.by_host
 
 
 def test_a_peer_can_close_half_of_the_hosts_ahead_of_a_list_and_only_for_a_while():
     """Guards against a liar that leaves proxies nobody to pick."""
     early = DrainNotices()
     lies = [(f"h{host}", HostState.GONE) for host in range(10)]
-    assert len(early.hear(0, "liar", 99, lies, 5, 10)) == 5 and early.refused == 5
-    assert early.hear(SECOND, "n2", 9, [("h0", HostState.DRAINING)], 5, 10) == []
+    assert len(early.receive(0, "liar", 99, lies, 5, 10)) == 5 and early.rejected == 5
+    assert early.receive(SECOND, "n2", 9, [("h0", HostState.DRAINING)], 5, 10) == []
     assert not early.expire(60 * SECOND) and len(early.expire(61 * SECOND)) == 5
-    early.hear(0, "liar", 99, lies, 5, 10)
-    early.hear(0, "n2", 9, [("x", HostState.DRAINING)], 5, 100)
-    assert len(early.left("liar")) == 5 and list(early.told) == ["x"]
+    early.receive(0, "liar", 99, lies, 5, 10)
+    early.receive(0, "n2", 9, [("x", HostState.DRAINING)], 5, 100)
+    assert len(early.retract("liar")) == 5 and list(early.by_host) == ["x"]
 
 
 def test_what_was_told_ahead_lies_over_lists_and_gives_way_to_the_lists_own_word():
@@ -451,14 +476,14 @@
             for uid, state in states.items()
         ]
         said = list_from({"rev": revision, "all": whole, "targets": items})
-        return states_of(ahead.over(revision, whole, directory.apply_list(said)[0]))
+        return states_of(ahead.filter_list(revision, whole, directory.apply_list(said)[0]))
 
     def states_of(note: events.HostList) -> dict[str, str]:
         return {directory.uid(entry.host): entry.state.value for entry in note.entries}
 
     everybody = dict.fromkeys("abcdef", "SERVING")
     listed(5, True, **everybody)
-    ahead.hear("n1", 7, DRAINS)
+    ahead.receive("n1", 7, DRAINS)
     assert states_of(told[-1]) == dict.fromkeys("abc", "draining")
     assert listed(6, True, **everybody)["a"] == "draining"  # an older list opens nobody
     assert listed(6, False, a="SERVING") == {"a": "draining"}
@@ -467,10 +492,10 @@
         "b": "ready",
         "c": "ready",
     }  # those were lies
-    ahead.hear("n1", 9, [("d", HostState.GONE)])
-    ahead.reopen(ahead.core.left("n1"))
+    ahead.receive("n1", 9, [("d", HostState.GONE)])
+    ahead.retract("n1")
     assert states_of(told[-1]) == {"d": "ready"} and not ahead.listed
-    ahead.hear("n1", 9, DRAINS[1:])
+    ahead.receive("n1", 9, DRAINS[1:])
     assert listed(2, True, **everybody) == dict.fromkeys(
         "abcdef", "ready"
     )  # the service began anew
@@ -491,15 +516,18 @@
     for revision, uid, state, is_list in words:
         if is_list and revision >= held:
             held = revision
-            early.settle(revision)
+            early.on_list(revision)
             newest = {host: at for host, at in newest.items() if at > revision}
         elif not is_list:
-            if early.hear(0, "n", revision, [(uid, state)], held, 100):
+            if early.receive(0, "n", revision, [(uid, state)], held, 100):
                 newest[uid] = revision
     for uid in "abcdef":
-        assert (uid in early.told) == (uid in newest)
+        assert (uid in early.by_host) == (uid in newest)
         if uid in newest:
-            assert early.told[uid].state is not HostState.READY and early.told[uid].revision > held
+            assert (
+                early.by_host[uid].state is not HostState.READY
+                and early.by_host[uid].revision > held
+            )
 
 
 class HoldsList:
@@ -508,14 +536,17 @@
     group, name = "g", "n0"
 
     def __init__(self, hosts: int, padding: int) -> None:
-        self.telemetry, self.held = Telemetry(EventLog("n0", lambda line: None)), EndpointList()
+        self.telemetry, self.endpoint_list = (
+            Telemetry(EventLog("n0", lambda line: None)),
+            EndpointList(),
+        )
         targets = [{**entry(f"h{host}"), "padding": "x" * padding} for host in range(hosts)]
-        self.held.take({"rev": 5, "all": True, "targets": targets})
+        self.endpoint_list.apply({"rev": 5, "all": True, "targets": targets})
 
     def age_us(self) -> int:
         return 0
 
-    def heard_results(self, frame) -> None:
+    def on_health_checks(self, frame) -> None:
         pass
 
 
@@ -533,9 +564,13 @@
         async with asyncio.timeout(30):
             while not any(isinstance(frame, Heartbeat) for frame in frames):
                 frames += cutter.feed(await reader.read(4096))
-                if frames and owner.held.revision == 5:  # the list, or a first beat, is on its way
-                    owner.held.take({"rev": 6, "all": False, "targets": [entry("h7", "DRAINING")]})
-                    server.changed()
+                if (
+                    frames and owner.endpoint_list.revision == 5
+                ):  # the list, or a first beat, is on its way
+                    owner.endpoint_list.apply(
+                        {"rev": 6, "all": False, "targets": [entry("h7", "DRAINING")]}
+                    )
+                    server.on_list_changed()
             while light and not any(isinstance(frame, DrainNoticeFrame) for frame in frames):
                 frames += cutter.feed(await reader.read(4096))
         writer.transport.abort()
@@ -546,7 +581,7 @@
     drains = [place for place, frame in enumerate(frames) if isinstance(frame, DrainNoticeFrame)]
     parts = [place for place, frame in enumerate(frames) if isinstance(frame, ListPart)]
     assert len(drains) == 1 and frames[drains[0]].revision == 6
-    assert orjson.loads(frames[drains[0]].targets) == [entry("h7", "DRAINING")]
+    assert orjson.loads(frames[drains[0]].entries) == [entry("h7", "DRAINING")]
     assert not parts if light else len(parts) > 200 and drains[0] < parts[-1] - 50
 
 
@@ -635,7 +670,7 @@
             )
             careful.prepare(BackoffFacts(0, 1, 20.0, SECOND, SECOND), SECOND, 1)
             careful.revision = 5
-            return await careful.call_once()
+            return await careful.request_once()
 
     event = asyncio.run(scene())
     assert isinstance(event, expected)
--- a/tests/test_learned.py
+++ b/tests/test_learned.py
@@ -19,7 +19,7 @@
 from plankroute.config.feature_file import WarmStartSection
 from plankroute.events import events
 from plankroute.events.events import HealthCheckOutcome, HostState
-from plankroute.net.peers.links import view_frames
+from plankroute.net.peers.link_frames import view_frames
 from plankroute.net.peers.warm_start import LAST_S, READ_S, WarmStartService, file_name
 from plankroute.net.process.file_store import Disk, Saver, replace
 from plankroute.net.process.telemetry import EventLog, Telemetry
