--- a/plankroute/net/peers/link_client.py
+++ b/plankroute/net/peers/link_client.py
@@ -1,4 +1,4 @@
-"""The client's end of a link: to a controller that is followed, from dialling to its end."""
+"""The client's end of links: to controllers that are followed, from dialling to their end."""
 
 import asyncio
 from collections.abc import Callable
@@ -36,7 +36,7 @@
         target: LinkTarget,
         hello: Hello,
         on_frame: Callable[[str, Frame], None],
-        on_closed: Callable[["LinkClient", str], None],
+        on_closed: Callable[["LinkClient"], None],
     ) -> None:
         """Begin to dial.
 
@@ -44,7 +44,7 @@
             target: whom to follow.
             hello: the first frame.
             on_frame: takes the name of the target and each frame; may raise LinkError.
-            on_closed: told why the link has ended, unless it was closed from here.
+            on_closed: told that the link has ended, unless it was closed from here.
         """
         self.target = target
         self.hello = hello
@@ -60,20 +60,18 @@
 
     async def run(self) -> None:
         """Dial and read, until either side ends the link."""
-        reason = "ended"
+        is_closed_here = False
         try:
             await self.read_frames(await self.connect())
-        except LinkError as error:
-            reason = str(error)
-        except (OSError, TimeoutError) as error:
-            reason = f"{type(error).__name__}: {error}".strip(": ")
+        except (LinkError, OSError):  # a time-out too
+            pass
         except asyncio.CancelledError:
-            reason = ""  # closed from here: nobody needs to be told
+            is_closed_here = True
         finally:
             if self.writer:
                 self.writer.transport.abort()
-            if reason:
-                self.on_closed(self, reason)
+            if not is_closed_here:
+                self.on_closed(self)
 
     async def connect(self) -> asyncio.StreamReader:
         """Dial and send the first frame.
@@ -114,3 +112,48 @@
     def close(self) -> None:
         """End the link; `on_closed` is not called."""
         self.task.cancel()
+
+
+class LinkPool:
+    """The links to all controllers that are followed, by name."""
+
+    def __init__(
+        self, on_frame: Callable[[str, Frame], None], on_closed: Callable[[str], None]
+    ) -> None:
+        """No links yet.
+
+        Args:
+            on_frame: takes the name of a controller and each of its frames; may raise LinkError.
+            on_closed: told the name of a controller whose link has ended from the other side.
+        """
+        self.on_frame = on_frame
+        self.on_closed = on_closed
+        self.clients: dict[str, LinkClient] = {}
+
+    def open(self, target: LinkTarget, hello: Hello) -> None:
+        """Dial a controller."""
+        self.clients[target.name] = LinkClient(target, hello, self.on_frame, self.on_client_closed)
+
+    def on_client_closed(self, client: LinkClient) -> None:
+        """A link has ended from the other side; one that was replaced since is not told."""
+        if self.clients.get(client.name) is client:
+            del self.clients[client.name]
+            self.on_closed(client.name)
+
+    def close(self, name: str) -> bool:
+        """Close a link from this side; False where there is none."""
+        client = self.clients.pop(name, None)
+        if client is None:
+            return False
+        client.close()
+        return True
+
+    def close_all(self) -> None:
+        """Close all links from this side."""
+        for client in self.clients.values():
+            client.close()
+
+    def send_to_all(self, frame: Frame) -> None:
+        """Send a frame on all links that are up."""
+        for client in self.clients.values():
+            client.send(frame)
--- a/plankroute/net/peers/link_server.py
+++ b/plankroute/net/peers/link_server.py
@@ -6,44 +6,33 @@
 import asyncio
 import socket
 from typing import Protocol
-from zlib import crc32
 
-import orjson
-
-from plankroute.cold_start.endpoint_list import EndpointList
 from plankroute.cold_start.link_codec import (
     LINK_VERSION,
     PART_BYTES,
-    DrainNoticeFrame,
     Frame,
     FrameDecoder,
     HealthCheckResults,
-    Heartbeat,
     Hello,
-    ListPart,
-    ListProgress,
-    ListStart,
     SharedHealthCheck,
     WarmStartHandover,
     WarmStartRequest,
-    encode_frame,
 )
-from plankroute.net.peers.link_frames import json_array_chunks, read_views, view_frames
+from plankroute.net.peers.follower_connection import (
+    MAX_RESULTS,
+    WRITE_TIMEOUT_S,
+    FollowerConnection,
+    LinkOwner,
+)
+from plankroute.net.peers.link_frames import read_views, view_frames
 from plankroute.net.process.address import host_and_port
-from plankroute.net.process.telemetry import Telemetry
 
-# Between heartbeats: four in the shortest time after which a controller is left.
-HEARTBEAT_S = 0.5
 HELLO_TIMEOUT_S = 2.0  # a guess
-# For one part to be taken by the kernel: three of them in the stall time-out of who reads it.
-WRITE_TIMEOUT_S = 5.0
 # Links at once: two of each of 300 controllers over three watchers, and more than twice that.
 MAX_LINKS = 512
 # Of a list that is handed out: a drain notice can't overtake what waits there any more.
 MAX_UNSENT_BYTES = PART_BYTES
-MAX_DRAIN_NOTICE_BYTES = 32768  # of entries in one frame
 READ_BYTES = 65536  # from the socket at once
-MAX_RESULTS = 256  # of health checks in one frame
 
 FirstFrame = Hello | WarmStartRequest | WarmStartHandover
 
@@ -60,47 +49,6 @@
         """Keep a view for the successor of that name."""
 
 
-class LinkOwner(Protocol):
-    """Who has the links: `peers.shared_discovery`."""
-
-    group: str
-    name: str
-    telemetry: Telemetry
-    endpoint_list: EndpointList
-
-    def age_us(self) -> int:
-        """Age of the last contact with the list service."""
-
-    def on_health_checks(self, frame: HealthCheckResults) -> None:
-        """Take results of another controller."""
-
-
-class FollowerConnection:
-    """One controller that follows this one.
-
-    Attributes:
-        revision: of the follower's list.
-        progress: of a list that broke off before.
-        notified_revision: up to which it has heard of drains, be it without the list.
-        has_news: set when there is something to send.
-        results: health checks to send.
-    """
-
-    def __init__(self, writer: asyncio.StreamWriter, hello: Hello) -> None:
-        self.writer = writer
-        self.hello = hello
-        self.revision = hello.revision
-        self.progress: ListProgress | None = hello.progress
-        self.notified_revision = hello.revision
-        self.has_news = asyncio.Event()
-        self.results: list[SharedHealthCheck] = []
-
-    def add_results(self, results: list[SharedHealthCheck]) -> None:
-        """Send these results soon; the oldest go where there are too many."""
-        self.results = (self.results + results)[-MAX_RESULTS:]
-        self.has_news.set()
-
-
 class LinkServer:
     """Accepts links, and serves followers and those that ask for views of hosts."""
 
@@ -240,12 +188,12 @@
         writer.get_extra_info("socket").setsockopt(
             socket.IPPROTO_TCP, socket.TCP_NOTSENT_LOWAT, MAX_UNSENT_BYTES
         )
-        follower = FollowerConnection(writer, hello)
+        follower = FollowerConnection(self.owner, writer, hello)
         self.followers[follower] = None
         self.owner.telemetry.count("links.accepted")
         reading = asyncio.create_task(self.read_results(reader, decoder, follower))
         try:
-            await self.send_updates(follower, reading)
+            await follower.send_updates(reading)
         finally:
             reading.cancel()
             self.followers.pop(follower, None)
@@ -265,78 +213,3 @@
             if not data:
                 return
             frames = decoder.feed(data)
-
-    async def send_updates(self, follower: FollowerConnection, reading: asyncio.Task[None]) -> None:
-        """Lists as they change, heartbeats in between, until the other end goes."""
-        while not reading.done():
-            held = self.owner.endpoint_list
-            follower.has_news.clear()
-            await self.send_drain_notices(follower, held)
-            is_outdated = held.revision >= 0 and follower.revision != held.revision
-            if is_outdated and not follower.hello.heartbeats_only:
-                await self.send_list(follower, held)
-            if follower.results:
-                results = tuple(follower.results)
-                follower.results = []
-                await self.send(follower, HealthCheckResults(results))
-            await self.send(follower, Heartbeat(held.revision, self.owner.age_us()))
-            try:
-                async with asyncio.timeout(HEARTBEAT_S):
-                    await follower.has_news.wait()
-            except TimeoutError:
-                pass
-
-    async def send_list(self, follower: FollowerConnection, held: EndpointList) -> None:
-        """Changes, if they are all known; else the complete list, from where it had broken off."""
-        telemetry = self.owner.telemetry
-        revision = held.revision
-        data = held.changes_since(follower.revision)
-        is_complete = data is None
-        if data is None:
-            data = held.complete()
-        checksum = crc32(data)
-        offset = 0
-        if is_complete and follower.progress:
-            progress = follower.progress
-            if (progress.revision, progress.checksum) == (revision, checksum):
-                offset = min(progress.received_bytes, len(data))
-                telemetry.count("links.lists_resumed")
-        telemetry.count("links.complete_lists_sent" if is_complete else "links.changes_sent")
-        follower.progress = None
-        await self.send(follower, ListStart(revision, is_complete, len(data), checksum, offset))
-        for at in range(offset, len(data), PART_BYTES):
-            await self.send(follower, ListPart(data[at : at + PART_BYTES]))
-            await self.send_drain_notices(follower, held)
-        follower.revision = revision
-
-    async def send_drain_notices(self, follower: FollowerConnection, held: EndpointList) -> None:
-        """Send drains ahead of the list that holds them.
-
-        Guards against a drain that waits behind a large list on a slow link: it goes between its
-        parts, and over the links of witnesses, which carry no lists.
-        """
-        if held.revision == follower.notified_revision or held.revision < 0:
-            return
-        revision = held.revision
-        entries = held.closed_since(follower.notified_revision)
-        follower.notified_revision = revision
-        if not entries:
-            return
-        if not follower.hello.heartbeats_only and held.knows_changes_since(follower.revision):
-            return  # the changes themselves come next, and are as short
-        encoded = [orjson.dumps(entry) for entry in entries]
-        for chunk in json_array_chunks(encoded, MAX_DRAIN_NOTICE_BYTES):
-            self.owner.telemetry.count("links.drain_notices_sent")
-            await self.send(follower, DrainNoticeFrame(revision, chunk))
-
-    async def send(self, follower: FollowerConnection, frame: Frame) -> None:
-        """Send a frame.
-
-        Raises:
-            TimeoutError: the other end takes nothing any more.
-        """
-        data = encode_frame(frame)
-        self.owner.telemetry.count("links.bytes_sent", len(data))
-        follower.writer.write(data)
-        async with asyncio.timeout(WRITE_TIMEOUT_S):
-            await follower.writer.drain()
--- a/plankroute/net/peers/shared_discovery.py
+++ b/plankroute/net/peers/shared_discovery.py
@@ -47,7 +47,7 @@
 from plankroute.net.discovery.catalogue import STATES
 from plankroute.net.discovery.watch import Discovery
 from plankroute.net.peers.drain_notices import DrainNoticeOverlay
-from plankroute.net.peers.link_client import LinkClient, LinkError, LinkTarget
+from plankroute.net.peers.link_client import LinkError, LinkPool, LinkTarget
 from plankroute.net.peers.link_server import LinkServer
 from plankroute.net.peers.list_transfers import ListTransfers
 from plankroute.net.peers.membership import MembershipService
@@ -117,7 +117,7 @@
         self.server = LinkServer(self)
         self.drain_notices = DrainNoticeOverlay(self.directory, self.telemetry, self.submit)
         self.list_filter = self.drain_notices.filter_list
-        self.clients: dict[str, LinkClient] = {}
+        self.links = LinkPool(self.on_frame, self.on_link_closed)
         self.transfers = ListTransfers(self.limits.max_body_bytes)
         self.full_list_from = set[str]()  # asked for the complete list, whatever is held
         self.requesting: asyncio.Task[None] | None = None
@@ -142,8 +142,7 @@
         for task in (self.requesting, self.opening):
             if task:
                 task.cancel()
-        for client in self.clients.values():
-            client.close()
+        self.links.close_all()
         self.server.close()
         super().close()
 
@@ -367,29 +366,20 @@
         host, _ = host_and_port(record.address)
         own_host, _ = host_and_port(self.listen)
         target = LinkTarget(command.name, (host, self.port), own_host)
-        self.clients[command.name] = LinkClient(target, hello, self.on_frame, self.on_link_closed)
+        self.links.open(target, hello)
 
-    def on_link_closed(self, client: LinkClient, reason: str) -> None:
+    def on_link_closed(self, name: str) -> None:
         """The other end has closed a link, or it broke."""
-        if self.clients.get(client.name) is client:
-            self.telemetry.count("links.closed")
-            self.forget_client(client.name)
-            self.deliver([LinkClosed(client.name)])
+        self.telemetry.count("links.closed")
+        self.transfers.end(name)
+        self.deliver([LinkClosed(name)])
 
     def disconnect(self, name: str) -> None:
         """Close a link from this side."""
-        client = self.clients.get(name)
-        if client:
-            client.close()
-            self.forget_client(name)
-
-    def forget_client(self, name: str) -> None:
-        """The link is no more."""
-        del self.clients[name]
-        self.transfers.end(name)
+        if self.links.close(name):
+            self.transfers.end(name)
 
     def share_health_checks(self, frame: HealthCheckResults) -> None:
         """Send results to those that are followed, and to those that follow."""
-        for client in self.clients.values():
-            client.send(frame)
+        self.links.send_to_all(frame)
         self.server.share(list(frame.results))
