--- a/tests/cold_start/test_cold_start_golden.py
+++ b/tests/cold_start/test_cold_start_golden.py
@@ -129,7 +129,7 @@
     now_us = 0
     for _ in range(4000):
         now_us += int(chance.draw() * SECOND // 3) + (chance.draw() < 0.01) * 3 * SECOND
-        linked = list(election.links)
+        linked = list(election.followed.links)
         events = [drawn_event(chance, names, linked) for _ in range(int(chance.draw() * 3))]
         for action in election.deliver(now_us, events):
             words = words_of(action)
--- a/tests/test_coldstart.py
+++ b/tests/test_coldstart.py
@@ -297,10 +297,10 @@
         self.done = self.core.deliver(0, [LiveControllersChanged(self.names)])
 
     def main(self) -> str:
-        return next(name for name, link in self.core.links.items() if not link.heartbeats_only)
+        return next(name for name, link in self.core.followed.links.items() if not link.heartbeats_only)
 
     def witness(self) -> str:
-        return next(name for name, link in self.core.links.items() if link.heartbeats_only)
+        return next(name for name, link in self.core.followed.links.items() if link.heartbeats_only)
 
     def say(self, seconds: float, *said: HeartbeatReceived) -> list:
         """The same words each quarter of a second for so long."""
@@ -377,7 +377,7 @@
         )
         if not words[1]:
             stage.core.deliver(stage.now, [LinkClosed(witness)])
-            stage.core.avoided_until_us = dict.fromkeys(set(stage.watchers) - {main}, 1 << 60)
+            stage.core.followed.avoided_until_us = dict.fromkeys(set(stage.watchers) - {main}, 1 << 60)
         assert SetWatch(True, None) in stage.say(6, *said)
         out = stage.core.deliver(stage.now, [ListUpdated(50, True)])
         assert (ReportTransition(Transition.LEFT_AHEAD, main) in out) is (words[0] == 900)
