--- /dev/null
+++ b/tests/cold_start/test_backoff_discovery.py
@@ -0,0 +1,51 @@
+"""What an answer of the list service counts as: a watch that ended, or a failed request."""
+
+import asyncio
+
+import pytest
+
+from plankroute.cold_start.backoff import BackoffFacts, Event, RequestFailed, WatchEnded
+from plankroute.net.discovery.backoff_watch import BackoffDiscovery
+from plankroute.net.discovery.directory import Directory
+from plankroute.net.process.clock import Clock
+from plankroute.net.process.telemetry import EventLog, Telemetry
+
+SECOND = 1_000_000
+
+
+@pytest.mark.parametrize(
+    "answer, expected",
+    [
+        (b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n0\r\n\r\n", WatchEnded),
+        (b"HTTP/1.1 503 Busy\r\nRetry-After: 7\r\nContent-Length: 5\r\n\r\nbusy\n", RequestFailed),
+        (b'HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\n{"re\r\n', RequestFailed),
+    ],
+)
+def test_a_watch_without_changes_is_no_failure(answer: bytes, expected: type[Event]) -> None:
+    """Guards against rounds that grow though all is well, and a 503's body taken for a list."""
+
+    async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        await reader.readuntil(b"\r\n\r\n")
+        writer.write(answer)
+        await writer.drain()
+        writer.close()
+
+    async def scene() -> Event:
+        async with asyncio.timeout(20), await asyncio.start_server(serve, "127.0.0.1", 0) as server:
+            port = server.sockets[0].getsockname()[1]
+            careful = BackoffDiscovery(
+                f"127.0.0.1:{port}",
+                1 << 20,
+                Directory(Clock(), ("a",), ("m",), ()),
+                Telemetry(EventLog("n", [].append)),
+                1,
+                False,
+                [].append,
+            )
+            careful.prepare(BackoffFacts(0, 1, 20.0, SECOND, SECOND), SECOND, 1)
+            careful.revision = 5
+            return await careful.request_once()
+
+    event = asyncio.run(scene())
+    assert isinstance(event, expected)
+    assert not isinstance(event, RequestFailed) or event.retry_after_us in (None, 7 * SECOND)
--- /dev/null
+++ b/tests/membership/test_group_under_faults.py
@@ -0,0 +1,149 @@
+"""Groups of members in simulated time under faults: kills, pauses, cuts, loss, restarts."""
+
+import msgspec
+import pytest
+
+from plankroute.membership.core import Membership
+from plankroute.testbed import checkers
+from plankroute.testbed.faults import SECOND, Act, Rule, Script, Step, partition, pauses
+from plankroute.testbed.simulated_members import (
+    Group,
+    Maker,
+    address_of,
+    name_of,
+    plankroute_member,
+)
+
+
+def group(
+    members: int,
+    *rules: Rule,
+    steps: tuple[Step, ...] = (),
+    seed: int = 1,
+    start_s: float = 1.0,
+    make: Maker = plankroute_member,
+) -> Group:
+    script = Script(seed, rules, steps)
+    return Group(members, script, make=make, seed=seed, start_s=start_s)
+
+
+def detected(run: Group, member: int, at_s: float, survivors: range) -> list[int]:
+    times = checkers.detection_us(run.history, member, int(at_s * SECOND), survivors).values()
+    assert None not in times, "a survivor never knew"
+    return sorted(time for time in times if time is not None)
+
+
+@pytest.mark.parametrize("loss", [0.0, 0.3])
+def test_a_killed_member_is_found_by_all_and_nobody_else(loss: float) -> None:
+    run = group(12, Rule(loss=loss, twice=0.1, spread_ms=20), steps=(Step(30, Act.KILL, 11),)).run(
+        45
+    )
+    times = detected(run, 11, 30, range(11))
+    assert times[5] < 4 * SECOND and times[-1] < 8 * SECOND
+    assert {entry.subject for entry in run.history.of("failed")} == {11}
+
+
+def test_half_of_a_group_killed_at_once_is_found() -> None:
+    """Guards against a verdict that waits for votes of the dead."""
+    run = group(12, steps=tuple(Step(20, Act.KILL, member) for member in range(6, 12))).run(40)
+    assert max(detected(run, member, 20, range(6))[-1] for member in range(6, 12)) < 8 * SECOND
+    assert not checkers.wrongly_gone(run.history)
+
+
+def test_pauses_of_seven_in_eight_members_fail_nobody() -> None:
+    """Guards against time that passes for a member while it stands still itself."""
+    steps = *pauses(tuple(range(2, 15)), 15, 54, seed=3), Step(35, Act.KILL, 15)
+    run = group(16, steps=steps, seed=3).run(70)
+    assert not checkers.wrongly_gone(run.history) and detected(run, 15, 35, range(15))
+
+
+@pytest.mark.parametrize(
+    "rule",
+    [
+        Rule(20, 40, (3,), None, cut=True),
+        Rule(20, 40, None, (3,), cut=True),
+        Rule(20, 40, (3,), (4, 5, 6, 7), cut=True),
+        Rule(20, 40, (4, 5, 6, 7), (3,), cut=True),
+    ],
+    ids=["not heard", "hears not", "not heard by a third", "hears not a third"],
+)
+def test_a_one_sided_cut_has_one_verdict_that_does_not_flap(rule: Rule) -> None:
+    run = group(12, rule).run(60)
+    changes = checkers.verdict_changes(run.history, 20 * SECOND, 40 * SECOND)
+    assert max(changes.values(), default=0) <= 1
+    others = [member for member in range(12) if member != 3]
+    assert not checkers.disagreeing(run.history, 39 * SECOND, others, range(12))
+    assert {entry.subject for entry in run.history.of("failed") if entry.observer != 3} <= {3}
+    assert (agreed := checkers.agreed_after_us(run.history, 40 * SECOND, range(12))) is not None
+    assert agreed < 5 * SECOND
+
+
+@pytest.mark.parametrize(
+    "parts", [(tuple(range(6)), tuple(range(6, 12))), (tuple(range(7)), tuple(range(7, 11)), (11,))]
+)
+def test_a_partition_heals_and_old_failure_reports_fail_nobody(
+    parts: tuple[tuple[int, ...], ...],
+) -> None:
+    """Guards against verdicts of the other side: nobody here had suspected those that they name."""
+    run = group(12, *partition(parts, 20, 40)).run(60)
+    held = checkers.standing_at(run.history, 39 * SECOND)
+    for part in parts:
+        assert all(
+            held[one, other] == ("joined" if other in part else "failed")
+            for one in part
+            for other in range(12)
+            if one != other
+        )
+    assert not [entry for entry in run.history.of("failed") if entry.at_us > 40 * SECOND]
+    assert checkers.agreed_after_us(run.history, 40 * SECOND, range(12)) < 5 * SECOND
+    assert not checkers.resurrected(run.history)
+
+
+def test_slow_links_fail_nobody() -> None:
+    run = group(
+        12, Rule(delay_ms=300, late_share=0.1, late_ms=2000), steps=(Step(40, Act.KILL, 11),)
+    ).run(55)
+    assert (
+        not checkers.wrongly_gone(run.history) and detected(run, 11, 40, range(11))[-1] < 8 * SECOND
+    )
+
+
+def test_a_restart_is_a_new_instance_and_a_leave_no_failure() -> None:
+    steps = (Step(20, Act.KILL, 5), Step(20.4, Act.START, 5), Step(30, Act.LEAVE, 6))
+    run = group(8, steps=steps).run(45)
+    lives = {entry.life for entry in run.history.of("joined") if entry.subject == 5}
+    assert len(lives) == 2 and not run.history.of("failed")
+    assert (
+        max(detected_left := [entry.at_us - 30 * SECOND for entry in run.history.of("left")])
+        < SECOND
+    )
+    assert len(detected_left) == 7
+
+
+def test_seeds_that_are_all_down_are_joined_when_one_comes() -> None:
+    kills = [Step(0.5, Act.KILL, member) for member in range(3)]
+    steps = *kills, Step(20, Act.START, 1)
+    run = group(4, steps=steps, start_s=2).run(30)
+    assert checkers.agreed_after_us(run.history, 20 * SECOND, (1, 3)) < 2 * SECOND
+
+
+def test_two_processes_under_one_name_are_reported_and_one_yields() -> None:
+    """The second has an address of its own; a claim each, so the name does not go to and fro."""
+
+    def make(member: int, life: int, seed: int, seeds: tuple[str, ...]) -> Membership:
+        core = plankroute_member(member, life, seed, seeds)
+        if member == 5:  # under the name of member 4
+            core = plankroute_member(4, 99, seed + 7, seeds)
+            core.table.store(
+                0, msgspec.structs.replace(core.table.own_record(), address=address_of(5))
+            )
+        return core
+
+    run = group(6, make=make, start_s=12).run(40)
+    assert {entry.observer for entry in run.history.of("duplicate_name")} == {0, 1, 2, 3, 5}
+    assert [entry.observer for entry in run.history.of("name_lost")] == [4]
+    assert {
+        run.cores[at].table.record_at(run.cores[at].table.index_by_name[name_of(4)]).instance_id
+        for at in (0, 1, 2, 3, 5)
+    } == {(4 << 16) + 99}
+    assert not run.history.of("failed")
--- /dev/null
+++ b/tests/membership/test_local_health.py
@@ -0,0 +1,29 @@
+"""The pause-aware clock and the local health multiplier."""
+
+from plankroute.membership.local_health import LATE_WAKE_US, SETTLE_US, LocalHealth, PauseAwareClock
+from plankroute.testbed.faults import SECOND
+
+
+def test_a_pause_of_its_own_passes_no_time() -> None:
+    awake = PauseAwareClock()
+    before = awake.read(SECOND)
+    awake.due_us = SECOND + 100_000
+    assert awake.read(3 * SECOND) == before + 100_000 - SETTLE_US
+    awake.due_us = 3 * SECOND + 100_000
+    assert (
+        awake.read(3 * SECOND + 100_000 + LATE_WAKE_US)
+        == before + 200_000 + LATE_WAKE_US - SETTLE_US
+    )
+
+
+def test_unconfirmed_suspicions_stretch_time_outs_up_to_twice() -> None:
+    health = LocalHealth()
+    for place in range(1, 10):
+        health.add_suspicion(place, 0)
+    assert (
+        health.timeout_multiplier(set(), SECOND) == 1.0
+        and health.timeout_multiplier(set(), 3 * SECOND) == 2.0
+    )
+    assert health.timeout_multiplier(set(range(1, 9)), 3 * SECOND) == 1.25
+    health.clear_suspicion(9)
+    assert health.timeout_multiplier(set(range(1, 9)), 3 * SECOND) == 1.0
