--- a/plankroute/net/peers/snapshot_exchange.py
+++ b/plankroute/net/peers/snapshot_exchange.py
@@ -12,8 +12,8 @@
     WarmStartRequest,
     encode_frame,
 )
-from plankroute.cold_start.watcher_election import rendezvous_order
-from plankroute.net.peers.links import read_views, view_frames
+from plankroute.cold_start.rendezvous import rendezvous_order
+from plankroute.net.peers.link_frames import read_views, view_frames
 from plankroute.net.process.clock import monotonic_us
 from plankroute.net.process.telemetry import Telemetry
 from plankroute.warm_start.codec import MAX_FILE_BYTES, decode_snapshot, encode_snapshot
