--- a/plankroute/policy/binding.py
+++ b/plankroute/policy/binding.py
@@ -51,7 +51,7 @@
         lines = sum(lines_of_tables) + registry.channel.message_overhead
         # Guards against a table longer than binds may queue, which would never go; alone it does.
         max_queued = max(max_queued, min(lines, self.flow.allowance))
-        if lines > self.flow.room(registry, max_queued):
+        if lines > self.flow.available_lines(registry, max_queued):
             return False
         del registry.unbound[proxy]
         registry.bound.add(proxy)
--- a/plankroute/policy/drains.py
+++ b/plankroute/policy/drains.py
@@ -92,43 +92,43 @@
         registry, host_table = self.registry, self.host_table
         for host in sorted(self.withdrawn):
             lines = len(registry.unbound) * (registry.channel.message_overhead + 1)
-            has_room = lines <= self.flow.room(registry, self.flow.allowance)
+            fits = lines <= self.flow.available_lines(registry, self.flow.allowance)
             is_ready = host_table.state[host] is HostState.READY
             is_safe = host_table.weight_cap[host] == NO_CAP or not registry.unbound
-            if has_room and is_ready and is_safe and not registry.tables_with(host):
+            if fits and is_ready and is_safe and not registry.tables_with(host):
                 self.withdrawn.discard(host)
                 registry.notified.pop(host, None)
                 command = commands.WithdrawHost(host_table.host_ids[host], False)
                 registry.command(command, registry.unbound)
 
-    def must_write_now(self, room: float) -> bool:
+    def must_write_now(self, budget: float) -> bool:
         """Whether withdrawals are written although the channel is busy.
 
         The first go at once; those that were refused go when all of them fit.
         """
-        if self._has_refused and sum(map(self.registry.withdrawal_lines, self.pending)) <= room:
+        if self._has_refused and sum(map(self.registry.withdrawal_lines, self.pending)) <= budget:
             return True
         since_us = self.registry.scheduler.now - self.last_written_us
         return bool(self.pending) and since_us >= self.flow.max_gap_us
 
-    def write(self, room: float) -> float:
-        """Writes the pending withdrawals that fit, the newest first; returns the room left."""
+    def write(self, budget: float) -> float:
+        """Writes the pending withdrawals that fit, the newest first; returns the lines left."""
         for host in sorted(self.pending, key=self._urgency):
             self.last_written_us = self.registry.scheduler.now
-            room -= self.withdraw(host, room)
+            budget -= self.withdraw(host, budget)
         self._has_refused = bool(self.pending)
-        return room
+        return budget
 
-    def withdraw(self, host: int, room: float) -> int:
-        """Withdraws a host if there is room; returns the lines that it took."""
+    def withdraw(self, host: int, budget: float) -> int:
+        """Withdraws a host if that fits; returns the lines that it took."""
         registry, host_table = self.registry, self.host_table
         tables = registry.tables_with(host)
         lines = registry.withdrawal_lines(host)
-        if lines > room:
+        if lines > budget:
             return 0  # it has to wait for acknowledgements
         self.pending.discard(host)
         if len(tables) == 1:
-            write_slot(registry, host_table, Change(0.0, True, tables[0], host, 0), room)
+            write_slot(registry, host_table, Change(0.0, True, tables[0], host, 0), budget)
         proxies = registry.zone_of_proxy if len(tables) > 1 else registry.unbound
         recipients = registry.tell(host, proxies)
         if recipients:
--- a/plankroute/policy/fill.py
+++ b/plankroute/policy/fill.py
@@ -54,10 +54,10 @@
         request_rate = rate_per_weight(host_table, hosts, latencies, in_flight)
         for host in hosts:
             concurrency = USUAL_CONCURRENCY * host_table.listed_weight[host] / mean_listed_weight
-            crowding = max(1.0, in_flight.get(host, 0.0) / concurrency)
+            queueing = max(1.0, in_flight.get(host, 0.0) / concurrency)
             slowness = (latencies[host] / usual_latency) ** SLOWNESS_EXPONENT
             utilisation = request_rate * host_table.weight[host] * latencies[host] / concurrency
-            stress[host] = utilisation * crowding ** (QUEUE_EXPONENT - 1) * slowness
+            stress[host] = utilisation * queueing ** (QUEUE_EXPONENT - 1) * slowness
     mean_stress = sum(stress.values()) / len(stress)
     return {host: value / (value + mean_stress) for host, value in stress.items()}
 
--- a/plankroute/policy/flow_control.py
+++ b/plankroute/policy/flow_control.py
@@ -61,7 +61,7 @@
             gaps = max(1, facts.max_messages_per_window - 1)
             self.min_gap_us = facts.message_window_us / gaps
 
-    def room(self, registry: ProxyRegistry, max_queued: float) -> float:
+    def available_lines(self, registry: ProxyRegistry, max_queued: float) -> float:
         """Returns the lines that there is room for, for what can wait.
 
         A message with one line to every proxy must always fit beside it, for drains.
@@ -88,12 +88,12 @@
 
 
 def write_slot(
-    registry: ProxyRegistry, statistics: HostStatistics, change: Change, room: float
+    registry: ProxyRegistry, statistics: HostStatistics, change: Change, budget: float
 ) -> int:
     """Writes a changed slot to the proxies on its table if it fits; returns the lines it took."""
     table = change.table
     recipients = registry.recipients(table, change.index, statistics.possibly_withdrawn)
-    if len(recipients) > room:
+    if len(recipients) > budget:
         return 0
     table.set(change.index, change.count)
     host_id = statistics.host_ids[change.index]
--- a/plankroute/policy/health.py
+++ b/plankroute/policy/health.py
@@ -13,13 +13,12 @@
 from plankroute.policy.prior_knowledge import PriorKnowledge
 from plankroute.state.scheduler import Scheduler
 
-# A host is an outlier by its failures if these exceed, by more than this part of its attempts ...
-MAX_EXCESS_FAILURE_RATIO = 0.25
-# ... the usual failure ratio times this: where all fail much, a host that fails more is but fuller
-# ...
+# A host is an outlier by its failures if its failure ratio exceeds the usual one, times this, ...
+# (where all fail much, a host that fails more is only fuller; a guess)
 USUAL_FAILURES_FACTOR = 3.0
-# ... and are at least so many, as a decayed sum: with the excess they are beyond chance. All three
-# guesses.
+# ... by more than this (a guess) ...
+MAX_EXCESS_FAILURE_RATIO = 0.25
+# ... and it has failed this often, as a decayed sum: together they are beyond chance (a guess).
 MIN_FAILURES = 3.0
 # Attempts that are expected of a host without any being heard of: by chance one time in fifty, and
 # all that follows is a health check.
@@ -34,7 +33,7 @@
 # hosts would only be overloaded.
 MAX_EJECTED_SHARE = 0.75
 # Time after a mass disconnect in which one check that does not get through is enough: a guess.
-ALARM_US = 3 * SECOND_US
+PARTITION_SUSPICION_US = 3 * SECOND_US
 
 
 class HostHealth:
@@ -83,7 +82,7 @@
         return self._eject_or_check_again()
 
     def eject_on_prior_knowledge(self, required_checks: int) -> None:
-        """Ejects a host that was known as ejected, until it passes the checks that it then needed."""
+        """Ejects a host that was known as ejected; it is readmitted as it would have been then."""
         self.host_table.ejected[self.index] = True
         self.ejected_at_us = self.scheduler.now
         self.prior.ejected.add(self.index)
@@ -135,7 +134,7 @@
         return is_expected and self.index not in host_table.outside_subset
 
     def _eject_or_check_again(self) -> bool:
-        """After a bad check: ejects a suspect that failed enough checks, or asks for the next one."""
+        """After a bad check: ejects a suspect that failed enough, or asks for the next check."""
         host_table = self.host_table
         if self.index not in host_table.eligible():
             return False
@@ -159,8 +158,8 @@
         return True
 
     def _is_cut_off(self) -> bool:
-        alarm_age_us = self.scheduler.now - self.host_table.disconnect_alarm_us
-        return self.host_table.unreachable[self.index] and alarm_age_us < ALARM_US
+        age_us = self.scheduler.now - self.host_table.mass_disconnect_at_us
+        return self.host_table.unreachable[self.index] and age_us < PARTITION_SUSPICION_US
 
     def _may_eject_another(self) -> bool:
         ready = self.host_table.ready()
--- a/plankroute/policy/host_table.py
+++ b/plankroute/policy/host_table.py
@@ -32,7 +32,7 @@
         warm_count: Hosts listed ready without a cap.
         warming_count: Hosts listed ready with a cap.
         usual_weight_by_type: Mean weight of the warm hosts, ejected ones included, by machine type.
-        disconnect_alarm_us: When many proxies last disconnected together; 0 for never.
+        mass_disconnect_at_us: When many proxies last disconnected together; 0 for never.
         outside_subset: Hosts listed ready that are left to other controllers.
     """
 
@@ -55,7 +55,7 @@
         self.warm_count = 0
         self.warming_count = 0
         self.usual_weight_by_type: dict[int, float] = {}
-        self.disconnect_alarm_us = 0
+        self.mass_disconnect_at_us = 0
         self.outside_subset: set[int] = set()
 
     def refresh(self) -> None:
--- a/plankroute/policy/mass_disconnect.py
+++ b/plankroute/policy/mass_disconnect.py
@@ -4,12 +4,12 @@
 from plankroute.policy.host_table import HostTable
 from plankroute.state.proxy_registry import ProxyRegistry
 
-# Time within which disconnects count together, and before which there is no second alarm: a guess.
+# Time within which disconnects count together, and hosts are checked only once: a guess.
 WINDOW_US = SECOND_US
 # Share of the joined proxies that disconnect within the window: more than do by themselves. A
 # guess.
 MIN_SHARE = 0.1
-# Disconnects within the window that are never an alarm: a guess, for controllers with few proxies.
+# Disconnects within the window that are never suspicious: a guess, for controllers with few proxies.
 MAX_UNSUSPICIOUS = 2
 
 
@@ -18,6 +18,6 @@
     now = registry.scheduler.now
     disconnected = registry.count_disconnects(proxy, now, WINDOW_US)
     is_mass = disconnected > max(MAX_UNSUSPICIOUS, MIN_SHARE * len(registry.zone_of_proxy))
-    if is_mass and now - host_table.disconnect_alarm_us > WINDOW_US:
-        host_table.disconnect_alarm_us = now
+    if is_mass and now - host_table.mass_disconnect_at_us > WINDOW_US:
+        host_table.mass_disconnect_at_us = now
         registry.scheduler.out += host_table.health_checks(host_table.eligible())
--- a/plankroute/policy/publisher.py
+++ b/plankroute/policy/publisher.py
@@ -141,10 +141,10 @@
         """Writes what is urgent as soon as a message can go, the rest once a turn if it fits."""
         now = self.scheduler.now
         overhead_lines = len(self.zone_of_proxy) * self.channel.message_overhead
-        self._note_channel_state(overhead_lines)
+        self._record_channel_state(overhead_lines)
         since_us = now - self.written_us
-        room: float = self.flow.backlog_cap - self.channel.unacknowledged - overhead_lines
-        must_write_now = self.drains.must_write_now(room)
+        budget: float = self.flow.backlog_cap - self.channel.unacknowledged - overhead_lines
+        must_write_now = self.drains.must_write_now(budget)
         changes = self.slot_changes.list_changes(now)
         changes.sort(key=lambda change: (-change.gain, change.index))
         urgent = [change for change in changes if change.urgent]
@@ -152,18 +152,18 @@
         gathers = self.flow.is_busy(self) and since_us < self._gathering_us(urgent)
         if since_us < self.flow.min_gap_us or (gathers and not must_write_now):
             return
-        room = self.drains.write(room)
+        budget = self.drains.write(budget)
         for change in urgent:
-            room -= write_slot(self, self.host_table, change, room)
+            budget -= write_slot(self, self.host_table, change, budget)
         has_time = is_turn and since_us >= 2 * self.flow.min_gap_us
         if self.channel.batch or (has_time and not self._proxies_may_lack_endpoints):
-            ordinary_room = self.flow.room(self, self.flow.allowance) - overhead_lines
+            ordinary_budget = self.flow.available_lines(self, self.flow.allowance) - overhead_lines
             ordinary = [change for change in changes if not change.urgent]
-            self._write_ordinary(ordinary, min(room, ordinary_room))
+            self._write_ordinary(ordinary, min(budget, ordinary_budget))
         if self.channel.batch:
             self.written_us = now
 
-    def _note_channel_state(self, overhead_lines: int) -> None:
+    def _record_channel_state(self, overhead_lines: int) -> None:
         """Notes how dear lines are: where they are dear, weights keep nearer to their slots."""
         all_lines = sum(len(self.users(table)) * len(table.published) for table in self.tables)
         self.host_table.proxies = len(self.zone_of_proxy)
@@ -176,7 +176,7 @@
             return min(self.flow.max_gap_us, TURN_US)
         return self.flow.max_gap_us
 
-    def _write_ordinary(self, changes: list[Change], room: float) -> None:
+    def _write_ordinary(self, changes: list[Change], budget: float) -> None:
         """Writes admission limits, and the slots that move most if they are worth a message."""
         price = self.flow.line_price
         overhead = 0 if self.channel.batch else self.channel.message_overhead
@@ -184,23 +184,23 @@
             change for change in changes if change.gain > price or change.index in self.withdrawn
         ]
         lines = len(worthwhile) + len(self.pending_limits)
-        if room < len(self.bound) * min(overhead, lines):
+        if budget < len(self.bound) * min(overhead, lines):
             return  # a later message holds more lines for its overhead
-        room = self._write_limits(room)
+        budget = self._write_limits(budget)
         benefit = sum(change.gain - price for change in worthwhile)
         if benefit > price * overhead or self.channel.batch:
             for change in worthwhile:
-                room -= write_slot(self, self.host_table, change, room)
+                budget -= write_slot(self, self.host_table, change, budget)
 
-    def _write_limits(self, room: float) -> float:
-        """Writes the admission limits that there is room for; returns the room left."""
+    def _write_limits(self, budget: float) -> float:
+        """Writes the admission limits that there is room for; returns the lines left."""
         for key, limit in list(self.pending_limits.items()):
             assert limit.table is not None  # admission sets limits table by table
             recipients = self.users(self.tables[limit.table])
-            if room >= len(recipients):
-                room -= len(recipients)
+            if budget >= len(recipients):
+                budget -= len(recipients)
                 self.command(self.pending_limits.pop(key), recipients)
-        return room
+        return budget
 
     def _fill_unused_tables(self) -> None:
         """Sets all slots while no proxy is bound: that costs no lines, and binds carry them."""
