--- a/plankroute/policy/mass_disconnect.py
+++ b/plankroute/policy/mass_disconnect.py
@@ -6,10 +6,10 @@
 
 # Time within which disconnects count together, and hosts are checked only once: a guess.
 WINDOW_US = SECOND_US
-# Share of the joined proxies that disconnect within the window: more than do by themselves. A
+# Share of the joined proxies that disconnect within the window: more than do so by chance. A
 # guess.
 MIN_SHARE = 0.1
-# Disconnects within the window that are never suspicious: a guess, for controllers with few proxies.
+# Disconnects within the window that are never suspicious, however few proxies joined: a guess.
 MAX_UNSUSPICIOUS = 2
 
 
--- a/tests/test_learned.py
+++ b/tests/test_learned.py
@@ -404,7 +404,7 @@
         bench.pass_time(SECOND // 2)
     assert (
         wrong.lines[0] == pytest.approx(plain.lines[0], rel=0.05)
-        and not wrong.controller.host_table.told
+        and not wrong.controller.policy.prior.weights
     )
 
 
@@ -443,7 +443,7 @@
     bench.give(changes(entry(103, READY, zone=0, started_us=bench.now)))
     assert (
         not bench.controller.host_table.ejected[bench.controller.host_table.index_of[103]]
-        and not bench.controller.host_table.told
+        and not bench.controller.policy.prior.weights
     )
 
 
