--- /dev/null
+++ b/tests/policy/test_admission_limits.py
@@ -0,0 +1,38 @@
+"""Admission limits follow an overload where proxies heed them."""
+
+import pytest
+from support.controller_bench import feed, ready_bench
+from support.controller_model import (
+    SECOND,
+)
+
+from plankroute.events import events
+from plankroute.events.facts import AdmissionUnit
+from plankroute.policy.admission import OPEN_LIMITS
+
+
+@pytest.mark.parametrize("unit", [AdmissionUnit.RATE, AdmissionUnit.SHARE, AdmissionUnit.NONE])
+def test_limits_fall_under_overload_only_where_proxies_heed_them(unit: AdmissionUnit) -> None:
+    bench = ready_bench(admission_unit=unit)
+    bench.levels.clear()
+    for _ in range(6):
+        bench.give(*[events.ProxyRequestStats(p, 0, 20, 0, SECOND) for p in range(4)])
+        feed(bench, 1, time_ms=lambda host: 900.0)
+    if unit is AdmissionUnit.NONE:
+        assert not bench.levels
+        return
+    whole = 1.0 if unit is AdmissionUnit.SHARE else 20.0
+    assert (
+        0.4 * whole < bench.levels[-1].limit < whole
+    )  # one late answer is counted once, not every turn
+    feed(bench, 25)
+    assert bench.levels[-1].limit == OPEN_LIMITS[unit]
+
+
+def test_limits_shed_nothing_for_lost_connections_and_no_more_than_is_lost() -> None:
+    for slow_ms, failed, least in ((200.0, 6, 20.0), (900.0, 2, 12.0)):
+        bench = ready_bench(admission_unit=AdmissionUnit.RATE)
+        for _ in range(20):
+            bench.give(*[events.ProxyRequestStats(p, 0, 12, 0, SECOND) for p in range(4)])
+            feed(bench, 1, time_ms=lambda host: slow_ms, failed=lambda host: failed)
+        assert bench.levels[-1].limit >= least * 0.6
--- /dev/null
+++ b/tests/policy/test_first_weights.py
@@ -0,0 +1,164 @@
+"""Weights before the controller has statistics of its own."""
+
+import math
+import random
+
+import pytest
+from support.controller_bench import probes, ready_bench
+from support.controller_model import (
+    DRAINING,
+    SECOND,
+    Bench,
+    changes,
+    entry,
+    full,
+    start_facts,
+)
+
+from plankroute.controller.controller import Controller
+from plankroute.events import commands, events
+from plankroute.events.events import HealthCheckOutcome
+
+
+def test_a_restarted_controller_takes_over_the_weights_of_old_tables() -> None:
+    """Guards against even weights for proxies whose tables were right: their tries tell the weights."""
+    bench = Bench(start_facts(proxy_count=30, drain_grace_us=7 * SECOND))
+    bench.give(
+        full(*[entry(100 + i, zone=i % 3, kind=i % 2) for i in range(12)], entry(200), entry(201))
+    )
+    bench.give(*[events.ProxyJoined(p, p % 3, 10.0, False) for p in range(30)])
+    for host in (200, 201):
+        assert not bench.bound
+        bench.give(
+            *[
+                events.HostRequestStats(host, 0, 9 if host % 2 else 3, 0, 2e5, SECOND, None)
+                for host in range(100, 112)
+            ]
+        )
+        bench.pass_time(SECOND // 2)
+        bench.controller.publisher.flow.round_trip_lines = (
+            100.0  # a channel that is busy with withdrawals
+        )
+        bench.give(changes(entry(host, DRAINING)))
+        bench.rate = 0.0
+        bench.pass_time(SECOND // 2)
+    assert bench.bound and bench.lines[0][101] > 2 * bench.lines[0][100]  # binds carry it already
+    bench.rate = bench.facts.channel_lines_per_s
+    bench.pass_time(SECOND)
+    assert len(bench.bound) == 30
+    fresh = ready_bench(proxies=2)
+    assert fresh.bound  # nobody has learnt anything yet: at once
+
+
+@pytest.mark.parametrize("weight, health_checks_allowed", [(0.0, True), (0.0, False), (2.0, True)])
+def test_first_health_checks_tell_the_speed_of_hosts_without_listed_sizes(
+    weight: float, health_checks_allowed: bool
+) -> None:
+    """Guards against even weights until the first sums come, seconds after the first txns."""
+    bench = Bench(start_facts(health_checks_allowed=health_checks_allowed))
+    bench.give(full(*[entry(100 + i, kind=i % 2, weight=weight * (1 + i)) for i in range(6)]))
+    asked = probes(bench.give(events.ProxyJoined(0, 0, 10.0, True)))
+    assert asked == (bench.hosts.keys() if health_checks_allowed and not weight else set())
+    took = {host: 10_000 + host % 2 * 15_000 for host in asked} | {
+        100: 1
+    }  # one seems to answer at once
+    bench.give(
+        *[
+            events.HealthCheckResult(host, HealthCheckOutcome.ANSWERED, took[host], None)
+            for host in asked
+        ]
+    )
+    bench.pass_time(SECOND // 10)
+    lines = bench.lines[0]
+    assert (
+        bench.bound
+        and (lines[102] > 1.5 * lines[101]) is bool(asked)
+        and lines[100] < 2 * lines[102]
+    )
+
+
+def test_a_first_health_check_without_an_answer_does_not_hold_up_binds() -> None:
+    bench = Bench(start_facts())
+    bench.give(full(*[entry(100 + i) for i in range(6)]))
+    asked = probes(bench.give(events.ProxyJoined(0, 0, 10.0, True)))
+    bench.give(
+        *[
+            events.HealthCheckResult(host, HealthCheckOutcome.ANSWERED, 10_000, None)
+            for host in asked - {100}
+        ]
+    )
+    bench.pass_time(SECOND // 10)
+    assert not bench.bound
+    bench.pass_time(SECOND // 4)
+    assert bench.bound and 0 < bench.lines[0][100] < bench.lines[0][101]
+
+
+def test_a_restarted_controller_without_reports_in_time_goes_by_health_checks() -> None:
+    """Guards against even weights after a restart where the grace leaves no time for the first reports."""
+    bench = Bench(start_facts(drain_grace_us=2 * SECOND))
+    bench.give(full(*[entry(100 + i, kind=i % 2) for i in range(6)]))
+    asked = probes(bench.give(events.ProxyJoined(0, 0, 10.0, False)))
+    took = {host: 10_000 + host % 2 * 20_000 for host in asked}
+    bench.give(
+        *[
+            events.HealthCheckResult(host, HealthCheckOutcome.ANSWERED, took[host], None)
+            for host in asked
+        ]
+    )
+    bench.pass_time(2 * SECOND)
+    assert asked == set(range(100, 106)) and bench.lines[0][100] > 2 * bench.lines[0][101]
+
+
+def test_first_weights_go_by_the_health_checks_that_were_answered_in_time() -> None:
+    """Guards against a kind that counts hundreds of times as much: one host answers at once, and of another
+    kind fewer than half have answered when binds can wait no longer."""
+    bench = Bench(start_facts())
+    bench.give(full(*[entry(100 + i, kind=i % 2) for i in range(20)]))
+    bench.give(events.ProxyJoined(0, 0, 10.0, True))
+    took = {host: 10_000 for host in range(100, 120) if host % 2 == 0 or host < 108} | {100: 1}
+    bench.give(
+        *[
+            events.HealthCheckResult(host, HealthCheckOutcome.ANSWERED, took[host], None)
+            for host in took
+        ]
+    )
+    bench.pass_time(SECOND // 2)
+    lines = bench.lines[0]
+    assert len(lines) == 20 and max(lines.values()) <= 2 * min(lines.values())
+
+
+def test_a_controller_with_too_few_reports_to_take_weights_over_does_not_wait_forever() -> None:
+    bench = Bench(start_facts())
+    bench.give(full(entry(100), entry(101)), events.ProxyJoined(0, 0, 1.0, False))
+    bench.give(changes(entry(100, DRAINING)))  # told even while it waits
+    assert commands.WithdrawHost(100, True) in bench.log
+    bench.pass_time(7 * SECOND)
+    assert bench.bound and bench.lines[0][101] > 0
+
+
+def test_first_tables_of_many_controllers_do_not_favour_the_same_few_hosts() -> None:
+    """All start at once with the same shared answers, all hosts cold: what a host gets of all is bounded."""
+    rng, total = random.Random(5), dict.fromkeys(range(100, 160), 0.0)
+    took = {host: int(math.exp(rng.gauss(9.0, 0.6))) for host in total}
+    for seed in range(20):
+        bench = Bench(
+            start_facts(controller_count=20),
+            controller=Controller(start_facts(controller_count=20), seed),
+        )
+        bench.give(full(*[entry(host, zone=host % 3, started_us=bench.now) for host in total]))
+        bench.give(*[events.ProxyJoined(p, p % 3, 10.0, True) for p in range(4)])
+        bench.give(
+            *[
+                events.HealthCheckResult(
+                    host, HealthCheckOutcome.ANSWERED, took[host], None, age_us=SECOND
+                )
+                for host in total
+                if rng.random() < 0.9
+            ]
+        )
+        bench.pass_time(SECOND)
+        lines = bench.lines[0]
+        for host, weight in lines.items():
+            total[host] += weight / sum(lines.values())
+    mean = sum(total.values()) / len(total)
+    assert max(total.values()) < 1.6 * mean and min(total.values()) > 0.4 * mean
--- /dev/null
+++ b/tests/policy/test_flow_control.py
@@ -0,0 +1,144 @@
+"""What is written, and what waits, while the channel is busy."""
+
+import math
+import random
+
+import pytest
+from support.controller_bench import feed, large_bench, ready_bench
+from support.controller_model import (
+    DRAINING,
+    GONE,
+    READY,
+    SECOND,
+    Bench,
+    changes,
+    entry,
+    full,
+    start_facts,
+)
+
+from plankroute.controller.controller import Controller
+from plankroute.events import commands, events
+
+
+def test_ordinary_lines_wait_while_proxies_do_not_acknowledge_but_drains_do_not() -> None:
+    bench = ready_bench(backlog_cap_lines=400)
+    bench.rate = 0.0
+    feed(bench, 20, time_ms=lambda host: random.Random(host + bench.now).uniform(50, 900))
+    assert bench.most_waiting <= 400
+    assert commands.SetRoute(0, 100, 0.0) in bench.give(changes(entry(100, DRAINING)))
+
+
+@pytest.mark.parametrize("grace_s", [2, 4, 30])
+def test_after_a_restart_proxies_are_bound_within_the_grace_whatever_they_bring(
+    grace_s: int,
+) -> None:
+    """Guards against hosts that were gone before the restart: nobody tells of them any more, so tables that
+    still name them have to be replaced within the grace."""
+    facts = start_facts(proxy_count=30, drain_grace_us=grace_s * SECOND)
+    bench = Bench(facts)
+    bench.give(full(*[entry(100 + i, zone=i % 3) for i in range(12)]))
+    bench.give(*[events.ProxyJoined(p, p % 3, 10.0, False) for p in range(30)])
+    bench.pass_time(SECOND // 2)
+    assert not bench.bound  # first weights are still to be learnt
+    bench.pass_time(min(grace_s, 7) * SECOND - SECOND // 2)
+    assert len(bench.bound) == 30
+
+
+def test_a_table_longer_than_binds_may_queue_is_bound_all_the_same() -> None:
+    """Guards against proxies that are never bound: 500 hosts, 2,000 lines a second on a short way."""
+    bench = Bench(
+        start_facts(
+            one_way_delay_us=0, max_one_way_delay_us=0, drain_grace_us=3 * SECOND, proxy_count=9
+        )
+    )
+    bench.give(full(*[entry(100 + i, zone=i % 3) for i in range(500)]))
+    bench.give(*[events.ProxyJoined(p, p % 3, 10.0, True) for p in range(9)])
+    bench.pass_time(8 * SECOND)
+    assert len(bench.bound) == 9 and bench.most_waiting <= 2 * 520
+
+
+@pytest.mark.parametrize("seed", range(3))
+def test_many_proxies_keep_the_rules_through_waves_and_disconnects(seed: int) -> None:
+    bench, rng = large_bench(seed)
+    for _ in range(6):
+        host = rng.randrange(100, 150)
+        match rng.randrange(3):
+            case 0:
+                bench.give(
+                    changes(*[entry(host + i, GONE, (host + i - 100) % 3) for i in range(10)])
+                )
+            case 1:
+                bench.give(
+                    changes(
+                        *[
+                            entry(host + i, READY, (host + i - 100) % 3, started_us=bench.now)
+                            for i in range(10)
+                        ]
+                    )
+                )
+            case _:
+                again = rng.sample(range(100), 50)
+                bench.give(*[events.ProxyLeft(p) for p in again])
+                bench.give(*[events.ProxyJoined(p, p % 3, 1.0, False) for p in again])
+        feed(bench, 2, time_ms=lambda _: math.exp(rng.gauss(5.5, 1.0)))
+    bench.pass_time(10 * SECOND)
+    assert len(bench.bound) == 100
+
+
+def test_proxies_on_standing_tables_are_bound_while_slots_move_and_a_tenth_of_their_zone_is_removed() -> (
+    None
+):
+    """Guards against proxies left with nobody to pick: slots filled the channel, turn after turn."""
+    facts = start_facts(
+        channel_lines_per_s=600.0,
+        backlog_cap_lines=6000,
+        drain_grace_us=20 * SECOND,
+        one_way_delay_us=400_000,
+        proxy_count=60,
+        health_checks_allowed=False,
+    )
+    bench = Bench(facts, controller=Controller(facts, 3))
+    bench.give(full(*[entry(100 + n, zone=n % 3) for n in range(60)]))
+    bench.give(*[events.ProxyJoined(p, p % 3, 10.0 / (1 + p), True) for p in range(40)])
+    gone = []
+    for turn in range(14):
+        if turn in (2, 4):
+            gone += range(100 + 9 * (turn // 2 - 1), 109 + 9 * (turn // 2 - 1))
+            bench.give(changes(*[entry(host, DRAINING, zone=(host - 100) % 3) for host in gone]))
+        bench.give(
+            *[
+                events.HostRequestStats(
+                    host, 0, 40, 0, 200_000 * (1 + (host + turn) % 7), SECOND, None
+                )
+                for host in range(100, 160)
+                if host not in gone
+            ]
+        )
+        bench.pass_time(SECOND)
+    assert not bench.controller.publisher.unbound
+
+
+def test_a_busy_channel_holds_up_what_is_urgent_for_a_turn_at_most() -> None:
+    """Guards against hosts that stay in the tables for a third of a long grace after they were found bad."""
+    facts = start_facts(
+        proxy_count=100,
+        backlog_cap_lines=40_000,
+        drain_grace_us=30 * SECOND,
+        max_unbound_us=60 * SECOND,
+    )
+    bench = Bench(facts)
+    bench.give(full(*[entry(100 + i, zone=i % 3) for i in range(60)]))
+    bench.give(*[events.ProxyJoined(p, p % 3, 5.0, True) for p in range(100)])
+    bench.pass_time(8 * SECOND)
+    publisher = bench.controller.publisher
+    publisher.flow.round_trip_lines, publisher.written_us = (
+        0.0,
+        bench.now,
+    )  # as if it had just written, and more still waits
+    publisher.channel.charge([0], 1)
+    bench.controller.host_table.ejected[0] = True
+    bench.pass_time(SECOND // 2)
+    assert 100 in bench.lines[0]
+    bench.pass_time(SECOND)
+    assert 100 not in bench.lines[0]
--- /dev/null
+++ b/tests/policy/test_policy_rules.py
@@ -0,0 +1,88 @@
+"""Generated days beside the plain model of the rules."""
+
+import random
+
+import pytest
+from support.controller_bench import generated_day
+from support.controller_model import (
+    SECOND,
+    Bench,
+    product,
+    start_facts,
+)
+
+from plankroute.controller.controller import Controller
+from plankroute.events import commands, events
+from plankroute.events.events import ListKind
+from plankroute.events.facts import AdmissionUnit, ReportSource
+
+
+def test_a_failed_endpoint_list_is_polled_again() -> None:
+    bench = Bench(start_facts(must_subscribe=True))
+    bench.give(events.HostList(ListKind.FAILED, ()))
+    bench.log.clear()
+    bench.pass_time(3 * SECOND)
+    assert commands.SubscribeHostList(True) in bench.log
+
+
+def test_the_same_events_give_the_same_commands() -> None:
+    logs = [Bench(start_facts(), controller=Controller(start_facts(), 5)) for _ in range(2)]
+    for bench in logs:
+        generated_day(bench, random.Random(3), 60)
+    assert logs[0].log == logs[1].log
+
+
+@pytest.mark.parametrize("seed", range(12))
+def test_generated_days_keep_the_rules(seed: int) -> None:
+    rng = random.Random(seed)
+    products = rng.choice(
+        [
+            (product(),),
+            (product(), product(zones=(0, 1))),
+            (product(stays_in_zone=True), product(machine_types=(0,))),
+        ]
+    )
+    facts = start_facts(
+        request_classes=products,
+        report_source=rng.choice(list(ReportSource)),
+        admission_unit=rng.choice(list(AdmissionUnit)),
+        health_checks_allowed=rng.random() < 0.7,
+        max_messages_per_window=rng.choice([0, 12]),
+    )
+    generated_day(Bench(facts, speed=rng.choice([1.0, 0.4])), rng, 50)
+
+
+def membership_events(kind: str, rng: random.Random) -> list[events.Event]:
+    """What membership might say in one batch, right or not."""
+    alive, gone = events.ControllerState.ALIVE, events.ControllerState.GONE
+    match kind:
+        case "empty":
+            return [events.ControllerStatus(1, gone)]
+        case "flapping":
+            return [events.ControllerStatus(rng.randrange(3), state) for state in (gone, alive) * 3]
+        case "lying":
+            return [
+                events.ControllerStatus(
+                    rng.randrange(-9, 2**40), rng.choice(list(events.ControllerState))
+                )
+                for _ in range(50)
+            ]
+        case _:
+            return [events.ControllerStatus(1, alive)]  # of one that is gone
+
+
+@pytest.mark.parametrize("kind", ["empty", "wrong", "flapping", "lying"])
+@pytest.mark.parametrize("seed", range(4))
+def test_no_rule_rests_on_what_membership_says(kind: str, seed: int) -> None:
+    """Orders are the same to the letter, so each rule is kept as it was; the bench objects to breaks
+    besides."""
+
+    class Told(Bench):
+        def give(self, *batch: events.Event) -> list[commands.Command]:
+            return super().give(*membership_events(kind, random.Random(self.now)), *batch)
+
+    logs = []
+    for bench in (Bench(start_facts(controller_count=3)), Told(start_facts(controller_count=3))):
+        generated_day(bench, random.Random(seed), 40)
+        logs.append(bench.log)
+    assert logs[0] == logs[1] and logs[0]
--- /dev/null
+++ b/tests/policy/test_slot_changes.py
@@ -0,0 +1,102 @@
+"""Slots are worked out when something moved, and written if they are worth their lines."""
+
+from support.controller_bench import feed, large_bench, ready_bench
+from support.controller_model import (
+    DRAINING,
+    GONE,
+    SECOND,
+    Bench,
+    changes,
+    entry,
+    full,
+    product,
+    start_facts,
+)
+
+from plankroute.events import commands, events
+
+
+def test_one_shared_table_binds_each_proxy_once_and_sends_only_changes() -> None:
+    bench = ready_bench()
+    assert len(bench.lines) == 1 and len({table for table in bench.bound.values()}) == 1
+    bench.log.clear()
+    bench.pass_time(5 * SECOND)
+    assert not [o for o in bench.log if isinstance(o, (commands.SetRoute, commands.BindProxy))]
+
+
+def test_slots_are_worked_out_anew_only_when_something_has_moved() -> None:
+    """Guards against a tenth of a core spent on looks that find nothing new, at 500 hosts."""
+    bench = ready_bench()
+    feed(bench, 3)
+    publisher, found = bench.controller.publisher, []
+    table = type(publisher.tables[0])
+    plain = table.slots
+    table.slots = lambda *words: found.append(words) or plain(*words)
+    try:
+        bench.pass_time(SECOND // 2)
+        turns = len(found)
+        bench.give(changes(entry(100, DRAINING, zone=0, kind=0)))
+        assert turns == 0 < len(found) and 100 not in bench.lines[0]
+        assert publisher.target.current() == [
+            plain(publisher.tables[0], bench.controller.host_table, publisher.withdrawn)
+        ]
+    finally:
+        table.slots = plain
+
+
+def test_a_zone_left_with_ejected_and_cold_hosts_uses_the_ejected_ones() -> None:
+    bench = Bench(start_facts(request_classes=(product(stays_in_zone=True),)))
+    bench.give(full(*[entry(100 + i) for i in range(3)]), events.ProxyJoined(0, 0, 10.0, True))
+    bench.pass_time(2 * SECOND)
+    bench.controller.host_table.ejected[0] = True
+    bench.give(changes(entry(101, DRAINING), entry(102, GONE), entry(103, started_us=bench.now)))
+    bench.pass_time(SECOND // 2)
+    assert 100 in bench.picks(0, 0)
+    bench.give(changes(entry(100, GONE), entry(103, GONE)))  # nobody at all: nothing to share out
+
+
+def test_slices_stay_as_the_store_has_them_but_drains_are_kept() -> None:
+    bench = Bench(start_facts(slices=4, slices_exclusive=True))
+    bench.give(
+        full(entry(1), entry(2)),
+        events.ProxyJoined(0, 0, 1.0, True),
+        events.SliceAssignment(0, True),
+    )
+    bench.give(changes(entry(1, DRAINING)))
+    assert not bench.lines and not bench.bound and bench.withdrawn == {1}
+
+
+def test_an_expensive_message_holds_the_slots_that_move_most_and_weights_stay_near_them() -> None:
+    bench, _ = large_bench(7)
+    bench.pass_time(8 * SECOND)
+    bench.log.clear()
+    feed(bench, 1, time_ms=lambda host: 2000.0 if host == 100 else 200.0 + host)
+    lines = [order.host for order in bench.log if isinstance(order, commands.SetRoute)]
+    assert lines[0] == 100 and len(lines) < 30
+    bench.rate, host_table = 0.0, bench.controller.host_table
+    feed(bench, 12, time_ms=lambda host: 2000.0 if host == 101 else 200.0)
+    assert (
+        host_table.channel_constrained
+        and host_table.weight[1] >= host_table.effective_weight[1] / 2
+    )
+
+
+def test_expensive_lines_do_not_keep_a_bad_slot_for_good() -> None:
+    bench, _ = large_bench(7, order=0.5)
+    bench.pass_time(8 * SECOND)
+    before = bench.lines[0][100]
+    feed(bench, 25, time_ms=lambda host: 2000.0 if host == 100 else 200.0)
+    assert bench.lines[0][100] < before / 2
+
+
+def test_small_changes_wait_on_a_calm_day_and_are_written_where_answers_are_late() -> None:
+    """Guards against a channel that is busy all day with moves that gain next to nothing."""
+    for time_ms, written in ((100.0, False), (500.0, True)):
+        bench, _ = large_bench(7, order=0.02)
+        bench.pass_time(8 * SECOND)
+        feed(bench, 6, time_ms=lambda _: time_ms)
+        bench.log.clear()
+        weights = bench.controller.host_table.weight
+        weights[:] = [weight * (1.1 if i % 2 else 0.9) for i, weight in enumerate(weights)]
+        bench.pass_time(SECOND)
+        assert any(isinstance(o, commands.SetRoute) for o in bench.log) is written
--- /dev/null
+++ b/tests/policy/test_subsetting.py
@@ -0,0 +1,165 @@
+"""Tables that hold a subset of the hosts."""
+
+from dataclasses import replace
+
+import pytest
+from support.controller_bench import feed
+from support.controller_model import (
+    GONE,
+    SECOND,
+    Bench,
+    changes,
+    entry,
+    full,
+    start_facts,
+)
+
+from plankroute.controller.controller import Controller
+from plankroute.events import events
+
+
+def controllers_with_subsets(stewards: int, hosts: int, joined: int) -> list[Bench]:
+    """Stewards of a fleet in which to bind all proxies to whole tables takes half a minute."""
+    benches = []
+    for rank in range(stewards):
+        told = start_facts(
+            controller_rank=rank,
+            controller_count=stewards,
+            proxy_count=stewards * 60,
+            channel_lines_per_s=500.0,
+            backlog_cap_lines=40_000,
+            drain_grace_us=12 * SECOND,
+            max_unbound_us=60 * SECOND,
+            health_checks_allowed=False,
+        )
+        bench = Bench(told, controller=Controller(told, rank))
+        bench.give(full(*[entry(100 + i, zone=i % 3, kind=i % 2) for i in range(hosts)]))
+        bench.give(*[events.ProxyJoined(p, p % 3, 10.0, True) for p in range(joined)])
+        bench.pass_time(SECOND)
+        benches.append(bench)
+    return benches
+
+
+def test_where_all_binds_take_too_long_each_host_is_in_as_many_tables_as_any_other() -> None:
+    """Guards against proxies that go by tables which nobody steers until the day is over."""
+    benches = controllers_with_subsets(4, 200, 60)
+    held = [set(bench.lines[0]) for bench in benches]
+    assert set().union(*held) == set(range(100, 300)) and sum(map(len, held)) <= 204
+    assert all({host % 3 for host in hosts} == {0, 1, 2} for hosts in held)
+    bench = benches[0]
+    before, hosts = set(bench.lines[0]), sorted(bench.lines[0])
+    bench.give(changes(entry(hosts[0], GONE, zone=(hosts[0] - 100) % 3)))
+    bench.pass_time(2 * SECOND)
+    after = set(bench.lines[0])
+    assert (
+        hosts[0] in before - after and len(before ^ after) <= 4
+    )  # the arc's ends alone have moved
+
+
+def test_a_controller_with_all_proxies_keeps_its_subset_and_few_hosts_are_in_all_tables() -> None:
+    """Guards against a table that widens, line by line at every proxy on it, while those of the controllers
+    that were lost wait to be bound: binds get longer just when there are most of them."""
+    alone = controllers_with_subsets(4, 200, 60)[0]
+    before = set(alone.lines[0])
+    assert len(before) == 50
+    alone.give(*[events.ProxyJoined(p, p % 3, 10.0, False) for p in range(60, 240)])
+    alone.pass_time(2 * SECOND)
+    assert set(alone.lines[0]) == before
+    small = controllers_with_subsets(4, 20, 60)
+    assert all(len(bench.lines[0]) == 20 for bench in small)
+
+
+def test_a_subset_is_as_large_as_can_be_bound_in_time() -> None:
+    """Guards against whole tables that take longer to hand out than a drain may, after a restart."""
+    told = start_facts(
+        controller_rank=1,
+        controller_count=4,
+        proxy_count=240,
+        channel_lines_per_s=2000.0,
+        backlog_cap_lines=40_000,
+        drain_grace_us=12 * SECOND,
+        max_unbound_us=60 * SECOND,
+        health_checks_allowed=False,
+    )
+    sizes = {}
+    for grace_s in (12, 3):
+        facts = replace(told, drain_grace_us=grace_s * SECOND)
+        bench = Bench(facts, controller=Controller(facts, 1))
+        bench.give(full(*[entry(100 + n, zone=n % 3) for n in range(200)]))
+        bench.give(*[events.ProxyJoined(p, p % 3, 10.0, True) for p in range(60)])
+        bench.pass_time(4 * SECOND)
+        sizes[grace_s] = len(bench.lines[0])
+        assert len(bench.bound) == 60
+    assert sizes == {12: 100, 3: 50}  # of 200 hosts: 3 s, and 1.3 s, of 60 proxies' lines
+
+
+def test_subsets_are_whole_shares_so_that_each_host_is_in_as_many_tables() -> None:
+    """Guards against hosts that stand in two controllers' tables beside others that stand in one."""
+    sizes = {}
+    for stewards, channel_lines_per_s in ((5, 2000.0), (2, 500.0)):
+        held: list[int] = []
+        for rank in range(stewards):
+            told = start_facts(
+                controller_rank=rank,
+                controller_count=stewards,
+                proxy_count=stewards * 60,
+                health_checks_allowed=False,
+                channel_lines_per_s=channel_lines_per_s,
+                backlog_cap_lines=40_000,
+                drain_grace_us=12 * SECOND,
+                max_unbound_us=60 * SECOND,
+            )
+            bench = Bench(told, controller=Controller(told, rank))
+            bench.give(full(*[entry(100 + n, zone=n % 3) for n in range(200)]))
+            bench.give(*[events.ProxyJoined(p, p % 3, 10.0, True) for p in range(4)])
+            bench.pass_time(SECOND)
+            held += bench.lines[0]
+        sizes[stewards] = {held.count(host) for host in range(100, 300)}
+    assert sizes == {5: {3}, 2: {2}}  # of two, either may be left with all proxies: no subsets
+
+
+def test_hosts_outside_the_subset_are_not_suspected_for_their_silence() -> None:
+    bench, *_ = controllers_with_subsets(4, 200, 60)
+    bench.log.clear()
+    mine = set(bench.lines[0])
+    feed(bench, 8, skip=tuple(set(bench.hosts) - mine))
+    host_table = bench.controller.host_table
+    assert host_table.outside_subset and not any(
+        bench.controller.hosts[i].health.is_silent() for i in host_table.outside_subset
+    )
+    mean = sum(host_table.weight[i] for i in host_table.outside_subset) / len(
+        host_table.outside_subset
+    )
+    assert not any(host_table.ejected) and mean == pytest.approx(1.0, abs=0.01)
+
+
+def test_a_subset_widens_until_it_holds_enough_warm_hosts() -> None:
+    """Guards against whole tables, which take minutes to bind, after half of the hosts were replaced."""
+    told = start_facts(
+        controller_rank=1,
+        controller_count=5,
+        proxy_count=300,
+        channel_lines_per_s=500.0,
+        backlog_cap_lines=40_000,
+        drain_grace_us=12 * SECOND,
+        max_unbound_us=60 * SECOND,
+        health_checks_allowed=False,
+    )
+    bench = Bench(told, controller=Controller(told, 1))
+    new = bench.now - SECOND
+    bench.give(full(*[entry(100 + n, zone=n % 3, started_us=new * (n % 2)) for n in range(200)]))
+    bench.give(*[events.ProxyJoined(p, p % 3, 10.0, True) for p in range(60)])
+    bench.pass_time(SECOND)
+    assert 40 <= len(bench.lines[0]) <= 60
+
+
+def test_a_subset_that_moves_on_gives_up_no_host_before_others_stand_in() -> None:
+    """Guards against tables of a few hosts: those that it left went at once, those that it got came later."""
+    bench = controllers_with_subsets(4, 200, 60)[0]
+    host_table, publisher = bench.controller.host_table, bench.controller.publisher
+    before = set(bench.lines[0])
+    publisher.subsetting.start = 0.1
+    publisher.target.invalidate()  # as if warm hosts had come and gone beside it
+    left = [change for change in publisher.slot_changes.list_changes(bench.now) if not change.count]
+    assert 10 < len(left) < 30 and {host_table.host_ids[change.index] for change in left} < before
+    assert not any(change.urgent for change in left)
--- /dev/null
+++ b/tests/policy/test_weight_controller.py
@@ -0,0 +1,127 @@
+"""The weights of hosts follow their fill."""
+
+import pytest
+from support.controller_bench import feed, ready_bench
+from support.controller_model import (
+    SECOND,
+    Bench,
+    entry,
+    full,
+    product,
+    start_facts,
+)
+
+from plankroute.events import events
+
+
+def test_the_pid_moves_weight_from_slow_hosts_to_fast_ones() -> None:
+    bench = ready_bench()
+    before = dict(bench.lines[0])
+    feed(bench, 12, time_ms=lambda host: 600.0 if host == 100 else 200.0)
+    assert bench.lines[0][100] < before[100] / 2
+    assert sum(bench.lines[0].values()) == pytest.approx(sum(before.values()), abs=3)
+
+
+def test_a_stale_report_does_not_kick_the_derivative() -> None:
+    bench = ready_bench()
+    feed(bench, 4, time_ms=lambda host: 400.0 if host == 100 else 200.0)
+    host_table = bench.controller.host_table
+    assert not any(host_table.heard_since_turn)
+    errors = list(host_table.error)
+    bench.pass_time(3 * SECOND)
+    assert host_table.error == errors
+
+
+def test_a_controller_without_statistics_keeps_its_weights() -> None:
+    bench = ready_bench()
+    feed(bench, 2, time_ms=lambda host: 900.0 if host == 100 else 200.0)
+    bench.pass_time(2 * SECOND)  # its slots are written
+    host_table = bench.controller.host_table
+    host_table.integral[:] = [0.0] * len(host_table.integral)
+    before = list(host_table.weight)
+    bench.pass_time(3 * SECOND)
+    assert host_table.weight == pytest.approx(before)
+
+
+def test_turns_keep_behind_statistics_that_come_together() -> None:
+    """Guards against news that wait up to a turn."""
+    bench = ready_bench()
+    feed(bench, 4)
+    bench.give(
+        *[events.HostRequestStats(host, 0, 8, 0, 200_000.0, SECOND, None) for host in bench.hosts]
+    )
+    assert all(bench.controller.host_table.heard_since_turn)
+    bench.pass_time(SECOND // 5)
+    assert not any(bench.controller.host_table.heard_since_turn)
+
+
+def test_load_from_other_controllers_counts() -> None:
+    bench = Bench(start_facts(request_classes=(product(), product(stays_in_zone=True))))
+    bench.give(
+        full(*[entry(100 + i, zone=i % 3) for i in range(9)]), events.ProxyJoined(0, 1, 10.0, True)
+    )
+    for _ in range(
+        8
+    ):  # this steward's proxy brings zone 0 nothing, the hosts there hold three times as much
+        bench.give(
+            *[
+                events.HostRequestStats(
+                    h,
+                    0,
+                    3 if e.zone == 0 else 9,
+                    0,
+                    200e3,
+                    SECOND,
+                    events.LoadReport(in_flight=2.7 if e.zone == 0 else 0.9),
+                )
+                for h, e in bench.hosts.items()
+            ]
+        )
+        bench.pass_time(SECOND)
+    assert bench.lines[0][100] < bench.lines[0][101]
+
+
+def test_fast_errors_do_not_attract_weight() -> None:
+    bench = ready_bench()
+    before = bench.lines[0][101]
+    feed(
+        bench,
+        8,
+        time_ms=lambda host: 20.0 if host == 101 else 200.0,
+        failed=lambda host: 4 * (host == 101),
+    )
+    assert bench.lines[0][101] < before / 2
+
+
+def test_hosts_open_to_fewer_request_classes_are_not_starved() -> None:
+    bench = Bench(start_facts(request_classes=(product(), product(zones=(0, 1)))))
+    bench.give(full(*[entry(100 + i, zone=i % 3) for i in range(6)]))
+    bench.give(events.ProxyJoined(0, 0, 10.0, True))
+    for _ in range(10):  # zone 2 has a third of the tries and longer work, and holds less for it
+        bench.give(
+            *[
+                events.HostRequestStats(
+                    h,
+                    0,
+                    3 if e.zone == 2 else 9,
+                    0,
+                    300e3 if e.zone == 2 else 150e3,
+                    SECOND,
+                    events.LoadReport(in_flight=0.9 if e.zone == 2 else 1.35),
+                )
+                for h, e in bench.hosts.items()
+            ]
+        )
+        bench.pass_time(SECOND)
+    assert bench.lines[0][102] > bench.lines[0][100]
+
+
+def test_a_stalled_host_that_is_silent_does_not_count_as_idle() -> None:
+    """Guards against a host that answers nobody, so brings no news, and keeps its weight for that."""
+    bench = ready_bench(hosts=9)
+    feed(bench, 6)
+    feed(bench, 1, time_ms=lambda host: 9000.0 if host == 100 else 200.0)
+    host_table, before = bench.controller.host_table, bench.controller.host_table.weight[0]
+    host_table.integral[0] = 0.0
+    feed(bench, 1, skip=(100,))
+    assert host_table.weight[0] < 0.9 * before
--- a/tests/support/controller_bench.py
+++ b/tests/support/controller_bench.py
@@ -5,6 +5,7 @@
 
 from plankroute.events import commands, events
 from plankroute.events.events import HealthCheckOutcome, ListKind
+from plankroute.events.facts import PenaltyRates
 from support.controller_model import (
     DRAINING,
     GONE,
@@ -64,6 +65,22 @@
     return {order.host for order in out if isinstance(order, commands.CheckHealth)}
 
 
+def large_bench(seed: int, order: float = 0.02) -> tuple[Bench, random.Random]:
+    """All proxies on one steward, whose channel may be slow: every bind is half a hundred lines."""
+    rng = random.Random(seed)
+    facts = start_facts(
+        proxy_count=100,
+        backlog_cap_lines=4000,
+        drain_grace_us=7 * SECOND,
+        max_unbound_us=12 * SECOND,
+        penalty_rates=PenaltyRates(command_line=order),
+    )
+    bench = Bench(facts, speed=rng.choice([1.0, 0.7]))
+    bench.give(full(*[entry(100 + i, zone=i % 3) for i in range(60)]))
+    bench.give(*[events.ProxyJoined(p, p % 3, rng.uniform(1, 9), True) for p in range(100)])
+    return bench, rng
+
+
 def odd_notes(rng: random.Random) -> list[events.Event]:
     return [
         events.HostRequestStats(9999, 0, 3, 1, 1.0, 0, None),
