--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -11,7 +11,7 @@
 import pytest
 from support.controller_model import DRAINING, GONE, READY, SECOND, entry, full, start_facts
 
-from plankroute.controller.controller import Controller
+from plankroute.controller.controller import Controller, TimerToken
 from plankroute.controller.message_builder import MessageBuilder
 from plankroute.events import commands, events
 from plankroute.events.events import HealthCheckOutcome, ListKind, LoadReport
@@ -512,7 +512,7 @@
         router.put(full(entry(100)))
         router.flush()
         tokens = sorted(token for _, _, token in router.alarms.heap)
-        assert tokens == [Controller.TURN, Controller.PULSE]
+        assert tokens == [TimerToken.TURN, TimerToken.PULSE]
         router.alarms.heap = [(0, *rest) for _, *rest in router.alarms.heap]
         router.put(events.HostRequestStats(100, 0, None, 0, 1.0, SECOND, None))  # type: ignore[arg-type]
         router.flush()
@@ -554,7 +554,7 @@
 
     def work(*batch: events.Event) -> None:
         router.work_on(
-            now, [*batch, *map(events.TimerExpired, (Controller.PULSE, Controller.TURN))]
+            now, [*batch, *map(events.TimerExpired, (TimerToken.PULSE, TimerToken.TURN))]
         )
 
     first = listing(*[member(f"s-{n}") for n in range(12)])
@@ -644,7 +644,7 @@
 
     def work(*batch: events.Event) -> None:
         router.work_on(
-            now, [*batch, *map(events.TimerExpired, (Controller.PULSE, Controller.TURN))]
+            now, [*batch, *map(events.TimerExpired, (TimerToken.PULSE, TimerToken.TURN))]
         )
 
     router.send = send
@@ -729,7 +729,7 @@
 
     def work(*batch: events.Event) -> None:
         router.work_on(
-            now, [*batch, *map(events.TimerExpired, (Controller.PULSE, Controller.TURN))]
+            now, [*batch, *map(events.TimerExpired, (TimerToken.PULSE, TimerToken.TURN))]
         )
 
     def say(*lines: str) -> list[events.Event]:
