--- /dev/null
+++ b/tests/net/test_event_log.py
@@ -0,0 +1,19 @@
+"""The log never holds up the controller."""
+
+import threading
+
+from plankroute.net.process.telemetry import EventLog, Telemetry
+
+
+def test_a_blocked_log_drops_lines_and_blocks_nobody() -> None:
+    written, gate = [], threading.Event()
+    log = EventLog("n", lambda line: gate.wait(30) and written.append(line))
+    telemetry = Telemetry(log)
+    for number in range(3000):
+        log.event("info", f"event{number}")
+    assert log.dropped >= 1900
+    gate.set()
+    log.finish(30.0)
+    telemetry.print()
+    log.finish(30.0)
+    assert len(written) == 3001 - log.dropped and b'"counters"' in written[-1]
--- /dev/null
+++ b/tests/net/test_health_checker.py
@@ -0,0 +1,178 @@
+"""Health checks: their pace, their outcomes, and what a changed host or a pause makes of them."""
+
+import asyncio
+import time
+from collections.abc import Awaitable, Callable
+from contextlib import suppress
+
+import pytest
+from support.controller_model import READY, start_facts
+from support.faulty_discovery import drip
+from support.service_stage import RunningService, run_scenario
+
+from plankroute.events import events
+from plankroute.events.events import HealthCheckOutcome
+from plankroute.net.discovery.catalogue import EndpointList, ListEntry
+from plankroute.net.discovery.directory import Directory
+from plankroute.net.discovery.http_client import Response
+from plankroute.net.probing.prober import HealthChecker, outcome_of
+from plankroute.net.process.clock import Clock
+from plankroute.net.process.errors import CallFailure, CallProgress
+from plankroute.net.process.telemetry import EventLog, Telemetry
+
+
+@pytest.mark.parametrize(
+    "answer, outcome",
+    [
+        (Response(200, b"", 0), HealthCheckOutcome.ANSWERED),
+        (Response(503, b"", 0), HealthCheckOutcome.ERROR),
+        (
+            CallFailure(CallProgress.NOT_CONNECTED, "", timed_out=True),
+            HealthCheckOutcome.UNREACHABLE,
+        ),
+        (CallFailure(CallProgress.NOT_CONNECTED, "refused"), HealthCheckOutcome.UNREACHABLE),
+        (CallFailure(CallProgress.REQUEST_SENT, "reset"), HealthCheckOutcome.ERROR),
+        (CallFailure(CallProgress.REQUEST_SENT, "", timed_out=True), HealthCheckOutcome.TIMED_OUT),
+    ],
+)
+def test_health_check_outcomes(answer: Response | CallFailure, outcome: HealthCheckOutcome) -> None:
+    assert outcome_of(answer) is outcome
+
+
+def test_health_checks_begin_one_after_another() -> None:
+    """Guards against times that are the controller's own work for all of them at once."""
+
+    async def run() -> None:
+        telemetry = Telemetry(EventLog("n", lambda line: None))
+        directory = Directory(Clock(), ("a",), ("m",), ("p",))
+        directory.apply_list(
+            EndpointList(
+                1,
+                True,
+                tuple(
+                    ListEntry(f"s-{n}", "127.0.0.1:9", "a", "m", 0, READY, 1.0, 0.0)
+                    for n in range(3)
+                ),
+            )
+        )
+        prober = HealthChecker(
+            start_facts(), directory, Clock(), telemetry, 1000, lambda: 9, lambda event: None
+        )
+        for host in range(3):
+            prober.check(host)
+        assert len(prober.running) == 1 and len(prober.waiting) == 2
+        while prober.waiting or prober.running:
+            await asyncio.sleep(0)
+        assert telemetry.counts["sent.health_checks"] == 3
+
+    asyncio.run(run())
+
+
+def run_health_check(
+    act: Callable[[RunningService, asyncio.StreamWriter], Awaitable[None]],
+) -> list[events.HealthCheckResult]:
+    """One probe of host 0, whose stand-in holds its answer until `act` has been called."""
+    results = list[events.HealthCheckResult]()
+
+    async def scenario(running: RunningService) -> None:
+        asked = asyncio.Queue[asyncio.StreamWriter]()
+
+        async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+            with suppress(OSError, asyncio.IncompleteReadError, asyncio.CancelledError):
+                await reader.readuntil(b"\r\n\r\n")
+                asked.put_nowait(writer)
+                await reader.read()
+
+        async with await asyncio.start_server(serve, "127.0.0.1", 0) as server:
+            prober = running.service.prober
+            prober.submit = lambda event: (
+                results.append(event) if isinstance(event, events.HealthCheckResult) else None
+            )
+            running.service.directory.hosts[0].address = (
+                "127.0.0.1:%d" % server.sockets[0].getsockname()[1]
+            )
+            prober.check(0)
+            await act(running, await asked.get())
+            await running.wait_until(lambda: not prober.running)
+
+    run_scenario(scenario)
+    return results
+
+
+def answer(writer: asyncio.StreamWriter) -> None:
+    writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
+
+
+@pytest.mark.parametrize(
+    "change", ["restarted", "moved", "forgotten", "forgotten, and another of its name"]
+)
+@pytest.mark.parametrize("ends", ["answers", "breaks"])
+def test_a_health_check_that_ends_after_its_host_has_changed_is_dropped(
+    change: str, ends: str
+) -> None:
+    """Guards against the word of an old process that is held for, or against, the new one."""
+
+    async def act(running: RunningService, writer: asyncio.StreamWriter) -> None:
+        directory = running.service.directory
+        known = directory.hosts[0]
+        if change == "restarted":
+            known.boot_ms = 5.0
+        elif change == "moved":
+            known.address = "127.0.0.1:9"
+        else:
+            directory.forget(0)
+            if "another" in change:
+                directory.ids[known.uid], directory.hosts[7] = 7, known
+        answer(writer) if ends == "answers" else writer.transport.abort()
+
+    assert run_health_check(act) == []
+
+
+def test_a_health_check_is_bounded_however_its_response_drips(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    async def act(running: RunningService, writer: asyncio.StreamWriter) -> None:
+        began = time.monotonic()
+        await drip(writer, b"HTTP/1.1 200 OK\r\nContent-Length: 4000\r\n\r\n", b"x")
+        limits = running.service.prober.limits
+        assert time.monotonic() - began < limits.connect_timeout_s + limits.idle_timeout_s + 1.0
+
+    (result,) = run_health_check(act)
+    assert result.outcome is HealthCheckOutcome.TIMED_OUT
+
+
+def test_a_pause_of_the_controller_is_not_held_against_a_host() -> None:
+    """Guards against hosts taken for silent, or out of reach, because this process stood still."""
+
+    async def act(running: RunningService, writer: asyncio.StreamWriter) -> None:
+        limits = running.service.prober.limits
+        time.sleep(
+            1.2 * (limits.connect_timeout_s + limits.idle_timeout_s)
+        )  # the loop stands still, timers become due
+        answer(writer)
+
+    (result,) = run_health_check(act)
+    assert result.outcome is HealthCheckOutcome.ANSWERED
+
+
+def test_health_checks_wait_for_capacity_and_none_begins_once_the_controller_ends() -> None:
+    log = list[bytes]()
+
+    async def scenario(running: RunningService) -> None:
+        prober = running.service.prober
+        prober.capacity = lambda: 1
+        running.service.directory.hosts[
+            1
+        ].address = running.service.configuration.discovery  # it answers without an end
+        for host in (0, 1, 2, 2):
+            prober.check(host)
+        assert (
+            len(prober.running) == 1
+            and len(prober.waiting) == 2
+            and running.counts["dropped.health_checks"] == 1
+        )
+        await running.wait_until(lambda: running.counts["sent.health_checks"] == 2)
+
+    running = run_scenario(scenario, log)
+    assert running.counts["sent.health_checks"] == 2 and not running.service.prober.waiting
+    assert not [line for line in log if b"loop_failed" in line]
--- /dev/null
+++ b/tests/net/test_process_configuration.py
@@ -0,0 +1,85 @@
+"""The configuration that operators hand over, at the start and on SIGHUP."""
+
+import asyncio
+import os
+import signal
+from pathlib import Path
+
+import orjson
+import pytest
+from support.service_stage import (
+    HELLO,
+    FakeDiscovery,
+    RunningService,
+    config,
+    listing,
+    run_scenario,
+)
+
+from plankroute.events.settings import SettingsError
+from plankroute.net.process.configuration import parse_configuration
+from plankroute.net.process.resource_limits import resource_limits_for
+
+
+@pytest.mark.parametrize(
+    "text", [b"", b"[]", b"{}", b'{"settings": {}}', b'{"name": "n", "listen": "x"}']
+)
+def test_a_malformed_configuration_raises_one_clear_error(text: bytes) -> None:
+    with pytest.raises(SettingsError):
+        parse_configuration(text)
+
+
+def test_a_new_configuration_moves_the_watch_and_a_bad_one_changes_nothing(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    path, log = tmp_path / "config.json", list[bytes]()
+    monkeypatch.setenv("GW_CONFIG", str(path))
+
+    async def reload(running: RunningService, text: bytes, counter: str) -> None:
+        before = running.counts[counter]
+        path.write_bytes(text)
+        os.kill(os.getpid(), signal.SIGHUP)
+        await running.wait_until(lambda: running.counts[counter] > before)
+
+    async def scenario(running: RunningService) -> None:
+        proxy = await running.connect(HELLO)
+        await proxy.receive("replace=1")
+        old, elsewhere = await running.discovery.watches.get(), FakeDiscovery()
+        async with await asyncio.start_server(elsewhere.serve, "127.0.0.1", 0) as server:
+            moved = orjson.loads(config(server.sockets[0].getsockname()[1]))
+            moved["limits"]["sockets"], moved["listen"] = 600, "127.0.0.1:1"
+            for text in (
+                b"",
+                orjson.dumps(moved)[:-9],
+                orjson.dumps({**moved, "settings": 3}),
+                b"[]",
+                orjson.dumps({**moved, "discovery": "nowhere"}),
+                orjson.dumps({**moved, "name": "n2"}),
+            ):
+                await reload(running, text, "dropped.configurations")
+            path.unlink()
+            os.kill(os.getpid(), signal.SIGHUP)
+            await running.wait_until(lambda: running.counts["dropped.configurations"] == 7)
+            assert elsewhere.targets.empty() and not old.transport.is_closing()
+            await reload(running, orjson.dumps(moved), "received.configurations")
+            assert await elsewhere.targets.get() == "/catalog/members?watch=1&after=41"
+            watch = await elsewhere.watches.get()
+            elsewhere.send(
+                watch, orjson.dumps(listing(42, "s-1", whole=False, state="DRAINING")) + b"\n"
+            )
+            assert "s-1:0" in await proxy.receive("rows")  # on the same stream
+            await running.wait_until(
+                lambda: old.write(b"1\r\n\n\r\n") or old.transport.is_closing()
+            )
+            assert running.service.listener.table.limits == resource_limits_for(192, 600)
+            await reload(
+                running, orjson.dumps(moved), "received.configurations"
+            )  # the same again: nothing moves
+            assert elsewhere.targets.empty() and running.discovery.targets.qsize() == 1
+
+    run_scenario(scenario, log)
+    said = [
+        line for line in map(orjson.loads, log) if line["event"] in ("reloaded", "reload_failed")
+    ]
+    assert [line["level"] for line in said] == ["error"] * 7 + ["warning"] * 2
+    assert said[-1]["kept"] == ["listen"] and "it is n2's" in said[5]["why"]
--- /dev/null
+++ b/tests/net/test_process_start_and_end.py
@@ -0,0 +1,68 @@
+"""The controller in a process of its own: bad starts, a clean end, restarts, no descriptors left."""
+
+import json
+import os
+import resource
+import signal
+import socket
+import subprocess
+import sys
+from pathlib import Path
+
+import pytest
+from support.service_stage import ask, config, free_port, process
+
+
+@pytest.mark.parametrize(
+    "text, word", [(None, "KeyError"), (b"{", "JSONDecodeError"), (b"{}", "KeyError")]
+)
+def test_a_bad_configuration_ends_the_start_with_one_line(
+    tmp_path: Path, text: bytes | None, word: str
+) -> None:
+    path = tmp_path / "config.json"
+    path.write_bytes(text or b"")
+    env = (
+        {**os.environ, "GW_CONFIG": str(path)}
+        if text is not None
+        else {name: value for name, value in os.environ.items() if name != "GW_CONFIG"}
+    )
+    done = subprocess.run(
+        [sys.executable, "-m", "plankroute"], env=env, capture_output=True, timeout=60, check=False
+    )
+    assert done.returncode == 2 and done.stderr.count(b"\n") == 1 and word.encode() in done.stderr
+
+
+def test_sigterm_prints_the_counters_and_ends_cleanly(tmp_path: Path) -> None:
+    text = config(discovery=9, listen=(port := free_port()))
+    with (
+        process(tmp_path / "config.json", text) as controller,
+        socket.create_connection(("127.0.0.1", port)),
+    ):
+        assert ask(port) == b"alive\r\n"
+        controller.send_signal(signal.SIGTERM)
+        said = [json.loads(line) for line in controller.stderr.read().splitlines()]
+        assert controller.wait(60) == 0
+    assert [line["event"] for line in said[-2:]] == ["counters", "ended"] and said[-2][
+        "core.batches"
+    ] >= 1
+    assert not [line for line in said if line["level"] == "error"]
+
+
+def test_a_killed_controller_listens_again_at_once_at_its_address(tmp_path: Path) -> None:
+    text = config(discovery=9, listen=(port := free_port()))
+    with process(tmp_path / "config.json", text), socket.create_connection(("127.0.0.1", port)):
+        assert ask(port) == b"alive\r\n"
+    with process(tmp_path / "config.json", text):
+        assert ask(port) == b"alive\r\n"
+
+
+def test_no_descriptors_left_for_accepting_is_survived(tmp_path: Path) -> None:
+    text = config(discovery=9, listen=(port := free_port()))
+    few = {"preexec_fn": lambda: resource.setrlimit(resource.RLIMIT_NOFILE, (24, 24))}
+    with process(tmp_path / "config.json", text, **few) as controller:
+        silent = [socket.create_connection(("127.0.0.1", port)) for _ in range(40)]
+        while b'"loop_failed"' not in controller.stderr.readline():
+            pass
+        for stranger in silent:
+            stranger.close()
+        assert ask(port) == b"alive\r\n"
--- /dev/null
+++ b/tests/net/test_recorded_days.py
@@ -0,0 +1,157 @@
+"""What a controller writes on a day of changes: the same bytes, and no name that steers."""
+
+import hashlib
+import re
+from collections.abc import Callable
+
+import orjson
+import pytest
+from support.controller_model import SECOND
+from support.endpoint_lists import host_json, list_json
+
+from plankroute.controller.controller import Controller
+from plankroute.controller.message_builder import MessageBuilder
+from plankroute.events import events
+from plankroute.events.events import ListKind
+from plankroute.net.discovery.catalogue import list_from
+from plankroute.net.discovery.directory import Directory
+from plankroute.net.process.clock import Clock
+from plankroute.net.process.configuration import parse_configuration
+from plankroute.net.process.core_runner import CoreRunner
+from plankroute.net.process.telemetry import EventLog, Telemetry
+from plankroute.net.proxies.admission import Admission, PeerIdentity
+from plankroute.net.proxies.line_codec import MessageEncoder, parse_line
+
+
+def day_of(name: Callable[[str], str], controllers: int) -> list[str]:
+    """What a controller writes on a day of changes; every name of the outside goes through `name`."""
+    zones, kinds = [name(f"z{n}") for n in range(3)], [name(f"k{n}") for n in range(2)]
+    products = [name(f"p{n}") for n in range(3)]
+    settings = {
+        "classes": [
+            {"name": product, "idempotency": effect}
+            for product, effect in zip(products, ("retryable", "dedup", "fragile"))
+        ],
+        "dcs": zones,
+        "machineTypes": kinds,
+        "rank": 1,
+        "zone": 0,
+        "instances": controllers,
+        "caps": {"mayProbe": False},
+        "familyInfo": {
+            "proxies": 60 * controllers,
+            "pushRate": 500.0,
+            "queueCap": 40000,
+            "envelope": 6,
+            "bareMs": 60000.0,
+        },
+        "safety": {
+            "drainGraceMs": 12000.0,
+            "coldMs": 15000.0,
+            "startCapacity": 0.2,
+            "fallMultiple": 3.0,
+        },
+    }
+    configuration = parse_configuration(
+        orjson.dumps(
+            {
+                "name": name("n1"),
+                "listen": "127.0.0.1:0",
+                "discovery": "127.0.0.1:9",
+                "seed": "7",
+                "settings": settings,
+            }
+        )
+    )
+    known = Directory(
+        Clock(lambda: 10**18, lambda: 10**18),
+        configuration.zones,
+        configuration.machine_types,
+        configuration.request_classes,
+    )
+    admission = Admission(known, 60 * controllers, 8 * SECOND)
+    telemetry = Telemetry(EventLog("n", lambda line: None))
+    runner = CoreRunner(
+        Controller(configuration.facts, configuration.seed),
+        MessageBuilder(3),
+        Clock(),
+        telemetry,
+        1000,
+    )
+    encoder, out, now = (
+        MessageEncoder(configuration.request_classes, known.uid),
+        list[str](),
+        10**15,
+    )
+    runner.outputs.send_message = lambda message: out.append(
+        f"{message.proxy} {encoder.encode(message).decode()}"
+    )
+
+    def host(n: int, state: str = "SERVING", boot_ms: float = 0) -> dict:
+        return host_json(name(f"h{n:03}"), state, zones[n * 7 % 3], boot_ms, model=kinds[n * 5 % 2])
+
+    def work(*batch: events.Event) -> None:
+        runner.run_batch(
+            now, [*batch, *map(events.TimerExpired, (Controller.PULSE, Controller.TURN))]
+        )
+
+    def say(*lines: str) -> list[events.Event]:
+        identity, said = PeerIdentity(), [parse_line(f"{line}\r".encode()) for line in lines]
+        return [event for line in said if (event := admission.admit(identity, line)) is not None]
+
+    work(known.apply_list(list_from(list_json(*[host(n) for n in range(200)])), ListKind.CACHED)[0])
+    for proxy in range(60):
+        work(*say(f"hello node={proxy} locality={zones[proxy % 3]} w=9 cold=1"))
+    for turn in range(20):
+        now += SECOND
+        changed = [host(turn, "DRAINING"), host(200 + turn, boot_ms=1e12 + turn)]
+        told = known.apply_list(list_from(list_json(*changed, rev=42 + turn, whole=False)))[0]
+        sums = [
+            f"outcomes locality={zones[0]} endpoint={name(f'h{n:03}')} total=9 errors={n % 4} "
+            f"rtt={40 + n} interval=1000"
+            for n in range(turn, 200, 3)
+        ]
+        work(told, *say(f"agent locality={zones[0]}", *sums))
+        work(
+            *(
+                events.Acknowledged(p, runner.controller.publisher.channel.sequence_number, 1)
+                for p in range(60)
+            )
+        )
+    assert runner.telemetry.counts["core.failed"] == 0
+    published = {host for table in runner.controller.publisher.tables for host in table.published}
+    if controllers > 1:
+        assert 24 <= len(published) < 150  # a subset of the hosts
+    else:
+        assert len(published) == 200
+    return out
+
+
+# Recorded before the packages were renamed, and held since: any change of a byte is a change of behaviour.
+RECORDED_DAYS = {
+    1: "5a45da5a45ae8fed5176c75c5ccf3069efddc4584013cc88052e66412b41db32",
+    4: "fbb2f0fb3cfa8219139d0cb57aa28e7707ab1cd583b7440db382327de831c089",
+}
+
+
+@pytest.mark.parametrize("controllers", RECORDED_DAYS)
+def test_a_recorded_day_is_answered_with_the_same_bytes(controllers: int) -> None:
+    written = "".join(day_of(lambda name: name, controllers))
+    assert hashlib.sha256(written.encode()).hexdigest() == RECORDED_DAYS[controllers]
+
+
+@pytest.mark.parametrize("controllers", [1, 4])
+def test_names_steer_nothing(controllers: int) -> None:
+    """Guards against a product, zone, kind or host whose name steers."""
+
+    def other_name(name: str) -> str:
+        return f"{name[0]}{name[1:].translate(str.maketrans('0123456789', 'acegikmoqs'))}-x"
+
+    plain, said = day_of(lambda name: name, controllers), re.compile(r"[hkpz]\d+")
+    other = day_of(other_name, controllers)
+    back = str.maketrans("acegikmoqs", "0123456789")
+    assert len(plain) > 200 and any(said.search(line) for line in plain)
+    assert [
+        re.sub(r"([hkpz])([acegikmoqs]+)-x", lambda m: m[1] + m[2].translate(back), line)
+        for line in other
+    ] == plain
--- /dev/null
+++ b/tests/net/test_resource_limits.py
@@ -0,0 +1,16 @@
+"""The operators' limits are divided among connections, health checks and buffers."""
+
+import pytest
+
+from plankroute.net.process.resource_limits import PROCESS_DESCRIPTORS, resource_limits_for
+
+
+@pytest.mark.parametrize("memory_mb, descriptors", [(32, 256), (64, 256), (80, 384), (192, 1024)])
+def test_limits_fit_into_memory_and_descriptors(memory_mb: int, descriptors: int) -> None:
+    limits = resource_limits_for(memory_mb, descriptors)
+    assert limits.buffer_bytes + 10 * limits.list_bytes < memory_mb << 20
+    assert (
+        limits.connections >= 0.8 * descriptors
+        and limits.connections + limits.health_checks + PROCESS_DESCRIPTORS < descriptors
+    )
+    assert 0 < limits.liveness_checkers < limits.connections / 8
--- /dev/null
+++ b/tests/net/test_ring_buffer.py
@@ -0,0 +1,37 @@
+"""The ring buffer and the memory pool that all of them share."""
+
+import random
+
+import pytest
+
+from plankroute.net.proxies.ring_buffer import MemoryPool, RingBuffer
+
+
+@pytest.mark.parametrize("seed", range(20))
+def test_a_ring_buffer_is_a_bounded_queue_of_bytes(seed: int) -> None:
+    random_source, pool = random.Random(seed), MemoryPool(6000)
+    ring, plain = RingBuffer(5000, pool), bytearray()
+    for _ in range(400):
+        if random_source.random() < 0.55:
+            piece = bytes(random_source.choices(b"ab\n", k=random_source.randrange(1500)))
+            if ring.append(piece):
+                plain += piece
+            else:
+                assert len(plain) + len(piece) > 4096  # a power of two that fits the pool
+        else:
+            count = random_source.randrange(2500)
+            assert ring.take(count) == bytes(plain[:count])
+            del plain[:count]
+        skip = random_source.randrange(ring.size + 1)
+        assert ring.size == len(plain) and ring.find(10, skip) == plain.find(10, skip)
+        assert 0 <= pool.available == 6000 - len(ring.data)
+
+
+def test_a_smaller_pool_takes_nothing_away_and_grants_nothing_until_enough_is_released() -> None:
+    pool = MemoryPool(4096)
+    ring = RingBuffer(8192, pool)
+    assert ring.append(bytes(4000))
+    pool.resize(2048)
+    assert len(ring.take(4000)) == 4000 and pool.available == 2048 and not ring.append(bytes(2049))
+    pool.resize(8192)
+    assert ring.append(bytes(8000))
--- /dev/null
+++ b/tests/net/test_sessions.py
@@ -0,0 +1,257 @@
+"""Sessions of proxies: they open in pieces, are replaced, stall, resume and end."""
+
+import asyncio
+
+import pytest
+from support.faulty_discovery import DRAINED
+from support.service_stage import HELLO, Client, RunningService, run_scenario
+
+from plankroute.events import events
+from plankroute.net.proxies.connection import Connection
+
+RETURNED = HELLO.replace("cold=1", "cold=0")
+
+
+def submitted_events(running: RunningService) -> list[events.Event]:
+    """Every event that streams put from here on."""
+    sessions, out = running.service.listener.sessions, list[events.Event]()
+    submit = sessions.submit
+
+    def keep(event: events.Event) -> None:
+        out.append(event)
+        submit(event)
+
+    sessions.submit = keep
+    return out
+
+
+async def stalled_proxy(running: RunningService) -> Client:
+    """A proxy's stream that owes an answer and counts as left."""
+    proxy = await running.connect(HELLO)
+    await proxy.receive("replace=1")
+    sessions = running.service.listener.sessions
+    sessions.stall_timeout_s = -1.0
+    running.service.listener.table.sweep()
+    sessions.stall_timeout_s = 60.0
+    assert 3 not in sessions.joined
+    return proxy
+
+
+def test_a_proxy_joins_in_pieces_is_bound_and_acknowledges() -> None:
+    async def scenario(running: RunningService) -> None:
+        monitor = await running.connect("probe")
+        assert await monitor.receive() == "alive"
+        proxy = await running.connect()
+        proxy.writer.write(HELLO[:9].encode())
+        await running.wait_until(
+            lambda: running.counts["received.bytes"] == len("probe\r\n" + HELLO[:9])
+        )
+        proxy.send(HELLO[9:])
+        bound = await proxy.receive("replace=1")
+        assert all(f"s-{n}:" in bound for n in (1, 2, 3)) and "gate=1 again=1" in bound
+        mark = bound.split("stamp=")[1]
+        proxy.send(
+            "push rows=s-1:1",
+            f"ack node=3 nonce={int(mark) + 1} latency=1",
+            HELLO,
+            "agent locality=a",
+            f"ack node=3 nonce={mark} latency=1.5",
+            "probe",
+        )
+        assert await proxy.receive("alive") == "alive"
+        await running.wait_until(
+            lambda: running.service.core.controller.publisher.channel.unacknowledged == 0
+        )
+        assert running.counts["rejected.parsing"] == 1 and running.counts["rejected.admission"] == 3
+
+    run_scenario(scenario)
+
+
+def test_a_new_session_before_the_end_of_the_old_one_is_no_leaving() -> None:
+    async def scenario(running: RunningService) -> None:
+        old = await running.connect(HELLO)
+        await old.receive("replace=1")
+        new = await running.connect(HELLO.replace("cold=1", "cold=0"))
+        await new.receive("replace=1")
+        assert await old.is_closed()
+        await running.wait_until(lambda: len(running.service.listener.table.connections) == 1)
+        assert list(running.service.core.controller.publisher.zone_of_proxy) == [3]
+        assert 3 in running.service.listener.sessions.by_proxy
+        new.writer.transport.abort()
+        await running.wait_until(
+            lambda: not running.service.core.controller.publisher.zone_of_proxy
+        )
+
+    run_scenario(scenario)
+
+
+def test_a_stalled_session_counts_as_left_until_it_speaks_again() -> None:
+    async def scenario(running: RunningService) -> None:
+        proxy = await running.connect(HELLO)
+        bound = await proxy.receive("replace=1")
+        publisher, sessions = (
+            running.service.core.controller.publisher,
+            running.service.listener.sessions,
+        )
+        running.service.listener.table.sweep()
+        assert publisher.zone_of_proxy and publisher.channel.unacknowledged
+        sessions.stall_timeout_s = -1.0
+        running.service.listener.table.sweep()
+        await running.wait_until(lambda: not publisher.zone_of_proxy)
+        assert publisher.channel.unacknowledged == 0 and not proxy.writer.transport.is_closing()
+        running.service.listener.table.sweep()
+        sessions.stall_timeout_s = 60.0
+        proxy.send(f"ack node=3 nonce={bound.split('stamp=')[1]} latency=1")
+        assert await proxy.receive("replace=1")
+        assert running.counts["sessions.stalled"] == 1 and list(publisher.zone_of_proxy) == [3]
+
+    run_scenario(scenario)
+
+
+@pytest.mark.parametrize(
+    "torn", [b"\x88\xc9\x90\r\n", b"ack node=3 nonce=demand node=3 route=lookup\r\n"]
+)
+def test_a_session_with_broken_framing_ends_and_the_proxys_new_one_is_accepted(torn: bytes) -> None:
+    async def scenario(running: RunningService) -> None:
+        publisher = running.service.core.controller.publisher
+        proxy, collector = await running.connect(HELLO), await running.connect("agent locality=a")
+        await proxy.receive("replace=1")
+        good = "demand node=3 route=lookup total=1 errors=0 interval=1000"
+        proxy.send("ack node=3 nonce=nan latency=1", good.replace("=1 ", "=-3 "), good)
+        await running.wait_until(
+            lambda: running.counts["received.demand"] == 1
+        )  # what is spoilt costs itself alone
+        assert publisher.zone_of_proxy and running.counts["rejected.parsing"] == 2
+        for client in (proxy, collector):
+            client.writer.write(torn)
+            assert await client.is_closed()
+        await running.wait_until(lambda: not publisher.zone_of_proxy)
+        again = await running.connect(HELLO.replace("cold=1", "cold=0"))
+        assert await again.receive("replace=1") and running.counts["dropped.unreadable"] == 2
+
+    run_scenario(scenario)
+
+
+def test_a_proxy_that_does_not_read_blocks_nobody() -> None:
+    async def scenario(running: RunningService) -> None:
+        still, proxy = (
+            await running.connect(HELLO),
+            await running.connect(HELLO.replace("=3", "=4")),
+        )
+        await still.receive("replace=1")
+        await proxy.receive("replace=1")
+        connection: Connection = running.service.listener.sessions.by_proxy[3]
+        still.reader._transport.pause_reading()  # type: ignore[attr-defined]
+        while connection.outbound.send(b"x" * 60000 + b"\r\n"):
+            await asyncio.sleep(0)
+        proxy.send("probe")
+        assert await proxy.receive("alive") == "alive"
+        assert connection.outbound.waiting.size > 1 << 20
+
+    run_scenario(scenario)
+
+
+@pytest.mark.parametrize(
+    "how", ["ends", "reset", "replaced", "speaks and ends", "speaks and is replaced"]
+)
+def test_a_stalled_session_is_reported_as_left_once(how: str) -> None:
+    """Guards against one end that counts twice among those that break together."""
+
+    async def scenario(running: RunningService) -> None:
+        submitted = submitted_events(running)
+        proxy = await stalled_proxy(running)
+        if how.startswith("speaks"):
+            proxy.send("probe")
+            await proxy.receive("alive")
+        if how == "reset":
+            proxy.writer.transport.abort()
+        elif "replaced" in how:
+            again = await running.connect(RETURNED)
+            await again.receive("replace=1")
+        else:
+            proxy.writer.close()
+        peers = 1 if "replaced" in how else 0
+        await running.wait_until(lambda: len(running.service.listener.table.connections) == peers)
+        kinds = [type(event).__name__ for event in submitted]
+        twice = how.startswith("speaks")
+        assert kinds.count("ProxyLeft") == 1 + twice
+        assert kinds.count("ProxyJoined") == 1 + twice + ("replaced" in how)
+        assert kinds == ["ProxyJoined", "ProxyLeft"] * (len(kinds) // 2) + ["ProxyJoined"] * (
+            len(kinds) % 2
+        )
+
+    run_scenario(scenario)
+
+
+@pytest.mark.parametrize("end", ["fin", "reset", "not yet"])
+def test_a_host_drained_between_two_sessions_is_missing_in_the_first_message_of_the_new_one(
+    end: str,
+) -> None:
+    async def scenario(running: RunningService) -> None:
+        watch = await running.discovery.watches.get()
+        old = await running.connect(HELLO)
+        await old.receive("replace=1")
+        publisher, lists = (
+            running.service.core.controller.publisher,
+            running.counts["received.lists"],
+        )
+        if end == "not yet":
+            old.reader._transport.pause_reading()  # type: ignore[attr-defined]
+        else:
+            old.writer.close() if end == "fin" else old.writer.transport.abort()
+            await running.wait_until(lambda: not publisher.zone_of_proxy)
+        running.discovery.send(watch, DRAINED)
+        await running.wait_until(lambda: running.counts["received.lists"] > lists)
+        new = await running.connect(RETURNED)
+        first = await new.receive()
+        assert "replace=1" in first and "s-2:" in first and "s-1:" not in first
+
+    run_scenario(scenario)
+
+
+def test_what_waited_for_the_old_session_is_neither_sent_to_the_new_one_nor_left_in_the_accounting() -> (
+    None
+):
+    async def scenario(running: RunningService) -> None:
+        publisher = running.service.core.controller.publisher
+        old = await running.connect(HELLO)
+        await old.receive("replace=1")
+        connection = running.service.listener.sessions.by_proxy[3]
+        old.reader._transport.pause_reading()  # type: ignore[attr-defined]
+        while connection.outbound.send(b"push stamp=" + b"9" * 50000 + b"\r\n"):
+            await asyncio.sleep(0)
+        assert connection.outbound.waiting.size > 1 << 20 and publisher.channel.unacknowledged
+        new = await running.connect(RETURNED)
+        bound = await new.receive()
+        assert "replace=1" in bound and connection.outbound.waiting.size == 0
+        new.send(f"ack node=3 nonce={bound.split('stamp=')[1]} latency=1", "probe")
+        assert await new.receive() == "alive"  # nothing of the old one came before it
+        await running.wait_until(lambda: publisher.channel.unacknowledged == 0)
+
+    run_scenario(scenario)
+
+
+def test_one_proxy_that_joins_without_end_raises_no_disconnect_alarm() -> None:
+    """Guards against an alarm, in which one probe shuts a host, that a single proxy can raise."""
+
+    async def scenario(running: RunningService) -> None:
+        host_table, publisher = (
+            running.service.core.controller.host_table,
+            running.service.core.controller.publisher,
+        )
+        for _ in range(40):
+            await (await running.connect(RETURNED)).receive()
+        assert (
+            list(publisher.zone_of_proxy) == [3]
+            and len(running.service.listener.sessions.by_proxy) == 1
+        )
+        assert host_table.disconnect_alarm_us == 0
+        for proxy in range(4, 8):
+            await (await running.connect(HELLO.replace("=3", f"={proxy}"))).receive("replace=1")
+        for connection in list(running.service.listener.table.connections):
+            connection.outbound.abort()
+        await running.wait_until(
+            lambda: host_table.disconnect_alarm_us > 0
+        )  # that is what it is for
+
+    run_scenario(scenario)
--- /dev/null
+++ b/tests/net/test_watch.py
@@ -0,0 +1,127 @@
+"""The watch of the endpoint list: changes arrive, faults cost a timeout and a pause."""
+
+import os
+import signal
+import time
+from dataclasses import replace
+from pathlib import Path
+
+import orjson
+import pytest
+from support.faulty_discovery import DRAINED, FAULTS, FaultyDiscovery, run_with_faulty_discovery
+from support.service_stage import HELLO, RunningService, config, listing, run_scenario
+
+from plankroute.net.discovery import watch as discovery_module
+
+
+def test_changes_of_the_list_reach_the_proxy_and_a_lost_watch_is_renewed() -> None:
+    async def scenario(running: RunningService) -> None:
+        proxy = await running.connect(HELLO)
+        await proxy.receive("replace=1")
+        assert await running.discovery.targets.get() == "/catalog/members?watch=1&after=41"
+        watch = await running.discovery.watches.get()
+        drained = orjson.dumps(listing(43, "s-1", whole=False, state="DRAINING"))
+        running.discovery.send(watch, b"\n" + drained + b"\n\n")
+        assert "s-1:0" in await proxy.receive("rows")
+        watch.close()
+        assert await running.discovery.targets.get() == "/catalog/members?watch=1&after=43"
+        watch = await running.discovery.watches.get()
+        running.discovery.send(watch, b'{"rev": 44, "all": fal\n')
+        assert (
+            await running.discovery.targets.get() == "/catalog/members?watch=1&after=43"
+        )  # nothing was taken of it
+        watch = await running.discovery.watches.get()
+        running.discovery.send(watch, orjson.dumps(listing(45, "s-1", "s-3")) + b"\n")
+        assert "s-2:0" in await proxy.receive("rows")
+        running.discovery.send(watch, orjson.dumps(listing(9, "s-1", whole=False)) + b"\n")
+        assert await running.discovery.targets.get() == "/catalog/members"  # it began anew
+        whole = await running.discovery.watches.get()
+        running.discovery.send(whole, orjson.dumps(listing(9, "s-1")))
+        whole.write(b"0\r\n\r\n")
+        assert "s-3:0" in await proxy.receive("rows")
+        assert await running.discovery.targets.get() == "/catalog/members?watch=1&after=9"
+
+    run_scenario(scenario)
+
+
+@pytest.mark.parametrize("fault", FAULTS)
+def test_a_faulty_watch_costs_its_timeout_and_a_pause(
+    fault: str, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """Guards against a watch that is kept for good while it brings nothing, such as one that drips."""
+    monkeypatch.setattr(discovery_module, "IDLE_TIMEOUT_S", 0.2)
+    log = list[bytes]()
+
+    async def scenario(running: RunningService, faulty: FaultyDiscovery) -> None:
+        running.service.discovery.set_max_list_bytes(
+            running.service.configuration.limits.list_bytes
+        )
+        proxy = await running.connect(HELLO)
+        await proxy.receive("replace=1")
+        assert await faulty.targets.get() == "/catalog/members?watch=1&after=41"
+        faulty.send(await faulty.watches.get(), DRAINED)
+        assert "s-1:0" in await proxy.receive("rows")
+
+    run_with_faulty_discovery(fault, scenario, log)
+    said = [orjson.loads(line)["event"] for line in log]
+    assert said.count("watch_ended") == 1 and "loop_failed" not in said
+
+
+@pytest.mark.parametrize("fault", ["hangs in a line", "drips in a line", "hangs after the dial"])
+def test_a_change_is_known_within_the_platforms_bound_after_a_faulty_watch(fault: str) -> None:
+    """By the constants 3.45 s and a way: the longest quiet time, and the longest pause before a new call."""
+    took = list[float]()
+
+    async def scenario(running: RunningService, faulty: FaultyDiscovery) -> None:
+        proxy = await running.connect(HELLO)
+        await proxy.receive("replace=1")
+        await faulty.met.wait()
+        began = time.monotonic()
+        faulty.send(await faulty.watches.get(), DRAINED)
+        assert "s-1:0" in await proxy.receive("rows")
+        took.append(time.monotonic() - began)
+
+    run_with_faulty_discovery(fault, scenario, [])
+    longest = discovery_module.IDLE_TIMEOUT_S + 1.5 * discovery_module.RETRY_PAUSE_S
+    assert longest < 3.5 and took[0] < longest + 1.0 < 6.0
+
+
+@pytest.mark.parametrize("then", ["fin", "reset"])
+def test_a_drain_in_the_last_line_before_the_connection_breaks_is_known(then: str) -> None:
+    async def scenario(running: RunningService) -> None:
+        proxy = await running.connect(HELLO)
+        await proxy.receive("replace=1")
+        watch = await running.discovery.watches.get()
+        running.discovery.send(watch, DRAINED)
+        await watch.drain()
+        watch.close() if then == "fin" else watch.transport.abort()
+        assert "s-1:0" in await proxy.receive("rows")
+        assert await running.discovery.targets.get() == "/catalog/members?watch=1&after=41"
+        assert await running.discovery.targets.get() == "/catalog/members?watch=1&after=43"
+
+    run_scenario(scenario)
+
+
+@pytest.mark.parametrize("fault", ["hangs after the dial", "hangs in a line", "drips in a line"])
+def test_a_new_configuration_moves_discovery_out_of_a_hanging_call(
+    fault: str, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    path = tmp_path / "config.json"
+    monkeypatch.setenv("GW_CONFIG", str(path))
+
+    async def scenario(running: RunningService, faulty: FaultyDiscovery) -> None:
+        await faulty.met.wait()
+        proxy = await running.connect(HELLO)
+        await proxy.receive("replace=1")
+        path.write_bytes(config(int(running.service.configuration.discovery.rpartition(":")[2])))
+        running.service.configuration = replace(
+            running.service.configuration, discovery="127.0.0.1:1"
+        )  # as if it had been there
+        while not running.discovery.watches.empty():
+            running.discovery.watches.get_nowait()
+        os.kill(os.getpid(), signal.SIGHUP)
+        running.discovery.send(await running.discovery.watches.get(), DRAINED)
+        assert "s-1:0" in await proxy.receive("rows")
+        assert faulty.calls == 1
+
+    run_with_faulty_discovery(fault, scenario, [])
--- /dev/null
+++ b/tests/support/faulty_discovery.py
@@ -0,0 +1,98 @@
+"""A discovery whose first call meets a fault: it hangs, breaks off, drips bytes or sends nonsense."""
+
+import asyncio
+from collections.abc import Awaitable, Callable
+from contextlib import suppress
+
+import orjson
+
+from support.service_stage import FakeDiscovery, RunningService, listing, run_scenario
+
+HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+
+
+DRAINED = orjson.dumps(listing(43, "s-1", whole=False, state="DRAINING")) + b"\n"
+
+
+def chunk(text: bytes) -> bytes:
+    return b"%x\r\n%s\r\n" % (len(text), text)
+
+
+class FaultyDiscovery(FakeDiscovery):
+    """Its first call meets the fault; later ones are watches as they should be."""
+
+    def __init__(self, fault: Callable[[asyncio.StreamWriter], Awaitable[None]]) -> None:
+        super().__init__()
+        self.fault, self.calls = fault, 0
+        self.met = asyncio.Event()
+
+    async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        self.calls += 1
+        if self.calls > 1:
+            return await super().serve(reader, writer)
+        with suppress(OSError, asyncio.IncompleteReadError, asyncio.CancelledError):
+            await reader.readuntil(b"\r\n\r\n")
+            self.met.set()
+            await self.fault(writer)
+            await reader.read()
+
+
+async def drip(writer: asyncio.StreamWriter, head: bytes, byte: bytes) -> None:
+    writer.write(head)
+    while not writer.transport.is_closing():
+        writer.write(byte)
+        await asyncio.sleep(0.01)
+
+
+def write(data: bytes, then: str = "") -> Callable[[asyncio.StreamWriter], Awaitable[None]]:
+    async def fault(writer: asyncio.StreamWriter) -> None:
+        writer.write(data)
+        await writer.drain()
+        if then == "fin":
+            writer.close()
+        elif then == "reset":
+            writer.transport.abort()
+
+    return fault
+
+
+FAULTS: dict[str, Callable[[asyncio.StreamWriter], Awaitable[None]]] = {
+    "hangs after the dial": write(b""),
+    "hangs after the head": write(HEAD),
+    "hangs in a line": write(HEAD + chunk(DRAINED[:30])),
+    "hangs after whole lines": write(HEAD + chunk(b"\n")),
+    "ends after the head": write(HEAD, "fin"),
+    "ends in a line": write(HEAD + chunk(DRAINED[:30]), "fin"),
+    "is reset in a line": write(HEAD + chunk(DRAINED[:30]), "reset"),
+    "is reset at once": write(b"", "reset"),
+    "drips in a line": lambda writer: drip(writer, HEAD, chunk(b" ")),
+    "drips in the head": lambda writer: drip(writer, b"HTTP/1.1 200 OK\r\nX-Slow: ", b"x"),
+    "drips heads to come": lambda writer: drip(writer, b"", b"HTTP/1.1 100 Continue\r\n\r\n"),
+    "says 503": write(b"HTTP/1.1 503 No\r\nContent-Length: 2\r\n\r\nno"),
+    "says 503 and hangs": write(b"HTTP/1.1 503 No\r\nContent-Length: 2\r\n\r\n"),
+    "redirects": write(
+        b"HTTP/1.1 302 Found\r\nLocation: http://127.0.0.1:9/\r\nContent-Length: 0\r\n\r\n"
+    ),
+    "has a wrong length": write(
+        b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n" + DRAINED[:5], "fin"
+    ),
+    "has a line too long": write(HEAD + chunk(b"x" * 9_000_000)),
+    "is nonsense": write(b"\x16\x03\x01\x02\x00\x01\r\n\r\n"),
+    "is no list": write(HEAD + chunk(b"[3]\n")),
+}
+
+
+def run_with_faulty_discovery(
+    fault: str,
+    scenario: Callable[[RunningService, FaultyDiscovery], Awaitable[None]],
+    log: list[bytes],
+) -> None:
+    """The scenario with an agent whose first call meets the fault."""
+
+    async def inner(running: RunningService) -> None:
+        faulty = FaultyDiscovery(FAULTS[fault])
+        async with await asyncio.start_server(faulty.serve, "127.0.0.1", 0) as server:
+            running.service.discovery.move("127.0.0.1:%d" % server.sockets[0].getsockname()[1])
+            await scenario(running, faulty)
+
+    run_scenario(inner, log)
--- a/tests/support/service_stage.py
+++ b/tests/support/service_stage.py
@@ -1,4 +1,4 @@
-"""A controller on loopback with a stand-in for discovery; the test plays proxies and collectors."""
+"""A controller on loopback with a stand-in for discovery; tests act as proxies and collectors."""
 
 import asyncio
 import os
@@ -9,6 +9,7 @@
 from collections.abc import Awaitable, Callable, Iterator
 from contextlib import contextmanager
 from pathlib import Path
+from typing import Any
 
 import orjson
 
@@ -82,90 +83,102 @@
     )
 
 
-class Agent:
-    """A stand-in for discovery: the test tells it what its watches are to carry."""
+class FakeDiscovery:
+    """A stand-in for discovery: the test sends what its watches are to carry."""
 
     def __init__(self) -> None:
-        self.asked: asyncio.Queue[str] = asyncio.Queue()
+        self.targets: asyncio.Queue[str] = asyncio.Queue()  # of the requests
         self.watches: asyncio.Queue[asyncio.StreamWriter] = asyncio.Queue()
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        """Answers a request with a response that has no end."""
         try:
             head = await reader.readuntil(b"\r\n\r\n")
         except asyncio.CancelledError:
-            return  # the test's end, which the loop would else report as an error of the steward's
+            return  # the test's end, which the loop would report as an error of the controller
         writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-        self.asked.put_nowait(head.split()[1].decode())
+        self.targets.put_nowait(head.split()[1].decode())
         self.watches.put_nowait(writer)
 
     @staticmethod
-    def tell(watch: asyncio.StreamWriter, text: bytes) -> None:
-        for piece in (text[:7], text[7:]):  # chunks end anywhere
+    def send(watch: asyncio.StreamWriter, text: bytes) -> None:
+        """Sends a text in two chunks: chunks may end anywhere."""
+        for piece in (text[:7], text[7:]):
             watch.write(b"%x\r\n%s\r\n" % (len(piece), piece))
 
 
-class Caller:
-    """A connection to the steward."""
+class Client:
+    """A connection to the controller."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        self.reader, self.writer = reader, writer
+        self.reader = reader
+        self.writer = writer
 
-    def say(self, *lines: str) -> None:
+    def send(self, *lines: str) -> None:
+        """Sends lines."""
         self.writer.write("".join(line + "\r\n" for line in lines).encode("latin-1"))
 
-    async def hear(self, part: str = "") -> str:
-        """The next line that holds the part."""
-        while part not in (line := (await self.reader.readuntil(b"\r\n")).decode()):
-            pass
-        return line.strip()
+    async def receive(self, part: str = "") -> str:
+        """Returns the next line that contains the part."""
+        while True:
+            line = (await self.reader.readuntil(b"\r\n")).decode()
+            if part in line:
+                return line.strip()
 
-    async def is_ended(self) -> bool:
+    async def is_closed(self) -> bool:
+        """Whether nothing came before the connection was closed; waits for it."""
         try:
             return not await self.reader.read()
         except ConnectionResetError:
             return True
 
 
-class Stage:
-    """A steward that runs, its discovery, and its book."""
+class RunningService:
+    """A controller that runs in the test's loop, its discovery, and its counters."""
 
-    def __init__(self, service: Service, agent: Agent) -> None:
-        self.service, self.agent = service, agent
+    def __init__(self, service: Service, discovery: FakeDiscovery) -> None:
+        self.service = service
+        self.discovery = discovery
         self.counts = service.telemetry.counts
 
-    async def dial(self, *lines: str) -> Caller:
+    async def connect(self, *lines: str) -> Client:
+        """Opens a connection and sends lines."""
         assert self.service.listener.server
         address = self.service.listener.server.sockets[0].getsockname()
-        caller = Caller(*await asyncio.open_connection(*address))
-        caller.say(*lines)
-        return caller
+        client = Client(*await asyncio.open_connection(*address))
+        client.send(*lines)
+        return client
 
-    async def until(self, holds: Callable[[], bool]) -> None:
+    async def wait_until(self, holds: Callable[[], bool]) -> None:
+        """Waits until the condition holds; the scenario's timeout bounds it."""
         while not holds():
             await asyncio.sleep(0.001)
 
 
-def play(scene: Callable[[Stage], Awaitable[None]], log: list[bytes] | None = None) -> Stage:
-    async def run() -> Stage:
-        agent = Agent()
+Scenario = Callable[[RunningService], Awaitable[None]]
+
+
+def run_scenario(scenario: Scenario, log: list[bytes] | None = None) -> RunningService:
+    """Runs a controller, the scenario against it, and ends it by SIGTERM."""
+    lines = [] if log is None else log
+
+    async def run() -> RunningService:
+        discovery = FakeDiscovery()
         async with (
             asyncio.timeout(20),
-            await asyncio.start_server(agent.serve, "127.0.0.1", 0) as server,
+            await asyncio.start_server(discovery.serve, "127.0.0.1", 0) as server,
         ):
             configuration = parse_configuration(config(server.sockets[0].getsockname()[1]))
-            service = Service(
-                configuration, Telemetry(EventLog("n1", ([] if log is None else log).append))
-            )
-            running = asyncio.create_task(service.run())
-            stage = Stage(service, agent)
-            await stage.until(lambda: service.listener.server is not None)
-            await scene(stage)
+            service = Service(configuration, Telemetry(EventLog("n1", lines.append)))
+            serving = asyncio.create_task(service.run())
+            running = RunningService(service, discovery)
+            await running.wait_until(lambda: service.listener.server is not None)
+            await scenario(running)
             os.kill(os.getpid(), signal.SIGTERM)
-            await running
-            service.telemetry.log.finish(
-                5.0
-            )  # its lines are passed on by a thread: the test may read them now
-            return stage
+            await serving
+            # Log lines are written by a thread: the test may read them now.
+            service.telemetry.log.finish(5.0)
+            return running
 
     return asyncio.run(run())
 
@@ -174,8 +187,8 @@
 
 
 @contextmanager
-def process(path: Path, text: bytes, **limits) -> Iterator[subprocess.Popen]:
-    """A steward in a process of its own, once it listens."""
+def process(path: Path, text: bytes, **limits: Any) -> Iterator[subprocess.Popen]:
+    """Starts a controller in a process of its own and yields it once it listens."""
     path.write_bytes(text)
     with subprocess.Popen(
         [sys.executable, "-m", "plankroute"],
@@ -183,11 +196,13 @@
         stderr=subprocess.PIPE,
         **limits,
     ) as controller:
-        assert controller.stderr
-        while b'"listening"' not in controller.stderr.readline():
-            assert controller.poll() is None
-        yield controller
-        controller.kill()
+        try:
+            assert controller.stderr
+            while b'"listening"' not in controller.stderr.readline():
+                assert controller.poll() is None
+            yield controller
+        finally:
+            controller.kill()
 
 
 def free_port() -> int:
@@ -196,6 +211,6 @@
 
 
 def ask(port: int) -> bytes:
-    with socket.create_connection(("127.0.0.1", port), 20) as asker:
-        asker.sendall(b"probe\r\n")
-        return asker.recv(100)
+    with socket.create_connection(("127.0.0.1", port), 20) as client:
+        client.sendall(b"probe\r\n")
+        return client.recv(100)
