--- a/tests/net/test_core_runner.py
+++ b/tests/net/test_core_runner.py
@@ -10,6 +10,7 @@
 
 from plankroute.controller.controller import Controller
 from plankroute.controller.message_builder import MessageBuilder
+from plankroute.controller.messages import Message
 from plankroute.events import events
 from plankroute.events.events import ListKind
 from plankroute.net.discovery.catalogue import list_from
@@ -45,7 +46,7 @@
 
 
 def test_hosts_replaced_all_day_leave_nothing_behind() -> None:
-    """Guards against what grows with hosts that are gone: names, places, lines, hosts held back, marks."""
+    """Guards against what grows with hosts that are gone: names, indexes, routes, withdrawals."""
     known, telemetry, sent = (
         directory_of(*[f"s-{n}" for n in range(12)]),
         Telemetry(EventLog("n1", lambda line: None)),
@@ -101,11 +102,13 @@
         )
     assert telemetry.counts["core.failed"] == 0 and not publisher.unbound
     assert set(message_builder.tables[0]) == {known.ids[f"s-{n}"] for n in range(400, 412)}
-    assert all(late <= early for early, late in zip(map(max, *sizes[:200]), map(max, *sizes[200:])))
+    largest_early = map(max, *sizes[:200])
+    largest_late = map(max, *sizes[200:])
+    assert all(late <= early for early, late in zip(largest_early, largest_late, strict=False))
 
 
 def test_the_channel_accounts_for_all_lines_whatever_hosts_proxies_may_have_withdrawn() -> None:
-    """Guards against a channel fuller than its cap: who came from elsewhere is let back what it may hold."""
+    """Guards against a channel fuller than its cap by lines that reinstate hosts at a proxy."""
     known, facts = (
         directory_of(*[f"s-{n}" for n in range(40)]),
         start_facts(bind_reinstates_hosts=True, warmup_us=SECOND),
@@ -116,7 +119,7 @@
     now, over = 10**15, []
     channel = runner.controller.publisher.channel
 
-    def send(message) -> None:
+    def send(message: Message) -> None:
         over.append(
             channel.sent[message.sequence_number][message.proxy]
             - message.line_count()
--- a/tests/net/test_directory.py
+++ b/tests/net/test_directory.py
@@ -37,7 +37,7 @@
 
 
 def test_the_clock_never_steps_and_a_host_starts_once() -> None:
-    """Guards against a host that seems to start again, or lies in the future, as the system time is set."""
+    """Guards against a host that seems to start again, or in the future, as the time is set."""
     wall, steady = [10**18], [0]
     clock = Clock(lambda: wall[0], lambda: steady[0])
     known, boot_ms = new_directory(clock), 10**12 - 2000
--- a/tests/net/test_health_checker.py
+++ b/tests/net/test_health_checker.py
@@ -88,9 +88,8 @@
             prober.submit = lambda event: (
                 results.append(event) if isinstance(event, events.HealthCheckResult) else None
             )
-            running.service.directory.hosts[0].address = (
-                "127.0.0.1:%d" % server.sockets[0].getsockname()[1]
-            )
+            port = server.sockets[0].getsockname()[1]
+            running.service.directory.hosts[0].address = f"127.0.0.1:{port}"
             prober.check(0)
             await act(running, await asked.get())
             await running.wait_until(lambda: not prober.running)
--- a/tests/net/test_http_client.py
+++ b/tests/net/test_http_client.py
@@ -1,6 +1,7 @@
 """Calls over HTTP say how far they came, and how long the response itself took."""
 
 import asyncio
+from collections.abc import Awaitable, Callable
 from unittest.mock import ANY
 
 import pytest
@@ -9,9 +10,11 @@
 from plankroute.net.discovery.http_client import CallLimits, Response, fetch
 from plankroute.net.process.errors import CallFailure, CallProgress
 
+ServeConnection = Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
 
-def answering(data: bytes, stay: bool = False):
-    """A stand-in that answers every call with these bytes, one at a time, and then ends or says no more."""
+
+def answering(data: bytes, stay: bool = False) -> ServeConnection:
+    """Returns a server that answers with the bytes, one at a time, then closes or falls silent."""
 
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.readuntil(b"\r\n\r\n")
@@ -28,7 +31,7 @@
 def call(data: bytes, stay: bool = False) -> Response | CallFailure:
     async def run() -> Response | CallFailure:
         async with await asyncio.start_server(answering(data, stay), "127.0.0.1", 0) as server:
-            address = "127.0.0.1:%d" % server.sockets[0].getsockname()[1]
+            address = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
             limits = CallLimits(
                 connect_timeout_s=5.0, idle_timeout_s=0.2 if stay else 5.0, max_body_bytes=100
             )
@@ -61,7 +64,7 @@
 def test_the_round_trip_to_a_far_host_is_not_counted_as_its_service_time(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The way there and back is as long as the connection took to come up: 3 s of the 10 since asking."""
+    """A round trip is as long as the connection took: 3 s of the 10 since the request."""
     monkeypatch.setattr(http, "monotonic", iter([0.0, 3.0, 13.0]).__next__)
     answer = call(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
     assert isinstance(answer, Response) and answer.served_us == 7_000_000
--- a/tests/net/test_process_start_and_end.py
+++ b/tests/net/test_process_start_and_end.py
@@ -1,4 +1,4 @@
-"""The controller in a process of its own: bad starts, a clean end, restarts, no descriptors left."""
+"""The controller in a process of its own: bad starts, a clean end, restarts."""
 
 import json
 import os
--- a/tests/net/test_recorded_days.py
+++ b/tests/net/test_recorded_days.py
@@ -24,16 +24,18 @@
 
 
 def day_of(name: Callable[[str], str], controllers: int) -> list[str]:
-    """What a controller writes on a day of changes; every name of the outside goes through `name`."""
-    zones, kinds = [name(f"z{n}") for n in range(3)], [name(f"k{n}") for n in range(2)]
-    products = [name(f"p{n}") for n in range(3)]
+    """Returns what a controller writes on a day of changes; all names go through `name`."""
+    zones, machine_types = [name(f"z{n}") for n in range(3)], [name(f"k{n}") for n in range(2)]
+    request_classes = [name(f"p{n}") for n in range(3)]
     settings = {
         "classes": [
-            {"name": product, "idempotency": effect}
-            for product, effect in zip(products, ("retryable", "dedup", "fragile"))
+            {"name": request_class, "idempotency": effect}
+            for request_class, effect in zip(
+                request_classes, ("retryable", "dedup", "fragile"), strict=True
+            )
         ],
         "dcs": zones,
-        "machineTypes": kinds,
+        "machineTypes": machine_types,
         "rank": 1,
         "zone": 0,
         "instances": controllers,
@@ -88,30 +90,32 @@
     )
 
     def host(n: int, state: str = "SERVING", boot_ms: float = 0) -> dict:
-        return host_json(name(f"h{n:03}"), state, zones[n * 7 % 3], boot_ms, model=kinds[n * 5 % 2])
+        return host_json(
+            name(f"h{n:03}"), state, zones[n * 7 % 3], boot_ms, model=machine_types[n * 5 % 2]
+        )
 
     def work(*batch: events.Event) -> None:
         runner.run_batch(
             now, [*batch, *map(events.TimerExpired, (Controller.PULSE, Controller.TURN))]
         )
 
-    def say(*lines: str) -> list[events.Event]:
+    def admit(*lines: str) -> list[events.Event]:
         identity, said = PeerIdentity(), [parse_line(f"{line}\r".encode()) for line in lines]
         return [event for line in said if (event := admission.admit(identity, line)) is not None]
 
     work(known.apply_list(list_from(list_json(*[host(n) for n in range(200)])), ListKind.CACHED)[0])
     for proxy in range(60):
-        work(*say(f"hello node={proxy} locality={zones[proxy % 3]} w=9 cold=1"))
+        work(*admit(f"hello node={proxy} locality={zones[proxy % 3]} w=9 cold=1"))
     for turn in range(20):
         now += SECOND
         changed = [host(turn, "DRAINING"), host(200 + turn, boot_ms=1e12 + turn)]
-        told = known.apply_list(list_from(list_json(*changed, rev=42 + turn, whole=False)))[0]
-        sums = [
+        listed = known.apply_list(list_from(list_json(*changed, rev=42 + turn, whole=False)))[0]
+        outcomes = [
             f"outcomes locality={zones[0]} endpoint={name(f'h{n:03}')} total=9 errors={n % 4} "
             f"rtt={40 + n} interval=1000"
             for n in range(turn, 200, 3)
         ]
-        work(told, *say(f"agent locality={zones[0]}", *sums))
+        work(listed, *admit(f"agent locality={zones[0]}", *outcomes))
         work(
             *(
                 events.Acknowledged(p, runner.controller.publisher.channel.sequence_number, 1)
@@ -127,7 +131,7 @@
     return out
 
 
-# Recorded before the packages were renamed, and held since: any change of a byte is a change of behaviour.
+# Recorded before the packages were renamed: any change of a byte is a change of behaviour.
 RECORDED_DAYS = {
     1: "5a45da5a45ae8fed5176c75c5ccf3069efddc4584013cc88052e66412b41db32",
     4: "fbb2f0fb3cfa8219139d0cb57aa28e7707ab1cd583b7440db382327de831c089",
@@ -142,7 +146,7 @@
 
 @pytest.mark.parametrize("controllers", [1, 4])
 def test_names_steer_nothing(controllers: int) -> None:
-    """Guards against a product, zone, kind or host whose name steers."""
+    """Guards against a request class, zone, machine type or host whose name steers."""
 
     def other_name(name: str) -> str:
         return f"{name[0]}{name[1:].translate(str.maketrans('0123456789', 'acegikmoqs'))}-x"
--- a/tests/net/test_sessions.py
+++ b/tests/net/test_sessions.py
@@ -209,9 +209,7 @@
     run_scenario(scenario)
 
 
-def test_what_waited_for_the_old_session_is_neither_sent_to_the_new_one_nor_left_in_the_accounting() -> (
-    None
-):
+def test_what_waited_for_the_old_session_is_neither_sent_nor_left_in_the_accounting() -> None:
     async def scenario(running: RunningService) -> None:
         publisher = running.service.core.controller.publisher
         old = await running.connect(HELLO)
--- a/tests/net/test_watch.py
+++ b/tests/net/test_watch.py
@@ -48,7 +48,7 @@
 def test_a_faulty_watch_costs_its_timeout_and_a_pause(
     fault: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Guards against a watch that is kept for good while it brings nothing, such as one that drips."""
+    """Guards against a watch that is kept for good while it brings nothing."""
     monkeypatch.setattr(discovery_module, "IDLE_TIMEOUT_S", 0.2)
     log = list[bytes]()
 
@@ -69,7 +69,7 @@
 
 @pytest.mark.parametrize("fault", ["hangs in a line", "drips in a line", "hangs after the dial"])
 def test_a_change_is_known_within_the_platforms_bound_after_a_faulty_watch(fault: str) -> None:
-    """By the constants 3.45 s and a way: the longest quiet time, and the longest pause before a new call."""
+    """The longest idle timeout and the longest pause before a new call: 3.45 s and a way."""
     took = list[float]()
 
     async def scenario(running: RunningService, faulty: FaultyDiscovery) -> None:
--- a/tests/support/faulty_discovery.py
+++ b/tests/support/faulty_discovery.py
@@ -1,4 +1,4 @@
-"""A discovery whose first call meets a fault: it hangs, breaks off, drips bytes or sends nonsense."""
+"""A discovery whose first call meets a fault: it hangs, breaks off, drips or sends nonsense."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -15,6 +15,7 @@
 
 
 def chunk(text: bytes) -> bytes:
+    """Returns a chunk of a chunked body."""
     return b"%x\r\n%s\r\n" % (len(text), text)
 
 
@@ -38,13 +39,14 @@
 
 
 async def drip(writer: asyncio.StreamWriter, head: bytes, byte: bytes) -> None:
+    """Sends the head and then the byte again and again, until the connection is closed."""
     writer.write(head)
     while not writer.transport.is_closing():
         writer.write(byte)
         await asyncio.sleep(0.01)
 
 
-def write(data: bytes, then: str = "") -> Callable[[asyncio.StreamWriter], Awaitable[None]]:
+def respond(data: bytes, then: str = "") -> Callable[[asyncio.StreamWriter], Awaitable[None]]:
     async def fault(writer: asyncio.StreamWriter) -> None:
         writer.write(data)
         await writer.drain()
@@ -57,28 +59,28 @@
 
 
 FAULTS: dict[str, Callable[[asyncio.StreamWriter], Awaitable[None]]] = {
-    "hangs after the dial": write(b""),
-    "hangs after the head": write(HEAD),
-    "hangs in a line": write(HEAD + chunk(DRAINED[:30])),
-    "hangs after whole lines": write(HEAD + chunk(b"\n")),
-    "ends after the head": write(HEAD, "fin"),
-    "ends in a line": write(HEAD + chunk(DRAINED[:30]), "fin"),
-    "is reset in a line": write(HEAD + chunk(DRAINED[:30]), "reset"),
-    "is reset at once": write(b"", "reset"),
+    "hangs after the dial": respond(b""),
+    "hangs after the head": respond(HEAD),
+    "hangs in a line": respond(HEAD + chunk(DRAINED[:30])),
+    "hangs after whole lines": respond(HEAD + chunk(b"\n")),
+    "ends after the head": respond(HEAD, "fin"),
+    "ends in a line": respond(HEAD + chunk(DRAINED[:30]), "fin"),
+    "is reset in a line": respond(HEAD + chunk(DRAINED[:30]), "reset"),
+    "is reset at once": respond(b"", "reset"),
     "drips in a line": lambda writer: drip(writer, HEAD, chunk(b" ")),
     "drips in the head": lambda writer: drip(writer, b"HTTP/1.1 200 OK\r\nX-Slow: ", b"x"),
     "drips heads to come": lambda writer: drip(writer, b"", b"HTTP/1.1 100 Continue\r\n\r\n"),
-    "says 503": write(b"HTTP/1.1 503 No\r\nContent-Length: 2\r\n\r\nno"),
-    "says 503 and hangs": write(b"HTTP/1.1 503 No\r\nContent-Length: 2\r\n\r\n"),
-    "redirects": write(
+    "says 503": respond(b"HTTP/1.1 503 No\r\nContent-Length: 2\r\n\r\nno"),
+    "says 503 and hangs": respond(b"HTTP/1.1 503 No\r\nContent-Length: 2\r\n\r\n"),
+    "redirects": respond(
         b"HTTP/1.1 302 Found\r\nLocation: http://127.0.0.1:9/\r\nContent-Length: 0\r\n\r\n"
     ),
-    "has a wrong length": write(
+    "has a wrong length": respond(
         b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n" + DRAINED[:5], "fin"
     ),
-    "has a line too long": write(HEAD + chunk(b"x" * 9_000_000)),
-    "is nonsense": write(b"\x16\x03\x01\x02\x00\x01\r\n\r\n"),
-    "is no list": write(HEAD + chunk(b"[3]\n")),
+    "has a line too long": respond(HEAD + chunk(b"x" * 9_000_000)),
+    "is nonsense": respond(b"\x16\x03\x01\x02\x00\x01\r\n\r\n"),
+    "is no list": respond(HEAD + chunk(b"[3]\n")),
 }
 
 
@@ -92,7 +94,8 @@
     async def inner(running: RunningService) -> None:
         faulty = FaultyDiscovery(FAULTS[fault])
         async with await asyncio.start_server(faulty.serve, "127.0.0.1", 0) as server:
-            running.service.discovery.move("127.0.0.1:%d" % server.sockets[0].getsockname()[1])
+            port = server.sockets[0].getsockname()[1]
+            running.service.discovery.move(f"127.0.0.1:{port}")
             await scenario(running, faulty)
 
     run_scenario(inner, log)
--- a/tests/support/service_stage.py
+++ b/tests/support/service_stage.py
@@ -186,15 +186,16 @@
 HELLO = "hello node=3 locality=a w=21.5 cold=1"
 
 
+# The options are those of Popen.
 @contextmanager
-def process(path: Path, text: bytes, **limits: Any) -> Iterator[subprocess.Popen]:
+def process(path: Path, text: bytes, **options: Any) -> Iterator[subprocess.Popen]:  # noqa: ANN401
     """Starts a controller in a process of its own and yields it once it listens."""
     path.write_bytes(text)
     with subprocess.Popen(
         [sys.executable, "-m", "plankroute"],
         env={**os.environ, "GW_CONFIG": str(path)},
         stderr=subprocess.PIPE,
-        **limits,
+        **options,
     ) as controller:
         try:
             assert controller.stderr
