--- a/plankroute/net/peers/shared_discovery.py
+++ b/plankroute/net/peers/shared_discovery.py
@@ -6,7 +6,7 @@
 
 import asyncio
 from collections.abc import Callable
-from typing import Literal
+from typing import Literal, cast
 
 import msgspec
 import orjson
@@ -125,15 +125,15 @@
         self.members_version = -1
         self.result_listener: Callable[[HealthCheckResults], None] = lambda frame: None
 
-    def start(self, known: RawList) -> None:
-        """Start with the list that was known before, if any.
+    def start(self, initial_list: object) -> None:
+        """Start with the list that came with the configuration.
 
         Guards against changes since the list handed over that are taken for a complete one, and
         handed on.
         """
-        super().start(known)
+        super().start(initial_list)
         if self.revision is not None:
-            self.endpoint_list.apply(known)
+            self.endpoint_list.apply(cast(RawList, initial_list))  # its form was checked
             self.deliver([ListUpdated(self.endpoint_list.revision, from_service=False)])
         self.opening = asyncio.create_task(self.open_server())
 
--- /dev/null
+++ b/plankroute/policy/host.py
@@ -0,0 +1,184 @@
+"""The actor of one host: feeds its statistics, and joins health, warm-up and prior knowledge."""
+
+from plankroute.events import events
+from plankroute.events.events import HostState
+from plankroute.policy.constants import SECOND_US, STATS_HALF_LIFE_US
+from plankroute.policy.first_weights import FirstWeights
+from plankroute.policy.health import GOOD_CHECKS_TO_READMIT, MIN_FAILURES, HostHealth
+from plankroute.policy.host_table import HostTable
+from plankroute.policy.prior_knowledge import PriorKnowledge
+from plankroute.policy.warmup import Ramp
+from plankroute.state.host_statistics import NO_CAP
+from plankroute.state.scheduler import Actor, Scheduler, Tick
+
+# Statistics that are no further apart come from one round of reports: a guess.
+STATS_BURST_GAP_US = SECOND_US // 4
+
+HostEvent = (
+    events.HostEntry
+    | events.HostRequestStats
+    | events.HealthCheckResult
+    | events.HostPriorKnowledge
+    | Tick
+)
+
+
+class HostActor(Actor):
+    """One host of the table.
+
+    Attributes:
+        index: Index of the host in the table.
+        health: Its health checks and ejection.
+        ramp: Its warm-up.
+        found_out: Whether this controller has found out anything of the host's present process by
+            itself. Prior knowledge is not passed on.
+    """
+
+    def __init__(
+        self,
+        scheduler: Scheduler,
+        host_table: HostTable,
+        prior: PriorKnowledge,
+        first_weights: FirstWeights,
+        index: int,
+    ) -> None:
+        super().__init__(scheduler)
+        self.host_table = host_table
+        self.prior = prior
+        self.first_weights = first_weights
+        self.index = index
+        self.health = HostHealth(scheduler, host_table, prior, index)
+        self.ramp = Ramp()
+        self.found_out = False
+        host_table.decayed_at_us[index] = scheduler.now
+        host_table.heard_at_us[index] = scheduler.now
+
+    @property
+    def required_checks(self) -> int:
+        """Good health checks in a row that the host's next readmission takes."""
+        return self.health.required_checks
+
+    def handle(self, event: HostEvent) -> None:
+        """Takes in one event of this host, or a tick."""
+        match event:
+            case events.HostRequestStats():
+                self.on_request_stats(event)
+            case Tick.CHANGED:
+                self.update_cap()
+            case Tick.TURN:
+                self.on_turn()
+            case events.HealthCheckResult():
+                self.on_health_check(event)
+            case events.HostEntry():
+                self.on_entry(event)
+            case events.HostPriorKnowledge():
+                self.on_prior_knowledge(event)
+
+    def update_cap(self) -> None:
+        """Works out anew what the host's weight may count for."""
+        cap = self.ramp.weight_cap(self.host_table, self.index, self.scheduler.now)
+        self.host_table.weight_cap[self.index] = cap
+
+    def on_entry(self, entry: events.HostEntry) -> None:
+        """Takes over what the endpoint list says of the host."""
+        host_table, index = self.host_table, self.index
+        if entry.state is not host_table.state[index]:
+            host_table.heard_at_us[index] = self.scheduler.now
+        host_table.zone[index] = entry.zone
+        host_table.machine_type[index] = entry.machine_type
+        host_table.state[index] = entry.state
+        if entry.state is HostState.READY:
+            has_restarted = entry.started_us > self.ramp.started_us
+            self.ramp.started_us = entry.started_us
+            if has_restarted:
+                self.reset()
+        self.update_cap()
+
+    def reset(self) -> None:
+        """Forgets the process before a restart: nothing of it counts for the new one."""
+        host_table, index = self.host_table, self.index
+        host_table.scale_sums(index, 0.0)
+        host_table.error[index] = None
+        host_table.integral[index] = 0.0
+        host_table.ejected[index] = False
+        host_table.heard_at_us[index] = self.scheduler.now
+        self.ramp.readmission_share = 1.0
+        self.health.required_checks = GOOD_CHECKS_TO_READMIT
+        self.found_out = False
+        self.prior.discard(index)
+        if host_table.usual_weight_by_type:
+            host_table.weight[index] = host_table.usual_weight_of_type(index)
+
+    def on_request_stats(self, stats: events.HostRequestStats) -> None:
+        """Adds what proxies met at the host to its decayed sums.
+
+        Guards against hosts that fail requests fast and so look idle: a failed attempt counts as
+        one that took the latency objective.
+        """
+        host_table, index, now = self.host_table, self.index, self.scheduler.now
+        failed = min(stats.failed, stats.attempts)
+        host_table.note_stats_arrival(now, STATS_BURST_GAP_US)
+        host_table.decay(index, now, STATS_HALF_LIFE_US)
+        host_table.heard_at_us[index] = now
+        host_table.heard_since_turn[index] = True
+        self.found_out = True
+        served = 0
+        latency_sum_us = 0.0
+        if 0 < stats.mean_latency_us < NO_CAP:
+            served = stats.attempts - failed
+        if served:
+            latency_sum_us = served * stats.mean_latency_us
+        host_table.attempts[index] += served + failed
+        host_table.failed[index] += failed
+        host_table.latency_sum_us[index] += (
+            latency_sum_us + failed * host_table.latency_objective_us
+        )
+        if host_table.attempts[index] >= MIN_FAILURES:
+            fails_most = 2 * host_table.failed[index] > host_table.attempts[index]
+            self.prior.compare(host_table, index, fails_most)
+        host_table.add_load_report(index, stats.report)
+
+    def on_health_check(self, result: events.HealthCheckResult) -> None:
+        """Takes in the result of a health check, unless it is an old one of another controller."""
+        if result.age_us > STATS_HALF_LIFE_US:
+            return
+        if self.health.on_check(result):
+            self.found_out = True
+
+    def on_prior_knowledge(self, event: events.HostPriorKnowledge) -> None:
+        """Starts from prior knowledge, as long as the controller knows nothing better itself."""
+        host_table, index = self.host_table, self.index
+        is_ready = host_table.state[index] is HostState.READY
+        is_measured = host_table.attempts[index] >= MIN_FAILURES
+        if not is_ready or is_measured or self.prior.judged:
+            return
+        is_unhealthy = self.prior.record(index, event)
+        if self.first_weights.is_decided:
+            host_table.weight[index] = self.prior.weights[index]
+            host_table.effective_weight[index] = 0.0  # no published slot holds the weight back
+        was_ejected = is_unhealthy and event.ejected
+        if (
+            was_ejected
+            and not host_table.ejected[index]
+            and self.prior.may_eject_another(host_table)
+        ):
+            self.health.eject_on_prior_knowledge(event.required_checks)
+            self.health.request_check()
+
+    def on_turn(self) -> None:
+        """Goes on by one turn: decays the sums, readmits or ramps up, asks for a health check."""
+        host_table, index = self.host_table, self.index
+        if host_table.state[index] is not HostState.READY:
+            return
+        host_table.decay(index, self.scheduler.now, STATS_HALF_LIFE_US)
+        needs_check = self.health.needs_check()
+        if host_table.ejected[index]:
+            if self.health.readmit_if_recovered():
+                self.ramp.readmit()
+        else:
+            self.ramp.advance()
+            if not needs_check:
+                self.health.bad_checks = 0
+        self.update_cap()
+        if needs_check:
+            self.health.request_check()
