--- a/plankroute/net/discovery/backoff_watch.py
+++ b/plankroute/net/discovery/backoff_watch.py
@@ -14,7 +14,6 @@
     Started,
     WatchEnded,
 )
-from plankroute.cold_start.endpoint_list import RawList
 from plankroute.cold_start.retry_after import parse_retry_after
 from plankroute.net.discovery.http_client import Call
 from plankroute.net.discovery.watch import Discovery
@@ -42,9 +41,9 @@
         self.contacts = 0
         self.checking_age: asyncio.Task[None] | None = None
 
-    def start(self, known: RawList) -> None:
-        """Start with the list that was known before, if any."""
-        super().start(known)
+    def start(self, initial_list: object) -> None:
+        """Start with the list that came with the configuration."""
+        super().start(initial_list)
         self.checking_age = asyncio.create_task(self.check_age())
 
     def close(self) -> None:
