--- a/tests/net/test_core_runner.py
+++ b/tests/net/test_core_runner.py
@@ -8,7 +8,7 @@
 from support.endpoint_lists import directory_of, host_json, list_json
 from support.service_stage import HELLO, RunningService, run_scenario
 
-from plankroute.controller.controller import Controller
+from plankroute.controller.controller import Controller, TimerToken
 from plankroute.controller.message_builder import MessageBuilder
 from plankroute.controller.messages import Message
 from plankroute.events import events
@@ -32,7 +32,7 @@
         runner.submit(full(entry(100)))
         runner.flush()
         tokens = sorted(token for _, _, token in runner.timers.heap)
-        assert tokens == [Controller.TURN, Controller.PULSE]
+        assert tokens == [TimerToken.TURN, TimerToken.PULSE]
         runner.timers.heap = [(0, *rest) for _, *rest in runner.timers.heap]
         runner.submit(events.HostRequestStats(100, 0, None, 0, 1.0, SECOND, None))  # type: ignore[arg-type]
         runner.flush()
@@ -61,7 +61,7 @@
 
     def work(*batch: events.Event) -> None:
         runner.run_batch(
-            now, [*batch, *map(events.TimerExpired, (Controller.PULSE, Controller.TURN))]
+            now, [*batch, *map(events.TimerExpired, (TimerToken.PULSE, TimerToken.TURN))]
         )
 
     first = list_json(*[host_json(f"s-{n}") for n in range(12)])
@@ -92,7 +92,7 @@
                     core.hosts,
                     publisher.withdrawn,
                     publisher.tables[0].published,
-                    publisher.channel.sent,
+                    publisher.channel.in_flight,
                     message_builder.ever_withdrawn,
                     message_builder.withdrawn_hosts,
                     message_builder.tables[0],
@@ -121,14 +121,14 @@
 
     def send(message: Message) -> None:
         over.append(
-            channel.sent[message.sequence_number][message.proxy]
+            channel.in_flight[message.sequence_number][message.proxy]
             - message.line_count()
             - facts.message_overhead_lines
         )
 
     def work(*batch: events.Event) -> None:
         runner.run_batch(
-            now, [*batch, *map(events.TimerExpired, (Controller.PULSE, Controller.TURN))]
+            now, [*batch, *map(events.TimerExpired, (TimerToken.PULSE, TimerToken.TURN))]
         )
 
     runner.outputs.send_message = send
--- a/tests/net/test_recorded_days.py
+++ b/tests/net/test_recorded_days.py
@@ -9,7 +9,7 @@
 from support.controller_model import SECOND
 from support.endpoint_lists import host_json, list_json
 
-from plankroute.controller.controller import Controller
+from plankroute.controller.controller import Controller, TimerToken
 from plankroute.controller.message_builder import MessageBuilder
 from plankroute.events import events
 from plankroute.events.events import ListKind
@@ -96,7 +96,7 @@
 
     def work(*batch: events.Event) -> None:
         runner.run_batch(
-            now, [*batch, *map(events.TimerExpired, (Controller.PULSE, Controller.TURN))]
+            now, [*batch, *map(events.TimerExpired, (TimerToken.PULSE, TimerToken.TURN))]
         )
 
     def admit(*lines: str) -> list[events.Event]:
--- a/tests/net/test_sessions.py
+++ b/tests/net/test_sessions.py
@@ -243,13 +243,13 @@
             list(publisher.zone_of_proxy) == [3]
             and len(running.service.listener.sessions.by_proxy) == 1
         )
-        assert host_table.disconnect_alarm_us == 0
+        assert host_table.mass_disconnect_at_us == 0
         for proxy in range(4, 8):
             await (await running.connect(HELLO.replace("=3", f"={proxy}"))).receive("replace=1")
         for connection in list(running.service.listener.table.connections):
             connection.outbound.abort()
         await running.wait_until(
-            lambda: host_table.disconnect_alarm_us > 0
+            lambda: host_table.mass_disconnect_at_us > 0
         )  # that is what it is for
 
     run_scenario(scenario)
