--- a/plankroute/net/process/service.py
+++ b/plankroute/net/process/service.py
@@ -19,11 +19,15 @@
 from plankroute.net.discovery.directory import Directory
 from plankroute.net.discovery.watch import Discovery
 from plankroute.net.probing.prober import HealthChecker
-from plankroute.net.process import startup_signals as early
 from plankroute.net.process.clock import Clock
 from plankroute.net.process.configuration import Configuration, parse_configuration
 from plankroute.net.process.core_runner import CoreOutputs, CoreRunner
 from plankroute.net.process.startup_file import read_startup_file
+from plankroute.net.process.startup_signals import (
+    ignore_signals,
+    install_startup_handlers,
+    take_pending_reload,
+)
 from plankroute.net.process.telemetry import EventLog, Telemetry, to_stderr
 from plankroute.net.proxies.admission import Admission
 from plankroute.net.proxies.line_codec import MessageEncoder
@@ -36,7 +40,7 @@
     from plankroute.net.process.optional_features import OptionalFeatures
 
 # Names our own JSON file; without it all that the file switches on is off.
-OWN_FILE = "PLANKROUTE_FILE"
+FEATURE_FILE_VARIABLE = "PLANKROUTE_FILE"
 # For how long, and how often, an address that is held is tried: operators end a start after 30 s.
 OPEN_TIMEOUT_S = 25.0
 OPEN_RETRY_S = 0.1
@@ -168,7 +172,7 @@
         for number, handler in self.signals.items():
             loop.add_signal_handler(number, handler)
         loop.set_exception_handler(self._on_loop_error)
-        if early.hung_up():
+        if take_pending_reload():
             self.reload()
 
     async def _serve(self) -> None:
@@ -202,7 +206,7 @@
         """
         try:
             new = read_configuration()
-            own = own_file()
+            own = read_features()
             if new.name != self.configuration.name:
                 raise SettingsError(f"it is {new.name}'s")
         except UNUSABLE as error:
@@ -285,49 +289,60 @@
     return parse_configuration(read(os.environ["GW_CONFIG"]))
 
 
-def own_file(read: FileReader = read_file) -> "FeatureFile | None":
+def read_features(read: FileReader = read_file) -> "FeatureFile | None":
     """The project's own JSON file, if ``PLANKROUTE_FILE`` names one.
 
     Raises:
         SettingsError: It cannot be used; the message is one line.
     """
-    if not (path := os.environ.get(OWN_FILE)):
+    if not (path := os.environ.get(FEATURE_FILE_VARIABLE)):
         return None
     from plankroute.config.feature_file import read_feature_file
 
     return read_feature_file(path, read)
 
 
-async def run_to_its_end(service: Service) -> None:
+async def run_until_stopped(service: Service) -> None:
+    """Runs the service, and leaves all its signals ignored."""
     await service.run()
-    signal.pthread_sigmask(
-        signal.SIG_BLOCK, service.signals
-    )  # while they have no handler, a moment each
+    # Blocked, since each signal is without a handler for a moment.
+    signal.pthread_sigmask(signal.SIG_BLOCK, service.signals)
     for number in service.signals:
         asyncio.get_running_loop().remove_signal_handler(number)
-    early.ignore()
+    ignore_signals()
 
 
 def main() -> int:
-    early.heed()
-    early.hung_up()  # what is read from here is the newest
+    """Runs one controller until SIGTERM.
+
+    Returns:
+        The exit status: 0 after a clean end, 1 if the address could not be had, 2 if the
+        configuration or the feature file cannot be used.
+    """
+    install_startup_handlers()
+    take_pending_reload()  # what is read from here on is the newest
     try:
         configuration = read_configuration(read_startup_file)
     except UNUSABLE as error:
-        print(
-            f"plankroute: GW_CONFIG can't be used: {type(error).__name__}: {error}", file=sys.stderr
-        )
-        return 2
+        return _usage_error("GW_CONFIG", f"{type(error).__name__}: {error}")
     try:
-        own = own_file(read_startup_file)
+        features = read_features(read_startup_file)
     except SettingsError as error:
-        print(f"plankroute: {OWN_FILE} can't be used: {error}", file=sys.stderr)
-        return 2
+        return _usage_error(FEATURE_FILE_VARIABLE, str(error))
+    return _run(configuration, features)
+
+
+def _usage_error(variable: str, reason: str) -> int:
+    print(f"plankroute: {variable} can't be used: {reason}", file=sys.stderr)
+    return 2
+
+
+def _run(configuration: Configuration, features: "FeatureFile | None") -> int:
     log = EventLog(configuration.name, to_stderr)
     telemetry = Telemetry(log)
     try:
         gc.freeze()
-        asyncio.run(run_to_its_end(Service(configuration, telemetry, own)))
+        asyncio.run(run_until_stopped(Service(configuration, telemetry, features)))
     except OSError as error:
         log.event("error", "start_failed", why=str(error))
         log.finish(FINISH_S)
--- a/plankroute/net/process/startup_file.py
+++ b/plankroute/net/process/startup_file.py
@@ -20,7 +20,7 @@
 
 
 def read_startup_file(path: str | Path, max_bytes: int | None = None) -> bytes:
-    """Reads a file to its end, or its first ``max_bytes`` bytes. For the main thread, before the loop.
+    """Reads a file to its end, or its first ``max_bytes`` bytes; in the main thread alone.
 
     Raises:
         OSError: The file cannot be opened or read.
--- a/plankroute/net/process/startup_signals.py
+++ b/plankroute/net/process/startup_signals.py
@@ -1,36 +1,43 @@
-"""Signals between the process's first line and its loop: told to end it ends well, told to read its file anew
-it does so once it can. Decides nothing."""
+"""Signals between the start of the process and its event loop, and after the loop has ended.
+
+SIGTERM and SIGINT end a start with status 0. SIGHUP is remembered, and the configuration is read
+again once the loop runs.
+"""
 
 import signal
 from types import FrameType
 
-_hung_up: list[bool] = []
+_ENDING_SIGNALS = (signal.SIGTERM, signal.SIGINT)
+_pending_reloads: list[signal.Signals] = []
+
 
+def install_startup_handlers() -> None:
+    """Handles signals until the event loop does.
 
-def heed() -> None:
-    """Guards against a restart that is struck dead, or a new configuration that is missed, in between."""
-    for number in (signal.SIGTERM, signal.SIGINT):
-        signal.signal(number, _end)
-    signal.signal(signal.SIGHUP, _note)
-    signal.signal(signal.SIGUSR1, signal.SIG_IGN)  # nothing is counted yet
+    Guards against a restart that is killed, or a new configuration that is missed, in between.
+    """
+    for number in _ENDING_SIGNALS:
+        signal.signal(number, _exit)
+    signal.signal(signal.SIGHUP, _remember_reload)
+    signal.signal(signal.SIGUSR1, signal.SIG_IGN)  # nothing has been counted yet
 
 
-def hung_up() -> bool:
-    """Whether a SIGHUP came since the last question."""
-    came = bool(_hung_up)
-    _hung_up.clear()
-    return came
+def take_pending_reload() -> bool:
+    """Whether a SIGHUP came since the last call."""
+    is_pending = bool(_pending_reloads)
+    _pending_reloads.clear()
+    return is_pending
 
 
-def ignore() -> None:
-    """At the end: guards against a second signal that spoils a good exit."""
-    for number in (signal.SIGTERM, signal.SIGINT, signal.SIGHUP, signal.SIGUSR1):
+def ignore_signals() -> None:
+    """Ignores all handled signals: guards against a second one that spoils a clean exit."""
+    for number in (*_ENDING_SIGNALS, signal.SIGHUP, signal.SIGUSR1):
         signal.signal(number, signal.SIG_IGN)
 
 
-def _end(_: int, __: FrameType | None) -> None:
+def _exit(_number: int, _frame: FrameType | None) -> None:
     raise SystemExit(0)
 
 
-def _note(_: int, __: FrameType | None) -> None:
-    _hung_up.append(True)
+def _remember_reload(_number: int, _frame: FrameType | None) -> None:
+    _pending_reloads.append(signal.SIGHUP)
--- a/plankroute/seeded_random.py
+++ b/plankroute/seeded_random.py
@@ -4,10 +4,18 @@
 
 
 class SeededRandom:
+    """A stream of random numbers, made of a seed and a counter.
+
+    Attributes:
+        seed: The seed.
+        draws: How many numbers were drawn.
+    """
+
     def __init__(self, seed: int) -> None:
-        self.seed, self.draws = seed, 0
+        self.seed = seed
+        self.draws = 0
 
     def draw(self) -> float:
-        """From 0 to under 1."""
+        """The next number, from 0 to under 1."""
         self.draws += 1
         return zlib.crc32(f"{self.seed}:{self.draws}".encode()) / 2**32
--- a/plankroute/testbed/processes.py
+++ b/plankroute/testbed/processes.py
@@ -18,7 +18,7 @@
 import msgspec
 import orjson
 
-from plankroute.net.process.service import OWN_FILE
+from plankroute.net.process.service import FEATURE_FILE_VARIABLE
 from plankroute.testbed.faults import SECOND, Act, Script, Step
 from plankroute.testbed.history import Done, Entry, History
 from plankroute.testbed.links import Address, Links, Streams
@@ -171,7 +171,7 @@
         )
         files = {"GW_CONFIG": (folder / f"told{member}.json", self.configuration(member))}
         if not self.plan.is_bare:
-            files[OWN_FILE] = folder / f"own{member}.json", self.own_file(member)
+            files[FEATURE_FILE_VARIABLE] = folder / f"own{member}.json", self.own_file(member)
         for variable, (path, what) in files.items():
             path.write_bytes(orjson.dumps(what))
             environment[variable] = str(path)
--- a/plankroute/testbed/skewed_controller.py
+++ b/plankroute/testbed/skewed_controller.py
@@ -14,10 +14,9 @@
 
     time.time = lambda: wall() + jump()
     time.time_ns = lambda: wall_ns() + int(jump() * 1e9)
-    sys.argv[1:] = []
-    from plankroute.__main__ import main as serve
+    from plankroute.net.process.service import main as run_controller
 
-    return serve()
+    return run_controller()
 
 
 if __name__ == "__main__":
--- a/tests/test_process_signals.py
+++ b/tests/net/test_process_signals.py
@@ -18,7 +18,7 @@
 
 
 @contextmanager
-def started(path: Path, **more: str) -> Iterator[subprocess.Popen]:
+def started(path: Path, **more: str) -> Iterator[subprocess.Popen[bytes]]:
     """A controller process; it is killed whatever becomes of the test."""
     env = {**os.environ, "GW_CONFIG": str(path), **more}
     command = [sys.executable, "-m", "plankroute"]
@@ -29,16 +29,16 @@
             controller.kill()
 
 
-def lines_until(controller: subprocess.Popen, event: str) -> list[dict]:
+def lines_until(controller: subprocess.Popen[bytes], event: str) -> list[dict[str, object]]:
     assert controller.stderr
-    out = list[dict]()
+    out = list[dict[str, object]]()
     while not out or out[-1]["event"] != event:
         out.append(json.loads(controller.stderr.readline()))
     return out
 
 
-def last_lines(controller: subprocess.Popen) -> list[dict]:
-    """Of a steward that ends well: status 0, and nothing but its log."""
+def last_lines(controller: subprocess.Popen[bytes]) -> list[dict[str, object]]:
+    """Of a controller that ends well: status 0, and nothing but its log."""
     assert controller.stderr
     out = [json.loads(line) for line in controller.stderr.read().splitlines()]
     assert controller.wait(20) == 0
@@ -46,8 +46,8 @@
     return out
 
 
-def test_sigterm_while_the_address_is_still_being_tried(tmp_path):
-    """Guards against a log that says the steward listens where it never did."""
+def test_sigterm_while_the_address_is_still_being_tried(tmp_path: Path) -> None:
+    """Guards against a log that says the controller listens where it never did."""
     with socket.create_server(("127.0.0.1", 0)) as held:
         (tmp_path / "c.json").write_bytes(config(discovery=9, listen=held.getsockname()[1]))
         with started(tmp_path / "c.json") as controller:
@@ -68,8 +68,8 @@
             time.sleep(0.001)
 
 
-def test_sigterm_before_the_configuration_is_read(tmp_path):
-    """Guards against a restart that is struck dead, with a status that is none, as it starts."""
+def test_sigterm_before_the_configuration_is_read(tmp_path: Path) -> None:
+    """Guards against a restart that is killed as it starts, with no exit status of its own."""
     os.mkfifo(path := tmp_path / "c.json")
     with started(path) as controller:
         reading = open_fifo(path)
@@ -78,7 +78,7 @@
         os.close(reading)
 
 
-def test_sigterm_before_the_feature_file_is_read(tmp_path):
+def test_sigterm_before_the_feature_file_is_read(tmp_path: Path) -> None:
     """Guards against a start that never ends where the second file is a pipe that nobody writes."""
     os.mkfifo(path := tmp_path / "features.json")
     (tmp_path / "c.json").write_bytes(config(discovery=9))
@@ -89,8 +89,8 @@
         os.close(reading)
 
 
-def test_a_new_configuration_while_the_old_one_is_being_read_is_not_missed(tmp_path):
-    """Guards against a SIGHUP during a start, which left the steward with the old discovery for good."""
+def test_a_new_configuration_while_the_old_one_is_being_read_is_not_missed(tmp_path: Path) -> None:
+    """Guards against a SIGHUP that is lost, with the old discovery kept for good."""
     port, path, pipes = free_port(), tmp_path / "c.json", [tmp_path / "first", tmp_path / "second"]
     for pipe in pipes:
         os.mkfifo(pipe)
@@ -113,8 +113,8 @@
         last_lines(controller)
 
 
-def test_a_second_sigterm_does_not_spoil_the_exit(tmp_path):
-    """Guards against a status that is none because the last log lines were still being written."""
+def test_a_second_sigterm_does_not_spoil_the_exit(tmp_path: Path) -> None:
+    """Guards against a bad exit status because the last log lines were still being written."""
     text = config(discovery=9, listen=free_port())
     with process(tmp_path / "config.json", text) as controller:
         assert controller.stderr
@@ -129,8 +129,8 @@
         assert controller.returncode == 0
 
 
-def test_sigterm_with_lines_waiting_and_half_a_message_said(tmp_path):
-    """No whole line goes out in part: what a proxy has at the end ends with a line's end, or is no line."""
+def test_sigterm_with_lines_waiting_and_half_a_message_said(tmp_path: Path) -> None:
+    """What a proxy received is complete lines and at most one part of a line."""
     port = free_port()
     with (
         process(tmp_path / "config.json", config(discovery=9, listen=port)) as controller,
@@ -157,10 +157,11 @@
     assert events[-1] == "ended"
 
 
-def test_restarts_are_ready_in_time(tmp_path):
+def test_restarts_are_ready_in_time(tmp_path: Path) -> None:
     """At the same address, old connections half closed, proxies back at once, discovery silent.
 
-    `python -m pytest -s -k restarts_are_ready` prints the distribution."""
+    `python -m pytest -s -k restarts_are_ready` prints the distribution.
+    """
     port, took, proxies = free_port(), list[float](), list[socket.socket]()
     for _ in range(10):
         (tmp_path / "c.json").write_bytes(config(discovery=9, listen=port))
@@ -186,8 +187,9 @@
     for old in proxies:
         old.close()
     took.sort()
+    median_s = took[len(took) // 2]
+    nine_in_ten_s = took[int(0.9 * len(took))]
     print(
-        f"ready after, s: median {took[len(took) // 2]:.2f}, nine in ten {took[int(0.9 * len(took))]:.2f}, "
-        f"worst {took[-1]:.2f}"
+        f"ready after, s: median {median_s:.2f}, nine in ten {nine_in_ten_s:.2f}, worst {took[-1]:.2f}"
     )
-    assert took[int(0.9 * len(took))] < 10.0
+    assert nine_in_ten_s < 10.0
--- a/tests/test_trials.py
+++ b/tests/test_trials.py
@@ -131,7 +131,7 @@
 def test_a_bare_start_imports_nothing_of_what_is_switched_off():
     """Guards against a listener, a library or memory that `run` did not have before."""
     code = (
-        "import sys, plankroute.__main__, plankroute.net.process.service as s; s.own_file();"
+        "import sys, plankroute.__main__, plankroute.net.process.service as s; s.read_features();"
         "print([m for m in sys.modules if m.split('.')[0] in ('click', 'msgspec', 'xxhash') or any("
         "f'plankroute.{p}' in m for p in ('cli', 'lab', 'membership', 'ownfile', 'net.members'))])"
     )
--- a/tests/warm_start/test_snapshot_codec.py
+++ b/tests/warm_start/test_snapshot_codec.py
@@ -1,5 +1,6 @@
 """Files and bytes of snapshots: what can't be used is recognised, and old files are read."""
 
+import msgspec
 import pytest
 from hypothesis import given
 from hypothesis import strategies as st
@@ -98,3 +99,9 @@
 def test_noise_is_no_snapshot(noise: bytes) -> None:
     assert decode_snapshot(noise) is None
     assert isinstance(decode_file(noise, "n1", 0), FileProblem)
+
+
+def test_a_snapshot_of_a_host_that_started_today_is_read_again() -> None:
+    host = msgspec.structs.replace(HEALTHY, boot_ms=1_764_700_000_123.0)
+    stored = decode_file(encode_file(snapshot_of(host), 5000), "n1", 7000)
+    assert isinstance(stored, StoredSnapshot)
