--- a/tests/net/test_process_signals.py
+++ b/tests/net/test_process_signals.py
@@ -190,6 +190,7 @@
     median_s = took[len(took) // 2]
     nine_in_ten_s = took[int(0.9 * len(took))]
     print(
-        f"ready after, s: median {median_s:.2f}, nine in ten {nine_in_ten_s:.2f}, worst {took[-1]:.2f}"
+        f"ready after, s: median {median_s:.2f}, nine in ten {nine_in_ten_s:.2f}, "
+        f"worst {took[-1]:.2f}"
     )
     assert nine_in_ten_s < 10.0
