--- a/tests/policy/test_admission_limits.py
+++ b/tests/policy/test_admission_limits.py
@@ -21,18 +21,22 @@
     if unit is AdmissionUnit.NONE:
         assert not bench.levels
         return
-    whole = 1.0 if unit is AdmissionUnit.SHARE else 20.0
+    full_limit = 1.0 if unit is AdmissionUnit.SHARE else 20.0
     assert (
-        0.4 * whole < bench.levels[-1].limit < whole
+        0.4 * full_limit < bench.levels[-1].limit < full_limit
     )  # one late answer is counted once, not every turn
     feed(bench, 25)
     assert bench.levels[-1].limit == OPEN_LIMITS[unit]
 
 
-def test_limits_shed_nothing_for_lost_connections_and_no_more_than_is_lost() -> None:
-    for slow_ms, failed, least in ((200.0, 6, 20.0), (900.0, 2, 12.0)):
-        bench = ready_bench(admission_unit=AdmissionUnit.RATE)
-        for _ in range(20):
-            bench.give(*[events.ProxyRequestStats(p, 0, 12, 0, SECOND) for p in range(4)])
-            feed(bench, 1, time_ms=lambda host: slow_ms, failed=lambda host: failed)
-        assert bench.levels[-1].limit >= least * 0.6
+@pytest.mark.parametrize(
+    "latency_ms, failed, least", [(200.0, 6, 20.0), (900.0, 2, 12.0)], ids=["timely", "late"]
+)
+def test_limits_shed_nothing_for_lost_connections_and_no_more_than_is_lost(
+    latency_ms: float, failed: int, least: float
+) -> None:
+    bench = ready_bench(admission_unit=AdmissionUnit.RATE)
+    for _ in range(20):
+        bench.give(*[events.ProxyRequestStats(p, 0, 12, 0, SECOND) for p in range(4)])
+        feed(bench, 1, time_ms=lambda host: latency_ms, failed=lambda host: failed)
+    assert bench.levels[-1].limit >= least * 0.6
--- a/tests/policy/test_first_weights.py
+++ b/tests/policy/test_first_weights.py
@@ -21,7 +21,7 @@
 
 
 def test_a_restarted_controller_takes_over_the_weights_of_old_tables() -> None:
-    """Guards against even weights for proxies whose tables were right: their tries tell the weights."""
+    """Guards against even weights where old tables were right: attempts tell their weights."""
     bench = Bench(start_facts(proxy_count=30, drain_grace_us=7 * SECOND))
     bench.give(
         full(*[entry(100 + i, zone=i % 3, kind=i % 2) for i in range(12)], entry(200), entry(201))
@@ -47,14 +47,14 @@
     bench.pass_time(SECOND)
     assert len(bench.bound) == 30
     fresh = ready_bench(proxies=2)
-    assert fresh.bound  # nobody has learnt anything yet: at once
+    assert fresh.bound  # there is nothing to take over yet: at once
 
 
 @pytest.mark.parametrize("weight, health_checks_allowed", [(0.0, True), (0.0, False), (2.0, True)])
 def test_first_health_checks_tell_the_speed_of_hosts_without_listed_sizes(
     weight: float, health_checks_allowed: bool
 ) -> None:
-    """Guards against even weights until the first sums come, seconds after the first txns."""
+    """Guards against even weights until the first statistics, seconds after the first requests."""
     bench = Bench(start_facts(health_checks_allowed=health_checks_allowed))
     bench.give(full(*[entry(100 + i, kind=i % 2, weight=weight * (1 + i)) for i in range(6)]))
     asked = probes(bench.give(events.ProxyJoined(0, 0, 10.0, True)))
@@ -94,7 +94,7 @@
 
 
 def test_a_restarted_controller_without_reports_in_time_goes_by_health_checks() -> None:
-    """Guards against even weights after a restart where the grace leaves no time for the first reports."""
+    """Guards against even weights after a restart with a drain grace too short for reports."""
     bench = Bench(start_facts(drain_grace_us=2 * SECOND))
     bench.give(full(*[entry(100 + i, kind=i % 2) for i in range(6)]))
     asked = probes(bench.give(events.ProxyJoined(0, 0, 10.0, False)))
@@ -110,8 +110,11 @@
 
 
 def test_first_weights_go_by_the_health_checks_that_were_answered_in_time() -> None:
-    """Guards against a kind that counts hundreds of times as much: one host answers at once, and of another
-    kind fewer than half have answered when binds can wait no longer."""
+    """Guards against a machine type that counts hundreds of times as much as the others.
+
+    One host answers at once, and of another type fewer than half have answered when binds can wait
+    no longer.
+    """
     bench = Bench(start_facts())
     bench.give(full(*[entry(100 + i, kind=i % 2) for i in range(20)]))
     bench.give(events.ProxyJoined(0, 0, 10.0, True))
@@ -130,14 +133,14 @@
 def test_a_controller_with_too_few_reports_to_take_weights_over_does_not_wait_forever() -> None:
     bench = Bench(start_facts())
     bench.give(full(entry(100), entry(101)), events.ProxyJoined(0, 0, 1.0, False))
-    bench.give(changes(entry(100, DRAINING)))  # told even while it waits
+    bench.give(changes(entry(100, DRAINING)))  # withdrawn even while binds wait
     assert commands.WithdrawHost(100, True) in bench.log
     bench.pass_time(7 * SECOND)
     assert bench.bound and bench.lines[0][101] > 0
 
 
 def test_first_tables_of_many_controllers_do_not_favour_the_same_few_hosts() -> None:
-    """All start at once with the same shared answers, all hosts cold: what a host gets of all is bounded."""
+    """All start at once with the same shared health checks: what a host gets of all is bounded."""
     rng, total = random.Random(5), dict.fromkeys(range(100, 160), 0.0)
     took = {host: int(math.exp(rng.gauss(9.0, 0.6))) for host in total}
     for seed in range(20):
--- a/tests/policy/test_flow_control.py
+++ b/tests/policy/test_flow_control.py
@@ -33,20 +33,22 @@
 def test_after_a_restart_proxies_are_bound_within_the_grace_whatever_they_bring(
     grace_s: int,
 ) -> None:
-    """Guards against hosts that were gone before the restart: nobody tells of them any more, so tables that
-    still name them have to be replaced within the grace."""
+    """Guards against hosts that were removed before the restart.
+
+    No list names them any more, so tables that still do have to be replaced within the grace.
+    """
     facts = start_facts(proxy_count=30, drain_grace_us=grace_s * SECOND)
     bench = Bench(facts)
     bench.give(full(*[entry(100 + i, zone=i % 3) for i in range(12)]))
     bench.give(*[events.ProxyJoined(p, p % 3, 10.0, False) for p in range(30)])
     bench.pass_time(SECOND // 2)
-    assert not bench.bound  # first weights are still to be learnt
+    assert not bench.bound  # first weights are not decided yet
     bench.pass_time(min(grace_s, 7) * SECOND - SECOND // 2)
     assert len(bench.bound) == 30
 
 
 def test_a_table_longer_than_binds_may_queue_is_bound_all_the_same() -> None:
-    """Guards against proxies that are never bound: 500 hosts, 2,000 lines a second on a short way."""
+    """Guards against proxies that are never bound: 500 hosts and 2,000 lines a second."""
     bench = Bench(
         start_facts(
             one_way_delay_us=0, max_one_way_delay_us=0, drain_grace_us=3 * SECOND, proxy_count=9
@@ -86,10 +88,8 @@
     assert len(bench.bound) == 100
 
 
-def test_proxies_on_standing_tables_are_bound_while_slots_move_and_a_tenth_of_their_zone_is_removed() -> (
-    None
-):
-    """Guards against proxies left with nobody to pick: slots filled the channel, turn after turn."""
+def test_proxies_on_standing_tables_are_bound_while_slots_move_and_hosts_are_removed() -> None:
+    """Guards against proxies left without an endpoint: slots filled the channel turn by turn."""
     facts = start_facts(
         channel_lines_per_s=600.0,
         backlog_cap_lines=6000,
@@ -120,7 +120,7 @@
 
 
 def test_a_busy_channel_holds_up_what_is_urgent_for_a_turn_at_most() -> None:
-    """Guards against hosts that stay in the tables for a third of a long grace after they were found bad."""
+    """Guards against ejected hosts that stay in the tables for a third of a long drain grace."""
     facts = start_facts(
         proxy_count=100,
         backlog_cap_lines=40_000,
--- a/tests/policy/test_host_drains.py
+++ b/tests/policy/test_host_drains.py
@@ -20,7 +20,7 @@
 
 
 def test_a_proxy_that_joins_is_bound_and_none_is_told_again_of_removed_hosts() -> None:
-    """Guards against drains that wait behind withdrawals given again to all, each time that a proxy joins."""
+    """Guards against drains that wait behind withdrawals repeated each time that a proxy joins."""
     bench, _ = large_bench(3)
     bench.rate = bench.facts.channel_lines_per_s
     bench.pass_time(8 * SECOND)
@@ -63,7 +63,7 @@
 
 
 def test_proxies_from_elsewhere_are_told_of_the_newest_drains_at_once_and_of_each_once() -> None:
-    """Guards against the last drains of a steward that ended, which nobody told its proxies of in time."""
+    """Guards against the last drains of a controller that ended before it wrote them."""
     facts = start_facts(
         channel_lines_per_s=800.0,
         backlog_cap_lines=6000,
@@ -81,7 +81,7 @@
     bench.give(changes(*[entry(host, DRAINING, zone=(host - 100) % 3) for host in range(100, 120)]))
     bench.pass_time(SECOND // 5)
     bench.log.clear()
-    for first in (10, 30):  # they come within a second, as another steward ends
+    for first in (10, 30):  # they come within a second, as another controller ends
         bench.give(
             *[
                 events.ProxyJoined(proxy, proxy % 3, 10.0, False)
@@ -89,12 +89,12 @@
             ]
         )
         bench.pass_time(SECOND // 2)
-    told = [
+    withdrawn = [
         order.host
         for order in bench.log
         if isinstance(order, commands.WithdrawHost) and order.withdrawn
     ]
-    assert set(told[:20]) == set(range(100, 120))
+    assert set(withdrawn[:20]) == set(range(100, 120))
     publisher = bench.controller.publisher
     assert publisher.unbound and all(
         publisher.notified[publisher.host_table.index_of[host]] for host in range(100, 120)
@@ -104,7 +104,7 @@
 def test_hosts_that_return_are_reinstated_only_as_the_channel_has_capacity(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Guards against a channel filled past its cap: a zone returns while hundreds of proxies wait."""
+    """Guards against a channel filled past its cap: a zone returns while many proxies wait."""
     facts = start_facts(
         proxy_count=100,
         backlog_cap_lines=1500,
@@ -122,7 +122,7 @@
     publisher = bench.controller.publisher
     monkeypatch.setattr(
         drains, "MAX_BIND_PART_OF_GRACE", 0.0
-    )  # as if binds took too long: who joins is told of drains
+    )  # as if binds took too long: proxies that join are told of drains
     bench.give(*[events.ProxyJoined(p, p % 3, 10.0, False) for p in range(1, 100)])
     bench.pass_time(3 * SECOND)
     assert publisher.unbound and publisher.withdrawn
--- a/tests/policy/test_host_warmup.py
+++ b/tests/policy/test_host_warmup.py
@@ -26,9 +26,7 @@
     assert 200 not in bench.lines[0] and len(bench.lines[0]) == 6
 
 
-def test_a_cold_host_of_a_small_machine_type_stays_small_while_others_of_it_are_ejected_or_unknown() -> (
-    None
-):
+def test_a_cold_host_stays_small_while_others_of_its_type_are_ejected_or_unknown() -> None:
     for kind in (1, 7):  # hosts 101, 103, 105 are of kind 1, nobody of kind 7
         bench = ready_bench()
         feed(bench, 8, time_ms=lambda host: 900.0 if host % 2 else 100.0)
--- a/tests/policy/test_outlier_detection.py
+++ b/tests/policy/test_outlier_detection.py
@@ -40,7 +40,9 @@
     bench = ready_bench(hosts=9)
     feed(bench, 6)
     for host in bench.hosts:
-        bench.give(events.HostRequestStats(host, 0, 9, 9 * (host == 100), 200_000.0, SECOND, None))
+        bench.give(
+            events.HostRequestStats(host, 0, 9, 9 if host == 100 else 0, 200_000.0, SECOND, None)
+        )
     bad = events.HealthCheckResult(100, HealthCheckOutcome.ERROR, 1000, None)
     assert probes(bench.give(bad)) == {100} and not bench.controller.host_table.ejected[0]
     assert not probes(bench.give(bad)) and bench.controller.host_table.ejected[0]
@@ -100,7 +102,7 @@
     far = {host for host, item in bench.hosts.items() if item.zone}
     feed(bench, 3)
     for _ in range(3):
-        feed(bench, 1, failed=lambda host: 8 * (host in far))
+        feed(bench, 1, failed=lambda host: 8 if host in far else 0)
         asked = probes(bench.log[-40:])
         bench.give(
             *[
--- a/tests/policy/test_policy_rules.py
+++ b/tests/policy/test_policy_rules.py
@@ -53,14 +53,14 @@
 
 
 def membership_events(kind: str, rng: random.Random) -> list[events.Event]:
-    """What membership might say in one batch, right or not."""
+    """Returns what membership might report in one batch, right or not."""
     alive, gone = events.ControllerState.ALIVE, events.ControllerState.GONE
     match kind:
         case "empty":
             return [events.ControllerStatus(1, gone)]
         case "flapping":
             return [events.ControllerStatus(rng.randrange(3), state) for state in (gone, alive) * 3]
-        case "lying":
+        case "false":
             return [
                 events.ControllerStatus(
                     rng.randrange(-9, 2**40), rng.choice(list(events.ControllerState))
@@ -71,18 +71,20 @@
             return [events.ControllerStatus(1, alive)]  # of one that is gone
 
 
-@pytest.mark.parametrize("kind", ["empty", "wrong", "flapping", "lying"])
+@pytest.mark.parametrize("kind", ["empty", "wrong", "flapping", "false"])
 @pytest.mark.parametrize("seed", range(4))
 def test_no_rule_rests_on_what_membership_says(kind: str, seed: int) -> None:
-    """Orders are the same to the letter, so each rule is kept as it was; the bench objects to breaks
-    besides."""
+    """Commands are the same to the letter, so no rule can depend on it."""
 
-    class Told(Bench):
+    class BenchWithMembership(Bench):
         def give(self, *batch: events.Event) -> list[commands.Command]:
             return super().give(*membership_events(kind, random.Random(self.now)), *batch)
 
     logs = []
-    for bench in (Bench(start_facts(controller_count=3)), Told(start_facts(controller_count=3))):
+    for bench in (
+        Bench(start_facts(controller_count=3)),
+        BenchWithMembership(start_facts(controller_count=3)),
+    ):
         generated_day(bench, random.Random(seed), 40)
         logs.append(bench.log)
     assert logs[0] == logs[1] and logs[0]
--- a/tests/policy/test_slot_changes.py
+++ b/tests/policy/test_slot_changes.py
@@ -1,5 +1,6 @@
 """Slots are worked out when something moved, and written if they are worth their lines."""
 
+import pytest
 from support.controller_bench import feed, large_bench, ready_bench
 from support.controller_model import (
     DRAINING,
@@ -89,14 +90,16 @@
     assert bench.lines[0][100] < before / 2
 
 
-def test_small_changes_wait_on_a_calm_day_and_are_written_where_answers_are_late() -> None:
+@pytest.mark.parametrize("latency_ms, written", [(100.0, False), (500.0, True)])
+def test_small_changes_wait_on_a_calm_day_and_are_written_where_answers_are_late(
+    latency_ms: float, written: bool
+) -> None:
     """Guards against a channel that is busy all day with moves that gain next to nothing."""
-    for time_ms, written in ((100.0, False), (500.0, True)):
-        bench, _ = large_bench(7, order=0.02)
-        bench.pass_time(8 * SECOND)
-        feed(bench, 6, time_ms=lambda _: time_ms)
-        bench.log.clear()
-        weights = bench.controller.host_table.weight
-        weights[:] = [weight * (1.1 if i % 2 else 0.9) for i, weight in enumerate(weights)]
-        bench.pass_time(SECOND)
-        assert any(isinstance(o, commands.SetRoute) for o in bench.log) is written
+    bench, _ = large_bench(7, order=0.02)
+    bench.pass_time(8 * SECOND)
+    feed(bench, 6, time_ms=lambda _: latency_ms)
+    bench.log.clear()
+    weights = bench.controller.host_table.weight
+    weights[:] = [weight * (1.1 if index % 2 else 0.9) for index, weight in enumerate(weights)]
+    bench.pass_time(SECOND)
+    assert any(isinstance(command, commands.SetRoute) for command in bench.log) is written
--- a/tests/policy/test_subsetting.py
+++ b/tests/policy/test_subsetting.py
@@ -18,21 +18,21 @@
 from plankroute.events import events
 
 
-def controllers_with_subsets(stewards: int, hosts: int, joined: int) -> list[Bench]:
-    """Stewards of a fleet in which to bind all proxies to whole tables takes half a minute."""
+def controllers_with_subsets(count: int, hosts: int, joined: int) -> list[Bench]:
+    """Returns controllers that would take half a minute to bind all proxies to whole tables."""
     benches = []
-    for rank in range(stewards):
-        told = start_facts(
+    for rank in range(count):
+        facts = start_facts(
             controller_rank=rank,
-            controller_count=stewards,
-            proxy_count=stewards * 60,
+            controller_count=count,
+            proxy_count=count * 60,
             channel_lines_per_s=500.0,
             backlog_cap_lines=40_000,
             drain_grace_us=12 * SECOND,
             max_unbound_us=60 * SECOND,
             health_checks_allowed=False,
         )
-        bench = Bench(told, controller=Controller(told, rank))
+        bench = Bench(facts, controller=Controller(facts, rank))
         bench.give(full(*[entry(100 + i, zone=i % 3, kind=i % 2) for i in range(hosts)]))
         bench.give(*[events.ProxyJoined(p, p % 3, 10.0, True) for p in range(joined)])
         bench.pass_time(SECOND)
@@ -57,8 +57,10 @@
 
 
 def test_a_controller_with_all_proxies_keeps_its_subset_and_few_hosts_are_in_all_tables() -> None:
-    """Guards against a table that widens, line by line at every proxy on it, while those of the controllers
-    that were lost wait to be bound: binds get longer just when there are most of them."""
+    """Guards against a table that widens, a line a host at every proxy on it, while others wait.
+
+    Binds would get longer just when there are most of them, after other controllers were lost.
+    """
     alone = controllers_with_subsets(4, 200, 60)[0]
     before = set(alone.lines[0])
     assert len(before) == 50
@@ -70,8 +72,8 @@
 
 
 def test_a_subset_is_as_large_as_can_be_bound_in_time() -> None:
-    """Guards against whole tables that take longer to hand out than a drain may, after a restart."""
-    told = start_facts(
+    """Guards against whole tables that take longer to write than a drain may, after a restart."""
+    shared_facts = start_facts(
         controller_rank=1,
         controller_count=4,
         proxy_count=240,
@@ -83,7 +85,7 @@
     )
     sizes = {}
     for grace_s in (12, 3):
-        facts = replace(told, drain_grace_us=grace_s * SECOND)
+        facts = replace(shared_facts, drain_grace_us=grace_s * SECOND)
         bench = Bench(facts, controller=Controller(facts, 1))
         bench.give(full(*[entry(100 + n, zone=n % 3) for n in range(200)]))
         bench.give(*[events.ProxyJoined(p, p % 3, 10.0, True) for p in range(60)])
@@ -94,27 +96,27 @@
 
 
 def test_subsets_are_whole_shares_so_that_each_host_is_in_as_many_tables() -> None:
-    """Guards against hosts that stand in two controllers' tables beside others that stand in one."""
+    """Guards against hosts that are in two controllers' tables beside others that are in one."""
     sizes = {}
-    for stewards, channel_lines_per_s in ((5, 2000.0), (2, 500.0)):
+    for count, channel_lines_per_s in ((5, 2000.0), (2, 500.0)):
         held: list[int] = []
-        for rank in range(stewards):
-            told = start_facts(
+        for rank in range(count):
+            facts = start_facts(
                 controller_rank=rank,
-                controller_count=stewards,
-                proxy_count=stewards * 60,
+                controller_count=count,
+                proxy_count=count * 60,
                 health_checks_allowed=False,
                 channel_lines_per_s=channel_lines_per_s,
                 backlog_cap_lines=40_000,
                 drain_grace_us=12 * SECOND,
                 max_unbound_us=60 * SECOND,
             )
-            bench = Bench(told, controller=Controller(told, rank))
+            bench = Bench(facts, controller=Controller(facts, rank))
             bench.give(full(*[entry(100 + n, zone=n % 3) for n in range(200)]))
             bench.give(*[events.ProxyJoined(p, p % 3, 10.0, True) for p in range(4)])
             bench.pass_time(SECOND)
             held += bench.lines[0]
-        sizes[stewards] = {held.count(host) for host in range(100, 300)}
+        sizes[count] = {held.count(host) for host in range(100, 300)}
     assert sizes == {5: {3}, 2: {2}}  # of two, either may be left with all proxies: no subsets
 
 
@@ -134,8 +136,8 @@
 
 
 def test_a_subset_widens_until_it_holds_enough_warm_hosts() -> None:
-    """Guards against whole tables, which take minutes to bind, after half of the hosts were replaced."""
-    told = start_facts(
+    """Guards against whole tables, slow to bind, after half of the hosts were replaced."""
+    facts = start_facts(
         controller_rank=1,
         controller_count=5,
         proxy_count=300,
@@ -145,7 +147,7 @@
         max_unbound_us=60 * SECOND,
         health_checks_allowed=False,
     )
-    bench = Bench(told, controller=Controller(told, 1))
+    bench = Bench(facts, controller=Controller(facts, 1))
     new = bench.now - SECOND
     bench.give(full(*[entry(100 + n, zone=n % 3, started_us=new * (n % 2)) for n in range(200)]))
     bench.give(*[events.ProxyJoined(p, p % 3, 10.0, True) for p in range(60)])
@@ -154,7 +156,7 @@
 
 
 def test_a_subset_that_moves_on_gives_up_no_host_before_others_stand_in() -> None:
-    """Guards against tables of a few hosts: those that it left went at once, those that it got came later."""
+    """Guards against tables of a few hosts: old ones went at once, new ones came later."""
     bench = controllers_with_subsets(4, 200, 60)[0]
     host_table, publisher = bench.controller.host_table, bench.controller.publisher
     before = set(bench.lines[0])
--- a/tests/policy/test_weight_controller.py
+++ b/tests/policy/test_weight_controller.py
@@ -62,7 +62,7 @@
     )
     for _ in range(
         8
-    ):  # this steward's proxy brings zone 0 nothing, the hosts there hold three times as much
+    ):  # this controller's proxy brings one zone little; hosts there hold three times as much
         bench.give(
             *[
                 events.HostRequestStats(
@@ -88,7 +88,7 @@
         bench,
         8,
         time_ms=lambda host: 20.0 if host == 101 else 200.0,
-        failed=lambda host: 4 * (host == 101),
+        failed=lambda host: 4 if host == 101 else 0,
     )
     assert bench.lines[0][101] < before / 2
 
@@ -117,7 +117,7 @@
 
 
 def test_a_stalled_host_that_is_silent_does_not_count_as_idle() -> None:
-    """Guards against a host that answers nobody, so brings no news, and keeps its weight for that."""
+    """Guards against a host that answers nobody, so brings no statistics, and keeps its weight."""
     bench = ready_bench(hosts=9)
     feed(bench, 6)
     feed(bench, 1, time_ms=lambda host: 9000.0 if host == 100 else 200.0)
--- a/tests/support/controller_bench.py
+++ b/tests/support/controller_bench.py
@@ -2,6 +2,7 @@
 
 import math
 import random
+from collections.abc import Callable
 
 from plankroute.events import commands, events
 from plankroute.events.events import HealthCheckOutcome, ListKind
@@ -19,7 +20,7 @@
 )
 
 
-def ready_bench(hosts: int = 6, proxies: int = 4, **facts) -> Bench:
+def ready_bench(hosts: int = 6, proxies: int = 4, **facts: object) -> Bench:
     bench = Bench(start_facts(**facts))
     bench.give(full(*[entry(100 + i, zone=i % 3, kind=i % 2) for i in range(hosts)]))
     asked = probes(bench.give(*[events.ProxyJoined(p, p % 3, 10.0, True) for p in range(proxies)]))
@@ -36,8 +37,8 @@
 def feed(
     bench: Bench,
     turns: int,
-    time_ms=lambda host: 200.0,
-    failed=lambda host: 0,
+    time_ms: Callable[[int], float] = lambda host: 200.0,
+    failed: Callable[[int], int] = lambda host: 0,
     attempts: int = 8,
     skip: tuple[int, ...] = (),
     in_flight: float = 2.0,
