--- a/plankroute/policy/admission.py
+++ b/plankroute/policy/admission.py
@@ -5,6 +5,7 @@
 decided.
 """
 
+import math
 from collections import deque
 from collections.abc import Sequence
 from dataclasses import dataclass, field
@@ -20,15 +21,15 @@
 # Limits that admit everything, by their unit; the rate is one that no proxy reaches.
 OPEN_LIMITS = {AdmissionUnit.NONE: 1.0, AdmissionUnit.SHARE: 1.0, AdmissionUnit.RATE: 1e6}
 # A proxy retries only on proof that the first attempt never ran: other retries doubled the load of
-# late hosts (docs/results.md).
+# late hosts (docs/design.md).
 RETRY_POLICY = commands.RetryPolicy.IF_NOT_EXECUTED
 # Mean latency, in latency objectives, beyond which load is shed: a mean near the objective leaves a
-# long tail past it. Tuned in simulation.
+# long tail past it. The value is a guess (docs/design.md).
 LATE_MEAN = 0.55
-# Mean latency below which more is admitted: tuned in simulation.
+# Mean latency below which more is admitted: a guess (docs/design.md).
 TIMELY_MEAN = 0.45
 # Factors a turn on the admitted share: quick enough for a burst, slow enough for late reports.
-# Tuned in simulation.
+# Guesses (docs/design.md).
 DECREASE = 0.7
 INCREASE = 1.15
 # The least share that is admitted: a guess.
@@ -153,8 +154,8 @@
         host = self.host_table.index_of[stats.host]
         served = stats.attempts - stats.failed
         self.served += served
-        if stats.mean_latency_us >= NO_CAP or stats.mean_latency_us != stats.mean_latency_us:
-            return  # not a number, or infinite: tells nothing
+        if math.isnan(stats.mean_latency_us) or stats.mean_latency_us >= NO_CAP:
+            return  # no latency was measured
         for table, load in zip(self.tables, self.loads, strict=True):
             if table.serves_zone(stats.zone) and table.admits(self.host_table, host):
                 load.attempts += stats.attempts
--- a/plankroute/policy/binding.py
+++ b/plankroute/policy/binding.py
@@ -23,10 +23,10 @@
         self.flow = flow
 
     def bind_waiting(self, withdrawn: set[int], slots_wait: bool) -> None:
-        """Binds as many waiting proxies as there is room for: fresh ones, and large ones, first.
+        """Binds as many waiting proxies as fit: fresh ones, and large ones, first.
 
         Args:
-            withdrawn: Hosts that proxies were told to withdraw: an additional line each in a bind.
+            withdrawn: Hosts that are withdrawn: an additional line each in a bind.
             slots_wait: Whether binds may use the allowance of slots, which then wait.
         """
         registry = self.registry
@@ -34,7 +34,7 @@
         if not has_slots or self.first_weights.is_waiting:
             return
         max_queued = self.flow.allowance if slots_wait else self.flow.bind_allowance
-        # A proxy that comes from elsewhere may have withdrawn hosts on another controller's word.
+        # A returning proxy may have withdrawn hosts by command of another controller.
         withdrawn_for_returning = withdrawn | self.host_table.possibly_withdrawn
         for proxy in sorted(registry.unbound, key=lambda proxy: (*registry.unbound[proxy], proxy)):
             is_returning = proxy in registry.returning
@@ -43,7 +43,7 @@
                 break
 
     def _bind(self, proxy: int, withdrawn: set[int], max_queued: float) -> bool:
-        """Binds a proxy if there is room; returns whether it did."""
+        """Binds a proxy if that fits; returns whether it did."""
         registry = self.registry
         zone = registry.zone_of_proxy[proxy]
         tables = [table for table in registry.tables if table.serves_zone(zone)]
--- a/plankroute/policy/constants.py
+++ b/plankroute/policy/constants.py
@@ -2,12 +2,12 @@
 
 SECOND_US = 1_000_000
 
-# Half-life of the decayed sums of request statistics. Tuned in simulation (docs/design.md): older
-# statistics say little about the present, and the noise of two or three reports averages out.
+# Half-life of the decayed sums of request statistics: a guess. Older statistics say little about
+# the present, and the noise of two or three reports averages out.
 STATS_HALF_LIFE_US = 3 * SECOND_US
 
-# Natural logarithm of 2, to the precision that the tuned values were found with. A decayed sum
-# holds what arrives in STATS_HALF_LIFE_US / LN_2.
+# Natural logarithm of 2, to three digits: more would change every decision. A decayed sum holds
+# what arrives in STATS_HALF_LIFE_US / LN_2.
 LN_2 = 0.693
 
 # Period of the turns in which weights, health and admission limits are judged: the design's value.
@@ -18,6 +18,6 @@
 WEIGHT_FLOOR = 0.05
 
 # The most that a single host counts for, before it was measured under load, relative to others of
-# its machine type. Tuned in simulation: single health checks are off by a factor of two, and some
-# hosts answer at once.
+# its machine type: single health checks are off by a factor of two, and some hosts answer at once.
+# A guess (docs/design.md, first weights).
 MAX_FIRST_WEIGHT = 1.4
--- a/plankroute/policy/drains.py
+++ b/plankroute/policy/drains.py
@@ -1,8 +1,8 @@
 """Drains: hosts that drain or were removed are withdrawn from the proxies before all else.
 
 Where one table holds the host, its line is removed there; proxies that are not bound yet, and all
-of them where several tables hold it, are told to withdraw the host, once a connection. A withdrawn
-host is reinstated when it is ready again and no table names it.
+of them where several tables hold it, get a command to withdraw the host, once a connection. A
+withdrawn host is reinstated when it is ready again and no table names it.
 """
 
 from plankroute.events import commands, events
@@ -26,7 +26,7 @@
     """Hosts to withdraw, and those that are withdrawn.
 
     Attributes:
-        withdrawn: Hosts that proxies were told to withdraw.
+        withdrawn: Hosts that proxies have a command to withdraw.
         pending: Hosts still to be withdrawn.
         last_written_us: When a withdrawal was last written, or had to wait for acknowledgements.
     """
@@ -47,7 +47,7 @@
         self.pending: set[int] = set()
         self.last_written_us = -message_window_us
         self._last_sweep_us = -message_window_us
-        self._has_refused = False  # the last message had no room for some
+        self._has_refused = False  # some did not fit into the last message
         self._uninformed_since_us: int | None = None  # proxies wait that know of no removed hosts
 
     def on_entry(self, entry: events.HostEntry) -> None:
--- a/plankroute/policy/fill.py
+++ b/plankroute/policy/fill.py
@@ -13,28 +13,27 @@
 from plankroute.state.host_statistics import group_by
 from plankroute.state.proxy_registry import PublishedTable
 
-# Surcharge for slow hosts, as a power of the latency relative to the usual one: tuned in
-# simulation.
+# Surcharge for slow hosts, as a power of the latency relative to the usual one (docs/design.md).
 SLOWNESS_EXPONENT = 0.3
-# Surcharge for queues, as a power of the requests in flight over the concurrency: tuned in
-# simulation; more made queues swing.
+# Surcharge for queues, as a power of the requests in flight over the concurrency; a greater one
+# made queues swing (docs/design.md).
 QUEUE_EXPONENT = 0.45
-# Requests that a usual host works on before any waits: measured in simulation. With more in flight
-# these tell its capacity.
+# Requests that a usual host works on before any waits: a guess. With more in flight these show its
+# capacity.
 USUAL_CONCURRENCY = 3.0
 # Weight of the prior, in attempts, that shrinks a host's mean latency to its machine type's: a
 # guess.
 PRIOR_ATTEMPTS = 3.0
 # Least attempts, as a decayed sum, at which a machine type's latency is known: a guess.
 MIN_TYPE_ATTEMPTS = 0.5
-# Least load reports, as a decayed sum, that tell the requests in flight: a guess.
+# Least load reports, as a decayed sum, that show the requests in flight: a guess.
 MIN_REPORTS = 0.1
 
 
 def fills(
     host_table: HostTable, tables: list[PublishedTable], eligible: list[int]
 ) -> dict[int, float]:
-    """Returns the fill of the eligible hosts whose machine type has been heard of, by host."""
+    """Returns the fill of the eligible hosts whose machine type has statistics, by host."""
     latencies = mean_latencies(host_table, eligible)
     if not latencies:
         return {}
@@ -86,7 +85,7 @@
 def mean_latencies(host_table: HostTable, eligible: list[int]) -> dict[int, float]:
     """Returns the mean latency of hosts in microseconds, shrunk to their machine type's.
 
-    Hosts of a machine type of which nothing was heard are left out.
+    Hosts of a machine type without statistics are left out.
     """
     latencies: dict[int, float] = {}
     for hosts in group_by(eligible, lambda host: host_table.machine_type[host]):
--- a/plankroute/policy/first_weights.py
+++ b/plankroute/policy/first_weights.py
@@ -1,4 +1,4 @@
-"""First weights: the weights of hosts before the controller's own statistics can tell.
+"""First weights: the weights of hosts before the controller has statistics of its own.
 
 Where the first proxy joins on tables of another controller, or of an earlier run, the weights
 follow the attempts that those tables bring each host: they were right. Otherwise, where the
@@ -18,7 +18,7 @@
 # Longest wait for reports on old tables, if binding then still fits the drain grace: old tables
 # name lost hosts. A guess.
 MAX_WAIT_US = 5 * SECOND_US
-# Longest wait for the answers to health checks: a check that takes longer tells nothing of speed.
+# Longest wait for the answers to health checks: a slower check shows no speed. A guess.
 CHECKS_WAIT_US = SECOND_US // 4
 # Attempts a host that are enough to take weights over from old tables: a guess.
 ENOUGH_ATTEMPTS = 8.0
@@ -136,9 +136,8 @@
                 if host not in prior.weights:
                     continue
                 host_table.weight[host] = prior.weights[host]
-                if (
-                    self.from_old_tables
-                ):  # beside old tables prior knowledge may only lower a weight
+                if self.from_old_tables:
+                    # Beside old tables prior knowledge may only lower a weight.
                     host_table.weight[host] = min(prior.weights[host], weight)
 
 
--- a/plankroute/policy/flow_control.py
+++ b/plankroute/policy/flow_control.py
@@ -19,14 +19,15 @@
 # Part of the time that the drain grace leaves after the longest one-way delay, for the same. A
 # guess.
 ORDINARY_PART_OF_GRACE = 0.4
-# Part of that allowance that binds may fill: they leave room for slots, so that proxies which come
-# later find the table right. A guess.
+# Part of that allowance that binds may fill: they leave capacity for slots, so that proxies which
+# come later find the table right. A guess.
 BIND_PART_OF_ALLOWANCE = 0.45
-# Time for which a moved slot stands, over which its line has to pay: tuned in simulation. A moved
-# request gains a tenth or so.
+# Time for which a moved slot stands, over which its line has to pay: a moved request gains a tenth
+# or so. A guess (docs/design.md, what size changes).
 SLOT_LIFETIME_US = 3 * SECOND_US // 2
-# Part of the drain grace that messages may be apart: leaves two thirds for the way.
-MAX_GAP_PART_OF_GRACE = 3
+# Messages of a busy channel are apart by the drain grace over this at most (docs/design.md): two
+# thirds of the grace are left for the way.
+MAX_GAPS_PER_GRACE = 3
 
 
 class FlowControl:
@@ -55,14 +56,14 @@
         self.round_trip_lines = round_trip_us * self.lines_per_us
         self.bind_allowance = min(self.allowance * BIND_PART_OF_ALLOWANCE, self.round_trip_lines)
         self.line_price = line_price(facts)
-        self.max_gap_us = facts.drain_grace_us / MAX_GAP_PART_OF_GRACE
+        self.max_gap_us = facts.drain_grace_us / MAX_GAPS_PER_GRACE
         self.min_gap_us = 0.0
         if facts.max_messages_per_window:
             gaps = max(1, facts.max_messages_per_window - 1)
             self.min_gap_us = facts.message_window_us / gaps
 
     def available_lines(self, registry: ProxyRegistry, max_queued: float) -> float:
-        """Returns the lines that there is room for, for what can wait.
+        """Returns the lines that may be written now of what can wait.
 
         A message with one line to every proxy must always fit beside it, for drains.
 
--- a/plankroute/policy/health.py
+++ b/plankroute/policy/health.py
@@ -1,7 +1,7 @@
 """Outlier detection: a suspected host is checked, ejected if it fails its checks, and readmitted.
 
 A host is suspected by its symptoms, whatever their cause: it fails far more attempts than the
-others, or nothing is heard of it while others are heard of. Only a failed health check ejects a
+others, or no statistics of it arrive while those of others do. Only a failed health check ejects a
 suspect. An ejected host is readmitted after good checks in a row, and needs twice as many after
 each ejection.
 """
@@ -20,14 +20,14 @@
 MAX_EXCESS_FAILURE_RATIO = 0.25
 # ... and it has failed this often, as a decayed sum: together they are beyond chance (a guess).
 MIN_FAILURES = 3.0
-# Attempts that are expected of a host without any being heard of: by chance one time in fifty, and
-# all that follows is a health check.
+# Attempts that are expected of a host without any being reported: by chance one time in fifty, and
+# all that follows is a health check. A guess.
 MAX_SILENT_ATTEMPTS = 4.0
 # Bad checks in a row that eject a suspect: a guess.
 BAD_CHECKS_TO_EJECT = 2
 # Good checks in a row that readmit it the first time: a guess.
 GOOD_CHECKS_TO_READMIT = 2
-# Bound on these as they double: half a minute of checks.
+# Bound on these as they double: half a minute of checks. A guess.
 MAX_REQUIRED_CHECKS = 32
 # Share of the ready hosts that may be ejected: two zones of three may be out of reach, and fewer
 # hosts would only be overloaded.
@@ -74,7 +74,7 @@
                 host_table.probe_speed[self.index] = SECOND_US / max(1, result.elapsed_us)
                 return False
             case HealthCheckOutcome.REJECTED:
-                return False  # an overloaded host that sheds load says nothing of its health
+                return False  # an overloaded host that sheds load may be healthy
         self.good_checks = 0
         self.bad_checks += 1
         host_table.unreachable[self.index] = result.outcome is HealthCheckOutcome.UNREACHABLE
@@ -125,7 +125,7 @@
         return (excess > 0 and failed >= MIN_FAILURES) or self.is_silent()
 
     def is_silent(self) -> bool:
-        """Whether nothing is heard of the host, unlike others, although it should get attempts."""
+        """Whether no statistics of the host arrive, unlike others, although its weight is high."""
         host_table = self.host_table
         weight = host_table.capped_weight(self.index)
         attempts_per_us = host_table.attempts_per_weight * weight * LN_2 / STATS_HALF_LIFE_US
--- a/plankroute/policy/host.py
+++ b/plankroute/policy/host.py
@@ -80,7 +80,7 @@
         self.host_table.weight_cap[self.index] = cap
 
     def on_entry(self, entry: events.HostEntry) -> None:
-        """Takes over what the endpoint list says of the host."""
+        """Takes over the entry of the endpoint list."""
         host_table, index = self.host_table, self.index
         if entry.state is not host_table.state[index]:
             host_table.heard_at_us[index] = self.scheduler.now
--- a/plankroute/policy/host_table.py
+++ b/plankroute/policy/host_table.py
@@ -8,8 +8,8 @@
 from plankroute.policy.constants import LN_2, SECOND_US, STATS_HALF_LIFE_US
 from plankroute.state.host_statistics import NO_CAP, HostStatistics, group_by
 
-# Aggregates of the best hosts are over this fraction: two zones of three may be out of reach.
-BEST_HOSTS_FRACTION = 3
+# The best hosts are one in this many: two zones of three may be out of reach.
+BEST_HOSTS_DIVISOR = 3
 
 
 class HostTable(HostStatistics):
@@ -28,7 +28,7 @@
         mean_latency_us: Mean latency of attempts at hosts listed ready.
         attempts_per_weight: Attempts, as a decayed sum, that a weight of one brings.
         attempt_rate_per_proxy: Attempts a second of one proxy at one host.
-        others_heard_at_us: Time since which a third of the eligible hosts have been heard of.
+        others_heard_at_us: Time since which a third of the eligible hosts had statistics.
         warm_count: Hosts listed ready without a cap.
         warming_count: Hosts listed ready with a cap.
         usual_weight_by_type: Mean weight of the warm hosts, ejected ones included, by machine type.
@@ -91,7 +91,7 @@
         attempts = sum(self.attempts[host] for host in heard)
         self.attempts_per_weight = attempts / (sum(self.weight[host] for host in heard) or 1.0)
         by_failure_ratio = sorted(heard, key=lambda host: self.failed[host] / self.attempts[host])
-        best = by_failure_ratio[: max(1, len(heard) // BEST_HOSTS_FRACTION)]
+        best = by_failure_ratio[: max(1, len(heard) // BEST_HOSTS_DIVISOR)]
         best_attempts = sum(self.attempts[host] for host in best) or 1.0
         self.best_failure_ratio = sum(self.failed[host] for host in best) / best_attempts
         heard_at_us = sorted(self.heard_at_us[host] for host in heard)
--- a/plankroute/policy/mass_disconnect.py
+++ b/plankroute/policy/mass_disconnect.py
@@ -1,4 +1,4 @@
-"""Mass disconnects: many proxies that disconnect together may tell of a network partition."""
+"""Mass disconnects: many proxies that disconnect together may be a network partition."""
 
 from plankroute.policy.constants import SECOND_US
 from plankroute.policy.host_table import HostTable
--- a/plankroute/policy/prior_knowledge.py
+++ b/plankroute/policy/prior_knowledge.py
@@ -44,7 +44,7 @@
     contradictions: int = 0
 
     def record(self, index: int, event: events.HostPriorKnowledge) -> bool:
-        """Keeps what an event tells of a host; returns whether the host counts as unhealthy."""
+        """Keeps the knowledge of a host; returns whether the host counts as unhealthy."""
         health_certainty = 0.5 ** (event.health_age_us / PRIOR_HALF_LIFE_US)
         capacity_certainty = 0.5 ** (event.capacity_age_us / PRIOR_HALF_LIFE_US)
         was_unhealthy = event.ejected or 2 * event.failed > event.attempts
--- a/plankroute/policy/publisher.py
+++ b/plankroute/policy/publisher.py
@@ -79,7 +79,7 @@
 
     @property
     def withdrawn(self) -> set[int]:
-        """Hosts that proxies were told to withdraw, by index."""
+        """Hosts that proxies have a command to withdraw, by index."""
         return self.drains.withdrawn
 
     @property
@@ -110,7 +110,7 @@
                 self.pending_limits[event.table, event.products] = event
 
     def on_proxy_joined(self, event: events.ProxyJoined) -> None:
-        """Takes a proxy in; the first one tells where the first weights come from."""
+        """Takes a proxy in; the first one decides where the first weights come from."""
         self.leave(event.proxy)
         self.join(event)
         self.drains.on_proxy_joined()
@@ -164,7 +164,7 @@
             self.written_us = now
 
     def _record_channel_state(self, overhead_lines: int) -> None:
-        """Notes how dear lines are: where they are dear, weights keep nearer to their slots."""
+        """Notes how expensive lines are: weights keep nearer to their slots where they are."""
         all_lines = sum(len(self.users(table)) * len(table.published) for table in self.tables)
         self.host_table.proxies = len(self.zone_of_proxy)
         self.host_table.channel_constrained = all_lines + overhead_lines > self.flow.allowance
@@ -193,7 +193,7 @@
                 budget -= write_slot(self, self.host_table, change, budget)
 
     def _write_limits(self, budget: float) -> float:
-        """Writes the admission limits that there is room for; returns the lines left."""
+        """Writes the admission limits that fit; returns the lines left."""
         for key, limit in list(self.pending_limits.items()):
             assert limit.table is not None  # admission sets limits table by table
             recipients = self.users(self.tables[limit.table])
--- a/plankroute/policy/slot_changes.py
+++ b/plankroute/policy/slot_changes.py
@@ -13,13 +13,13 @@
 from plankroute.state.host_statistics import NO_CAP
 from plankroute.state.proxy_registry import Change
 
-# The benefit grows with the third power of the mean latency, in latency objectives, times this.
-# Guards against a channel that is busy all day with the small moves of a calm day. Tuned in
-# simulation.
+# The benefit grows with the mean latency, in latency objectives, times this factor, to this power.
+# Guards against a channel that is busy all day with the small moves of a calm day. Factors of 1, 4
+# and 10 and powers of two and four were tried.
 LATENCY_FACTOR = 6.0
 LATENCY_EXPONENT = 3
-# Factor on the benefit of a host's first slot: the other hosts carry its requests. Tuned in
-# simulation.
+# Factor on the benefit of a host's first slot: the other hosts carry its requests. A guess
+# (docs/design.md, what size changes).
 NEW_SLOT_FACTOR = 4.0
 # Part of the published slot below which the lower slot of a warming host does not wait: a guess.
 URGENT_FALL = 0.75
--- a/plankroute/policy/slots.py
+++ b/plankroute/policy/slots.py
@@ -13,8 +13,8 @@
 from plankroute.state.host_statistics import NO_CAP
 from plankroute.state.proxy_registry import PublishedTable, round_preserving_sum
 
-# Slots of a usual host: steps of 3% of a usual weight; finer ones cost lines and move nothing
-# (docs/design.md).
+# Slots of a usual host (docs/design.md): steps of 3% of a usual weight; finer ones cost lines and
+# move nothing.
 SLOTS_PER_HOST = 32
 
 
--- a/plankroute/policy/weights.py
+++ b/plankroute/policy/weights.py
@@ -17,7 +17,7 @@
 from plankroute.state.proxy_registry import PublishedTable
 from plankroute.state.scheduler import Actor, Scheduler, Tick
 
-# Gains of the PID controller: tuned in simulation. Fill is that of the present weight, so late
+# Gains of the PID controller (docs/design.md, gains). Fill is that of the present weight, so late
 # statistics bound the gains less than in the source of the method.
 PROPORTIONAL_GAIN = 0.12
 INTEGRAL_GAIN = 0.01
@@ -27,18 +27,18 @@
 # Factor from the controller's output to weight, in mean weights: the design's value.
 OUTPUT_SCALE = 4
 # Additional gain in the first turn where the list gives no sizes, so that all is to be learned; it
-# falls with the number of the turn. Tuned in simulation.
+# falls with the number of the turn (docs/design.md, eagerness).
 FIRST_TURN_GAIN = 6.0
 # Turn to go on from where weights were taken over from old tables: those have learned already. A
 # guess.
 TURN_AFTER_OLD_TABLES = 6
-# How far a weight may be ahead of its published slot, as a part of it: tuned in simulation.
+# How far a weight may be ahead of its published slot, as a part of it (docs/design.md).
 MAX_LEAD = 0.6
 # The same where a turn can not write all slots: at 0.6 the weights swung between zones
-# (docs/design.md).
+# (docs/incidents/full-size.md).
 MAX_LEAD_CONSTRAINED = 0.3
 # The lead covers the least change that is worth its line times this: a shorter one would keep a
-# slot for good. A guess.
+# slot forever. A guess (docs/design.md).
 LEAD_OVER_MIN_CHANGE = 1.2
 # Fill from which on a host that falls silent counts as still overloaded and not as idle: a stress
 # of three times the mean.
@@ -118,7 +118,7 @@
         self.turns += 1
         scale = self._turn_scale(eligible, fill_of)
         for host in eligible:
-            # No statistics, no error: hosts that were not heard of count as average, so the weights
+            # No statistics, no error: hosts without new ones count as average, so the weights
             # of a controller that hears nothing stay. A stalled host is silent because it still is
             # stalled.
             fill = fill_of.get(host)
