--- a/plankroute/controller/controller.py
+++ b/plankroute/controller/controller.py
@@ -225,8 +225,10 @@
     def _turn(self) -> None:
         self._set_timer(self.policy.weights.pause_us(), TimerToken.TURN)
         self.host_table.refresh()
-        for actor in (*self.hosts, self.policy.weights, self.policy.admission):
-            self.scheduler.put(actor, Tick.TURN)
+        for host in self.hosts:
+            self.scheduler.put(host, Tick.TURN)
+        self.scheduler.put(self.policy.weights, Tick.TURN)
+        self.scheduler.put(self.policy.admission, Tick.TURN)
         self._forget_hosts(self.publisher.long_gone())
 
     def _forget_hosts(self, hosts: list[int]) -> None:
--- a/plankroute/policy/admission.py
+++ b/plankroute/policy/admission.py
@@ -102,7 +102,7 @@
         self.latency = 0.0
 
 
-class AdmissionController(Actor):
+class AdmissionController(Actor[events.ProxyRequestStats | events.HostRequestStats | Tick]):
     """Sets the admission limits of all tables once a turn."""
 
     def __init__(
--- a/plankroute/policy/host.py
+++ b/plankroute/policy/host.py
@@ -23,7 +23,7 @@
 )
 
 
-class HostActor(Actor):
+class HostActor(Actor[HostEvent]):
     """One host of the table.
 
     Attributes:
--- a/plankroute/policy/publisher.py
+++ b/plankroute/policy/publisher.py
@@ -63,15 +63,14 @@
             facts.max_one_way_delay_us + PULSE_US,
         )
         # Where keys fall into slices the store keeps the tables.
-        super().__init__(scheduler, [] if facts.slices else build_tables(facts), channel)
+        tables = [] if facts.slices else build_tables(facts)
+        super().__init__(scheduler, tables, channel)
         self.host_table = host_table
         self.first_weights = first_weights
         self.subsetting = SubsetPolicy(facts, channel.message_overhead, self.flow.lines_per_us)
         self.drains = Drains(self, host_table, first_weights, self.flow, facts.message_window_us)
-        self.target = TargetSlots(host_table, self.tables, self.drains, self.subsetting, self.flow)
-        self.slot_changes = SlotChanges(
-            host_table, self.tables, self.target, self.drains, self.flow
-        )
+        self.target = TargetSlots(host_table, tables, self.drains, self.subsetting, self.flow)
+        self.slot_changes = SlotChanges(host_table, tables, self.target, self.drains, self.flow)
         self.binder = Binder(self, host_table, first_weights, self.flow)
         self.written_us = -facts.message_window_us
         self.pending_limits: dict[LimitKey, commands.SetAdmissionLimit] = {}
--- a/plankroute/policy/weights.py
+++ b/plankroute/policy/weights.py
@@ -64,7 +64,7 @@
     lead: float
 
 
-class WeightController(Actor):
+class WeightController(Actor[Tick]):
     """Moves the weights of all eligible hosts once a turn."""
 
     def __init__(
--- a/plankroute/state/proxy_registry.py
+++ b/plankroute/state/proxy_registry.py
@@ -1,17 +1,24 @@
 """Proxy registry: joined proxies, the tables as last published, and who is bound to them."""
 
-from collections.abc import Iterable
-from typing import Generic, TypeVar
+from collections.abc import Iterable, Sequence
 
 from plankroute.events import commands, events
 from plankroute.state.channel import Channel
 from plankroute.state.published_table import PublishedTable
-from plankroute.state.scheduler import Actor, Scheduler
+from plankroute.state.scheduler import Actor, Scheduler, Tick
 
-TableT = TypeVar("TableT", bound=PublishedTable)
+RegistryEvent = (
+    events.HostEntry
+    | events.ProxyJoined
+    | events.ProxyLeft
+    | events.Acknowledged
+    | commands.SetAdmissionLimit
+    | Tick
+)
+"""What the actor is sent that keeps the proxies: among it, the limits that it is to publish."""
 
 
-class ProxyRegistry(Actor, Generic[TableT]):
+class ProxyRegistry(Actor[RegistryEvent]):
     """Joined proxies, the tables and the channel to the proxies; storage, no decision.
 
     A joined proxy is either bound to the tables, or unbound: it waits to be bound and uses the
@@ -30,9 +37,11 @@
         disconnected_at: By proxy, the clock in microseconds at which its stream ended, of late.
     """
 
-    def __init__(self, scheduler: Scheduler, tables: list[TableT], channel: Channel) -> None:
+    def __init__(
+        self, scheduler: Scheduler, tables: Sequence[PublishedTable], channel: Channel
+    ) -> None:
         super().__init__(scheduler)
-        self.tables = tables
+        self.tables: list[PublishedTable] = list(tables)
         self.channel = channel
         self.zone_of_proxy: dict[int, int] = {}
         self.bound: set[int] = set()
@@ -114,7 +123,7 @@
         if sequence_number is not None:
             self.scheduler.out.append(commands.RequestAcknowledgement(sequence_number))
 
-    def tables_with(self, host: int) -> list[TableT]:
+    def tables_with(self, host: int) -> list[PublishedTable]:
         """Returns the tables that hold a host (by index)."""
         return [table for table in self.tables if host in table.published]
 
--- a/plankroute/state/scheduler.py
+++ b/plankroute/state/scheduler.py
@@ -2,8 +2,9 @@
 
 from collections import deque
 from enum import Enum
+from typing import Any, Generic, TypeVar
 
-from plankroute.events import commands, events
+from plankroute.events.commands import Command
 from plankroute.seeded_random import SeededRandom
 
 
@@ -14,19 +15,20 @@
     CHANGED = 2  # hosts came, went or changed, so tables have to follow
 
 
-ActorEvent = events.Event | events.HostEntry | commands.SetAdmissionLimit | Tick
-"""What an actor can be sent: an event from outside, one entry of a host list, the admission limit
-that one actor wants another to publish, or a tick."""
+EventT = TypeVar("EventT")
 
 
-class Actor:
-    """A part of the controller with a mailbox; the scheduler hands it one event at a time."""
+class Actor(Generic[EventT]):
+    """A part of the controller with a mailbox; the scheduler hands it one event at a time.
+
+    Its type parameter is the union of the events that it takes in.
+    """
 
     def __init__(self, scheduler: "Scheduler") -> None:
         self.scheduler = scheduler
-        self.inbox: deque[ActorEvent] = deque()
+        self.inbox: deque[EventT] = deque()
 
-    def handle(self, event: ActorEvent) -> None:
+    def handle(self, event: EventT) -> None:
         """Takes in one event; may put events into mailboxes and commands into `scheduler.out`."""
         raise NotImplementedError
 
@@ -45,10 +47,10 @@
     def __init__(self, seed: int) -> None:
         self.now = 0
         self.random = SeededRandom(seed).draw
-        self.ready: deque[Actor] = deque()
-        self.out: list[commands.Command] = []
+        self.ready: deque[Actor[Any]] = deque()  # actors of all kinds
+        self.out: list[Command] = []
 
-    def put(self, actor: Actor, event: ActorEvent) -> None:
+    def put(self, actor: Actor[EventT], event: EventT) -> None:
         """Puts an event into an actor's mailbox; `run` will hand it over."""
         actor.inbox.append(event)
         self.ready.append(actor)
