--- a/tests/warm_start/test_snapshot_exchange.py
+++ b/tests/warm_start/test_snapshot_exchange.py
@@ -11,7 +11,7 @@
 from support.host_snapshots import HEALTHY, UNHEALTHY, snapshot_of
 
 from plankroute.cold_start.link_codec import ListPart, ListStart, WarmStartView, encode_frame
-from plankroute.net.peers.links import view_frames
+from plankroute.net.peers.link_frames import view_frames
 from plankroute.net.peers.snapshot_exchange import Peer, SnapshotExchange
 from plankroute.net.process.telemetry import EventLog, Telemetry
 from plankroute.warm_start.codec import decode_snapshot, encode_snapshot
