--- a/tests/controller/test_message_builder.py
+++ b/tests/controller/test_message_builder.py
@@ -1,4 +1,4 @@
-"""Orders played into messages, beside a plain replay of what the wire's page says that orders mean."""
+"""Commands become messages, beside a plain replay of what the protocol says that commands mean."""
 
 import random
 
@@ -11,10 +11,11 @@
 from plankroute.events.commands import RetryPolicy
 from plankroute.net.proxies.line_codec import MAX_MESSAGE_PARTS, ROWS_PER_PART, MessageEncoder
 
-PRODUCTS = ("view", "edit", "pay")
+REQUEST_CLASSES = ("view", "edit", "pay")
+LimitAndRetry = tuple[float, int]
 
 
-def uid(host: int) -> str:
+def host_name(host: int) -> str:
     return f"s-{host:08x}"
 
 
@@ -22,177 +23,223 @@
     return events.ProxyJoined(proxy, 0, 10.0, fresh)
 
 
-class Replay:
-    """What joined proxies do by the orders' own meaning, one order after another."""
+def encode(message: Message) -> bytes:
+    return MessageEncoder(REQUEST_CLASSES, host_name).encode(message)
+
+
+class CommandReplay:
+    """What joined proxies do by the commands' own meaning, one command after another.
+
+    Attributes:
+        tables: By table, weight by host.
+        limits: Admission limit by table (None: all) and request class.
+        bound: By joined proxy, the table of each request class.
+        withdrawn: Hosts that are withdrawn.
+    """
 
     def __init__(self) -> None:
         self.tables: dict[int, dict[int, float]] = {}
-        self.levels: dict[tuple[int | None, int], tuple[float, int]] = {}
+        self.limits: dict[tuple[int | None, int], LimitAndRetry] = {}
         self.bound: dict[int, dict[int, int]] = {}
-        self.held = set[int]()
+        self.withdrawn: set[int] = set()
 
-    def obey(self, order: commands.Command) -> None:
-        match order:
+    def apply(self, command: commands.Command) -> None:
+        match command:
             case commands.SetRoute(table, host, weight):
                 self.tables.setdefault(table, {})[host] = weight
             case commands.ClearTable(table):
                 self.tables.pop(table, None)
-                self.levels = {key: level for key, level in self.levels.items() if key[0] != table}
-            case commands.WithdrawHost(host, out):
-                (self.held.add if out else self.held.discard)(host)
-            case commands.BindProxy(table, proxy, products) if proxy in self.bound:
-                for product in range(len(PRODUCTS)) if products is None else products:
-                    self.bound[proxy][product] = table
-            case commands.SetAdmissionLimit(table, products, level, retry):
-                for product in range(len(PRODUCTS)) if products is None else products:
-                    self.levels[table, product] = (level, int(retry))
-
-    def picks(self, proxy: int, product: int) -> dict[int, float]:
-        lines = self.tables.get(self.bound[proxy][product], {})
-        return {host: weight for host, weight in lines.items() if weight and host not in self.held}
-
-    def level(self, proxy: int, product: int) -> tuple[float, int] | None:
-        tables = (self.bound[proxy].get(product, -1), None)
-        own, common = (self.levels.get((table, product)) for table in tables)
-        return (min(own[0], common[0]), own[1]) if own and common else own or common
-
-
-class Proxy:
-    """A proxy as the protocol has it: rows and levels by product; hosts shut out outlive streams."""
+                self.limits = {key: limit for key, limit in self.limits.items() if key[0] != table}
+            case commands.WithdrawHost(host, True):
+                self.withdrawn.add(host)
+            case commands.WithdrawHost(host, False):
+                self.withdrawn.discard(host)
+            case commands.BindProxy(table, proxy, request_classes) if proxy in self.bound:
+                for request_class in selected(request_classes):
+                    self.bound[proxy][request_class] = table
+            case commands.SetAdmissionLimit(limited_table, request_classes, limit, retry):
+                for request_class in selected(request_classes):
+                    self.limits[limited_table, request_class] = (limit, int(retry))
+
+    def usable_hosts(self, proxy: int, request_class: int) -> dict[int, float]:
+        """Weights of the hosts that the proxy may send a request class to."""
+        routes = self.tables.get(self.bound[proxy][request_class], {})
+        return {
+            host: weight for host, weight in routes.items() if weight and host not in self.withdrawn
+        }
+
+    def limit(self, proxy: int, request_class: int) -> LimitAndRetry | None:
+        own = self.limits.get((self.bound[proxy].get(request_class, -1), request_class))
+        common = self.limits.get((commands.ALL_TABLES, request_class))
+        if own and common:
+            return min(own[0], common[0]), own[1]
+        return own or common
+
+
+def selected(request_classes: tuple[int, ...] | None) -> tuple[int, ...]:
+    return tuple(range(len(REQUEST_CLASSES))) if request_classes is None else request_classes
+
+
+class ModelProxy:
+    """A proxy as the protocol describes it; withdrawn hosts outlive its streams.
+
+    Attributes:
+        routes: By request class, weight by host.
+        limits: Admission limit by request class.
+        withdrawn: Hosts that it keeps out of use.
+        acknowledgements: Sequence numbers that it was asked to acknowledge.
+        message_count: Messages that it got; one in several parts counts once.
+    """
 
     def __init__(self) -> None:
-        self.rows: dict[str, dict[str, float]] = {name: {} for name in PRODUCTS}
-        self.levels: dict[str, tuple[float, int]] = {}
-        self.shut, self.stamps, self.messages = set[str](), list[int](), 0
+        self.routes: dict[str, dict[str, float]] = {name: {} for name in REQUEST_CLASSES}
+        self.limits: dict[str, LimitAndRetry] = {}
+        self.withdrawn: set[str] = set()
+        self.acknowledgements: list[int] = []
+        self.message_count = 0
 
     def read(self, data: bytes) -> int:
-        """Applies what came, and returns the lines that the channel counts for it."""
-        lines = 0
-        for line in data.decode().split("\r\n")[:-1]:
-            kind, *words = line.split(" ")
-            said = dict(word.split("=") for word in words)
-            assert kind == "push" and len(said) == len(words)
-            names = said["for"].split("+") if "for" in said else PRODUCTS
-            for name in names if "replace" in said else ():
-                self.rows[name] = {}
-                self.levels.pop(name, None)
-            rows = [row.split(":") for row in said["rows"].split(",")] if "rows" in said else []
-            for name in names:
-                for host, weight in rows:
-                    self.rows[name][host] = float(weight)
-                if "gate" in said:
-                    self.levels[name] = (float(said["gate"]), int(said["again"]))
-            shut, back = (
-                [h for h in said.get(key, "").split(",") if h] for key in ("drop", "undrop")
-            )
-            self.shut = (self.shut | set(shut)) - set(back)
-            self.stamps += [int(said["stamp"])] if "stamp" in said else []
-            self.messages += "part" not in said
-            lines += len(rows) + len(shut) + len(back)
-            lines += sum(key in said for key in ("replace", "gate", "stamp"))
-        return lines
-
-    def picks(self, product: int) -> dict[str, float]:
-        rows = self.rows[PRODUCTS[product]]
-        return {host: weight for host, weight in rows.items() if weight and host not in self.shut}
-
-
-class Side:
-    """One steward's player and writer, beside the replay of its orders."""
+        """Applies what came; returns the lines that the channel counts for it."""
+        return sum(self._read_line(line) for line in data.decode().split("\r\n")[:-1])
+
+    def _read_line(self, line: str) -> int:
+        kind, *words = line.split(" ")
+        fields = dict(word.split("=") for word in words)
+        assert kind == "push"
+        assert len(fields) == len(words)
+        request_classes = fields["for"].split("+") if "for" in fields else list(REQUEST_CLASSES)
+        rows = [row.split(":") for row in fields["rows"].split(",")] if "rows" in fields else []
+        withdrawn = hosts_of(fields, "drop")
+        reinstated = hosts_of(fields, "undrop")
+        for name in request_classes:
+            if "replace" in fields:
+                self.routes[name] = {}
+                self.limits.pop(name, None)
+            for host, weight in rows:
+                self.routes[name][host] = float(weight)
+            if "gate" in fields:
+                self.limits[name] = (float(fields["gate"]), int(fields["again"]))
+        self.withdrawn = (self.withdrawn | set(withdrawn)) - set(reinstated)
+        if "stamp" in fields:
+            self.acknowledgements.append(int(fields["stamp"]))
+        if "part" not in fields:
+            self.message_count += 1
+        single_lines = sum(name in fields for name in ("replace", "gate", "stamp"))
+        return len(rows) + len(withdrawn) + len(reinstated) + single_lines
+
+    def usable_hosts(self, request_class: int) -> dict[str, float]:
+        routes = self.routes[REQUEST_CLASSES[request_class]]
+        return {
+            host: weight for host, weight in routes.items() if weight and host not in self.withdrawn
+        }
+
+
+def hosts_of(fields: dict[str, str], name: str) -> list[str]:
+    return [host for host in fields.get(name, "").split(",") if host]
+
+
+class ControllerSide:
+    """One controller's message builder and encoder, beside the replay of its commands."""
 
     def __init__(self) -> None:
-        self.message_builder, self.replay, self.writer = (
-            MessageBuilder(len(PRODUCTS)),
-            Replay(),
-            MessageEncoder(PRODUCTS, uid),
-        )
+        self.message_builder = MessageBuilder(len(REQUEST_CLASSES))
+        self.encoder = MessageEncoder(REQUEST_CLASSES, host_name)
+        self.replay = CommandReplay()
 
-    def join(self, number: int, proxy: Proxy, fresh: bool) -> None:
+    def join(self, number: int, proxy: ModelProxy, fresh: bool) -> None:
         self.message_builder.observe(joined(number, fresh))
         self.replay.bound[number] = {}
         if fresh:
-            proxy.shut.clear()
+            proxy.withdrawn.clear()
 
     def leave(self, number: int) -> None:
         self.message_builder.observe(events.ProxyLeft(number))
         del self.replay.bound[number]
 
-    def order(self, batch: list[commands.Command], proxies: dict[int, Proxy]) -> list[Message]:
-        for order in batch:
-            self.replay.obey(order)
-        messages = self.message_builder.build(batch)
-        for message in messages:
-            assert proxies[message.proxy].read(self.writer.encode(message)) == message.line_count()
+    def command(self, batch: list[commands.Command], proxies: dict[int, ModelProxy]) -> None:
+        """Sends a batch, and checks that proxies then do what the commands mean."""
+        for command in batch:
+            self.replay.apply(command)
+        for message in self.message_builder.build(batch):
+            lines = proxies[message.proxy].read(self.encoder.encode(message))
+            assert lines == message.line_count()
         for number, bound in self.replay.bound.items():
-            for product in bound:
-                wanted = {
-                    uid(host): weight for host, weight in self.replay.picks(number, product).items()
-                }
-                assert proxies[number].picks(product) == wanted
-                assert proxies[number].levels.get(PRODUCTS[product]) == self.replay.level(
-                    number, product
-                )
-        return messages
-
-
-def some_orders(chance: random.Random, drained: list[int]) -> list[commands.Command]:
-    def products() -> tuple[int, ...] | None:
-        return chance.choice([None, (0,), (1, 2), (0, 1, 2)])
-
-    def one() -> commands.Command:
-        table, host = chance.randrange(3), chance.randrange(8)
-        return chance.choice(
-            [
-                commands.SetRoute(table, host, float(chance.randrange(4))),
-                commands.SetRoute(table, host, float(chance.randrange(1, 4))),
-                commands.BindProxy(table, chance.randrange(4), products()),
-                commands.SetAdmissionLimit(
-                    chance.choice([table, None]),
-                    products(),
-                    chance.choice([0.25, 0.5, 1.0]),
-                    chance.choice([RetryPolicy.NEVER, RetryPolicy.IF_NOT_EXECUTED]),
-                ),
-                commands.WithdrawHost(chance.choice(drained or [host]), chance.random() < 0.5)
-                if drained
-                else commands.ClearTable(table),
-                commands.ClearTable(table)
-                if chance.random() < 0.2
-                else commands.SetRoute(table, host, 1.0),
-            ]
-        )
-
-    return [one() for _ in range(chance.randrange(1, 7))]
+            for request_class in bound:
+                self.check(number, proxies[number], request_class)
+
+    def check(self, number: int, proxy: ModelProxy, request_class: int) -> None:
+        wanted = self.replay.usable_hosts(number, request_class)
+        by_name = {host_name(host): weight for host, weight in wanted.items()}
+        assert proxy.usable_hosts(request_class) == by_name
+        limit = proxy.limits.get(REQUEST_CLASSES[request_class])
+        assert limit == self.replay.limit(number, request_class)
+
+
+def random_command(rng: random.Random, drained: list[int]) -> commands.Command:
+    table = rng.randrange(3)
+    host = rng.randrange(8)
+    choices: list[commands.Command] = [
+        commands.SetRoute(table, host, float(rng.randrange(4))),
+        commands.SetRoute(table, host, float(rng.randrange(1, 4))),
+        commands.BindProxy(table, rng.randrange(4), random_request_classes(rng)),
+        commands.SetAdmissionLimit(
+            rng.choice([table, commands.ALL_TABLES]),
+            random_request_classes(rng),
+            rng.choice([0.25, 0.5, 1.0]),
+            rng.choice([RetryPolicy.NEVER, RetryPolicy.IF_NOT_EXECUTED]),
+        ),
+    ]
+    if drained:
+        choices.append(commands.WithdrawHost(rng.choice(drained), rng.random() < 0.5))
+    else:
+        choices.append(commands.ClearTable(table))
+    if rng.random() < 0.2:
+        choices.append(commands.ClearTable(table))
+    else:
+        choices.append(commands.SetRoute(table, host, 1.0))
+    return rng.choice(choices)
+
+
+def random_request_classes(rng: random.Random) -> tuple[int, ...] | None:
+    return rng.choice([None, (0,), (1, 2), (0, 1, 2)])
+
+
+def random_commands(rng: random.Random, drained: list[int]) -> list[commands.Command]:
+    return [random_command(rng, drained) for _ in range(rng.randrange(1, 7))]
 
 
 @pytest.mark.parametrize("seed", range(60))
-def test_proxies_do_by_their_messages_what_the_orders_mean(seed):
-    """Two stewards, between which proxies move with what they hold back."""
-    chance, sides, proxies = random.Random(seed), (Side(), Side()), {n: Proxy() for n in range(4)}
-    at: dict[int, Side | None] = dict.fromkeys(proxies)
+def test_proxies_do_by_their_messages_what_the_commands_mean(seed: int) -> None:
+    """Two controllers, between which proxies move with the hosts that they keep withdrawn."""
+    rng = random.Random(seed)
+    sides = (ControllerSide(), ControllerSide())
+    proxies = {number: ModelProxy() for number in range(4)}
+    side_of: dict[int, ControllerSide] = {}
     drained: list[int] = []
     for _ in range(60):
-        number, roll = chance.randrange(4), chance.random()
+        number, roll = rng.randrange(4), rng.random()
         if roll < 0.1 and len(drained) < 6:
-            drained.append(chance.randrange(8))
+            drained.append(rng.randrange(8))
             for side in sides:
                 side.message_builder.observe(full(entry(drained[-1], DRAINING)))
         elif roll < 0.3:
-            if old := at[number]:
-                old.leave(number)
-            at[number] = chance.choice(sides)
-            at[number].join(number, proxies[number], fresh=chance.random() < 0.3)
+            if number in side_of:
+                side_of[number].leave(number)
+            side_of[number] = rng.choice(sides)
+            side_of[number].join(number, proxies[number], fresh=rng.random() < 0.3)
         else:
-            chance.choice(sides).order(some_orders(chance, drained), proxies)
+            side = rng.choice(sides)
+            side.command(random_commands(rng, drained), proxies)
 
 
 def messages_for(*batch: commands.Command, fresh: bool = True) -> list[Message]:
-    message_builder = MessageBuilder(len(PRODUCTS))
+    message_builder = MessageBuilder(len(REQUEST_CLASSES))
     message_builder.observe(joined(0, fresh))
     message_builder.observe(joined(1, fresh))
     return message_builder.build(batch)
 
 
-def test_a_bind_is_a_whole_table_with_its_level_hosts_held_back_and_mark():
+def test_a_bind_is_a_complete_table_with_its_limit_and_sequence_number() -> None:
     (message,) = messages_for(
         commands.SetAdmissionLimit(0, None, 1.0, RetryPolicy.IF_NOT_EXECUTED),
         commands.SetRoute(0, 7, 3.0),
@@ -200,27 +247,26 @@
         commands.BindProxy(0, 1),
         commands.RequestAcknowledgement(905),
     )
-    assert MessageEncoder(PRODUCTS, uid).encode(message) == (
+    assert encode(message) == (
         b"push replace=1 rows=s-00000007:3,s-00000008:1.5 gate=1 again=1 stamp=905\r\n"
     )
-    assert (
-        message.line_count() == 5
-    )  # the bind's line, two lines, a level and the mark, as the wire counts
+    # The bind's line, two routes, a limit and the sequence number, as the protocol counts
+    assert message.line_count() == 5
+
+
+def test_commands_reach_only_proxies_that_use_the_table() -> None:
+    batch = [commands.BindProxy(0, 1), commands.SetRoute(0, 7, 3.0)]
+    messages = messages_for(*batch, commands.RequestAcknowledgement(1))
+    assert [message.proxy for message in messages] == [1]
 
 
-def test_orders_reach_only_proxies_that_use_the_table_and_marks_everyone_if_so_ordered():
+def test_a_sequence_number_reaches_all_proxies_if_so_commanded() -> None:
     batch = [commands.BindProxy(0, 1), commands.SetRoute(0, 7, 3.0)]
-    assert [m.proxy for m in messages_for(*batch, commands.RequestAcknowledgement(1))] == [1]
-    assert {
-        m.proxy: m.sequence_number
-        for m in messages_for(*batch, commands.RequestAcknowledgement(1, all_proxies=True))
-    } == {
-        0: 1,
-        1: 1,
-    }
+    messages = messages_for(*batch, commands.RequestAcknowledgement(1, all_proxies=True))
+    assert {message.proxy: message.sequence_number for message in messages} == {0: 1, 1: 1}
 
 
-def test_a_host_is_held_back_only_where_its_lines_are_or_may_be():
+def test_a_host_is_withdrawn_only_where_its_routes_are_or_may_be() -> None:
     message_builder = MessageBuilder(1)
     for proxy in (0, 1, 2):
         message_builder.observe(joined(proxy))
@@ -232,11 +278,12 @@
             commands.BindProxy(1, 1),
         ]
     )
-    assert {m.proxy for m in message_builder.build([commands.WithdrawHost(7, True)])} == {0, 2}
+    messages = message_builder.build([commands.WithdrawHost(7, True)])
+    assert {message.proxy for message in messages} == {0, 2}
 
 
-def test_a_host_let_back_while_out_of_the_table_is_let_back_with_its_next_line():
-    """Guards against a host that stays shut out for good: the proxy keeps what it was told."""
+def test_a_host_reinstated_while_out_of_the_table_is_reinstated_with_its_next_route() -> None:
+    """Guards against a host that stays withdrawn for good: the proxy keeps what it was told."""
     message_builder = MessageBuilder(1)
     message_builder.observe(joined(0))
     message_builder.build(
@@ -245,20 +292,25 @@
     message_builder.build([commands.WithdrawHost(7, True), commands.SetRoute(0, 7, 0.0)])
     assert message_builder.build([commands.WithdrawHost(7, False)]) == []
     (message,) = message_builder.build([commands.SetRoute(0, 7, 2.0)])
-    assert message.withdrawn == {7: False} and message.updates[0].routes == {7: 2.0}
+    assert message.withdrawn == {7: False}
+    assert message.updates[0].routes == {7: 2.0}
 
 
-def test_what_does_not_fit_one_message_goes_on_in_parts():
-    lines = {host: 1.0 for host in range(2 * ROWS_PER_PART + 1)}
-    data = MessageEncoder(PRODUCTS, uid).encode(
-        Message(0, [TableUpdate((0, 1, 2), True, lines)], {}, 5)
-    )
+def test_an_update_too_long_for_one_part_goes_on_in_further_parts() -> None:
+    routes = {host: 1.0 for host in range(2 * ROWS_PER_PART + 1)}
+    data = encode(Message(0, [TableUpdate((0, 1, 2), True, routes)], {}, 5))
     assert [b"part=1" in line for line in data.split(b"\r\n")] == [True, True, False, False]
-    proxy = Proxy()
-    assert proxy.read(data) == len(lines) + 2
-    assert len(proxy.rows["edit"]) == len(lines) and proxy.messages == 1
-    many = Message(
-        0, [TableUpdate((0,), routes={host: 1.0}) for host in range(MAX_MESSAGE_PARTS + 1)], {}, 6
-    )
-    proxy.read(MessageEncoder(PRODUCTS, uid).encode(many))
-    assert proxy.messages == 3 and len(proxy.rows["view"]) == len(lines)
+    proxy = ModelProxy()
+    assert proxy.read(data) == len(routes) + 2
+    assert len(proxy.routes["edit"]) == len(routes)
+    assert proxy.message_count == 1
+
+
+def test_more_updates_than_a_message_may_have_parts_go_on_in_a_second_message() -> None:
+    routes = {host: 1.0 for host in range(2 * ROWS_PER_PART + 1)}
+    proxy = ModelProxy()
+    proxy.read(encode(Message(0, [TableUpdate((0, 1, 2), True, routes)], {}, 5)))
+    updates = [TableUpdate((0,), routes={host: 1.0}) for host in range(MAX_MESSAGE_PARTS + 1)]
+    proxy.read(encode(Message(0, updates, {}, 6)))
+    assert proxy.message_count == 3
+    assert len(proxy.routes["view"]) == len(routes)
