--- a/plankroute/net/discovery/directory.py
+++ b/plankroute/net/discovery/directory.py
@@ -82,8 +82,7 @@
     def apply_list(self, message: EndpointList, kind: ListKind | None = None) -> AppliedList:
         """Records the hosts of a list and returns it by their ids.
 
-        An entry that can't be taken leaves its host as it was: a complete list must not drop a host
-        for it.
+        An entry that can't be taken leaves its host as it was: the list must not drop it for that.
 
         Args:
             message: The list.
--- a/plankroute/net/discovery/http_client.py
+++ b/plankroute/net/discovery/http_client.py
@@ -13,8 +13,7 @@
 from plankroute.net.process.errors import CallFailure, CallProgress
 
 READ_BYTES = 65536
-# A guess, of a body within the idle timeout: a slow network path brings them, a drip of bytes does
-# not.
+# A guess, of a body within the idle timeout: a slow network path brings them, a drip does not.
 PROGRESS_BYTES = 4096
 
 
@@ -75,8 +74,7 @@
     def record_progress(self) -> None:
         """Starts the idle timeout anew.
 
-        Guards against a drip of bytes that keeps a call open for good: only what is complete
-        counts.
+        Guards against a drip of bytes that keeps a call open for good: only complete things count.
         """
         self.idle_deadline = asyncio.get_running_loop().time() + self.limits.idle_timeout_s
         self.bytes_since_progress = 0
--- a/plankroute/net/probing/prober.py
+++ b/plankroute/net/probing/prober.py
@@ -14,8 +14,7 @@
 from plankroute.net.process.telemetry import Telemetry
 from plankroute.net.proxies.line_codec import parse_load_report
 
-# Measured, between the beginnings of calls: thirty at once were timed by the controller's own work
-# for all.
+# Measured, between starts: thirty calls at once were timed by the controller's own work.
 PACE_S = 0.002
 MAX_BODY_BYTES = 4096  # a guess: a report is one line
 
--- a/plankroute/net/process/configuration.py
+++ b/plankroute/net/process/configuration.py
@@ -59,8 +59,7 @@
         raise SettingsError(f"{type(error).__name__}: {error}") from error
 
 
-# JSON of any shape comes in: what is not as expected raises an error that `parse_configuration`
-# wraps.
+# JSON of any shape comes in: `parse_configuration` wraps the errors of what is not as expected.
 def _configuration_from(raw: Any) -> Configuration:  # noqa: ANN401
     settings = raw["settings"]
     facts, _ = parse_settings(settings)
--- a/plankroute/net/process/resource_limits.py
+++ b/plankroute/net/process/resource_limits.py
@@ -2,8 +2,7 @@
 
 from dataclasses import dataclass
 
-# Measured: the interpreter, the program and its tables take 13 to 17 MB with 30 hosts and 150
-# proxies.
+# Measured: interpreter, program and tables take 13 to 17 MB with 30 hosts and 150 proxies.
 PROCESS_MB = 20
 # Shares of the memory beside the process; parsing a list takes ten times its size (measured).
 BUFFERS_SHARE = 0.4
--- a/plankroute/net/proxies/connection_table.py
+++ b/plankroute/net/proxies/connection_table.py
@@ -9,8 +9,7 @@
 from plankroute.net.proxies.line_codec import ERROR_LINE
 from plankroute.net.proxies.sessions import Sessions
 
-# Connections accepted before others are read: each is heard before many younger ones could push it
-# out.
+# Accepted before others are read: each is heard before many younger ones could push it out.
 ACCEPTED_AT_ONCE = 16
 # A guess, from connecting on: first messages come within a second, in pieces at worst.
 IDENTIFICATION_TIMEOUT_S = 1.5
@@ -53,8 +52,7 @@
     def reject(self, connection: Connection) -> None:
         """Sends an error and closes.
 
-        It no longer counts, though its connection's end is still to run: each is to make room for
-        one.
+        It no longer counts, though its task is still to end: each call is to make room for one.
         """
         self.remove(connection)
         self.telemetry.count("dropped.unidentified")
--- a/plankroute/net/proxies/line_codec.py
+++ b/plankroute/net/proxies/line_codec.py
@@ -29,8 +29,7 @@
 NUMBER = re.compile(r"[0-9]*\.?[0-9]+(?:[eE][+-]?[0-9]{1,3})?")
 WELL_FORMED_LINE = re.compile(r"[a-z]+(?: [a-z]+=[^ =]*)*")  # most likely of another version
 MERGED_LINES = re.compile(r"(?:agent|outcomes|hello|ack|demand) [a-z]+=")  # a kind within a line
-# Guards against load reports read as empty: hosts name figures as the settings do, or as the
-# protocol does.
+# Guards against load reports read as empty: hosts use names of the settings or of the protocol.
 REPORT_FIELDS = SETTINGS_REPORT_FIELDS | {
     "inflight": "in_flight",
     "queue": "queue_length",
@@ -154,8 +153,7 @@
 def parse_line(line: bytes) -> InboundMessage | Rejection:
     """Parses a line without its line feed; its carriage return must be there.
 
-    A field that can't be read costs its line only; a line whose bounds are doubtful breaks the
-    framing.
+    A field that can't be read costs its line only; doubtful bounds of a line break the framing.
     """
     if not line.endswith(b"\r"):
         return Rejection(RejectionStage.PARSING, "no CRLF at the end", breaks_framing=True)
@@ -187,8 +185,7 @@
     def __init__(self, request_classes: tuple[str, ...], uid: Callable[[int], str]) -> None:
         self.request_classes = request_classes
         self.uid = uid
-        # Table updates encoded last, which hundreds of proxies may share: their lines, the last one
-        # apart.
+        # Encoded last, since hundreds of proxies may share the same list of updates.
         self.cached_updates: list[TableUpdate] | None = None
         self.cached_lines_before = ""
         self.cached_last_line = ""
--- a/plankroute/net/proxies/outbound_buffer.py
+++ b/plankroute/net/proxies/outbound_buffer.py
@@ -24,7 +24,7 @@
         """Writes or buffers all of the data, or nothing (False): no room, or it is closing.
 
         Data goes straight to the kernel where nothing waits before it: hundreds of proxies need no
-        switch of tasks each.
+        task switch each.
         """
         transport = self.writer.transport
         if transport.is_closing():
--- a/plankroute/net/proxies/sessions.py
+++ b/plankroute/net/proxies/sessions.py
@@ -72,8 +72,7 @@
     def _report_left(self, proxy: int) -> None:
         """Reports a proxy as left, once a session.
 
-        Guards against a stalled session, reported already, that counts again among those that break
-        together.
+        Guards against a stalled session that counts again among those that break together.
         """
         if proxy in self.joined:
             self.joined.discard(proxy)
