--- a/tests/net/test_core_runner.py
+++ b/tests/net/test_core_runner.py
@@ -21,10 +21,10 @@
 
 def test_an_event_that_fails_takes_no_timer_along() -> None:
     async def run() -> None:
-        telemetry, message_builder = Telemetry(EventLog("n", lambda line: None)), MessageBuilder(1)
+        telemetry = Telemetry(EventLog("n", lambda line: None))
         runner = CoreRunner(
             Controller(start_facts(), 7),
-            message_builder,
+            MessageBuilder(1),
             Clock(),
             telemetry,
             min_batch_interval_us=0,
@@ -47,46 +47,50 @@
 
 def test_hosts_replaced_all_day_leave_nothing_behind() -> None:
     """Guards against what grows with hosts that are gone: names, indexes, routes, withdrawals."""
-    known, telemetry, sent = (
-        directory_of(*[f"s-{n}" for n in range(12)]),
-        Telemetry(EventLog("n1", lambda line: None)),
-        [],
-    )
+    directory = directory_of(*[f"s-{n}" for n in range(12)])
+    telemetry = Telemetry(EventLog("n1", lambda line: None))
+    sent = list[Message]()
+    sizes = list[list[int]]()
+    now = 10**15
     runner = CoreRunner(
         Controller(start_facts(warmup_us=SECOND), 7), MessageBuilder(1), Clock(), telemetry, 1000
     )
     runner.outputs.send_message = sent.append
-    runner.outputs.forget_host = known.forget
-    core, sizes, now = runner.controller, [], 10**15
+    runner.outputs.forget_host = directory.forget
+    core = runner.controller
+    publisher = core.publisher
+    message_builder = runner.message_builder
 
-    def work(*batch: events.Event) -> None:
+    def run_batch(*batch: events.Event) -> None:
         runner.run_batch(
             now, [*batch, *map(events.TimerExpired, (Controller.PULSE, Controller.TURN))]
         )
 
     first = list_json(*[host_json(f"s-{n}") for n in range(12)])
     joined = [events.ProxyJoined(proxy, 0, 9.0, True) for proxy in range(4)]
-    work(known.apply_list(list_from(first), ListKind.CACHED)[0], *joined)
+    run_batch(directory.apply_list(list_from(first), ListKind.CACHED)[0], *joined)
     for n in range(400):
         now += SECOND
         changed = [host_json(f"s-{n}", "DRAINING"), host_json(f"s-{n + 12}", boot_ms=now / 1000)]
-        changed += [host_json(f"s-{n - 3}", "DELETED")] * (n > 2)
-        gone, last = n % 4, max([message.sequence_number for message in sent], default=0)
+        if n > 2:
+            changed.append(host_json(f"s-{n - 3}", "DELETED"))
+        left_proxy = n % 4
+        last = max([message.sequence_number for message in sent], default=0)
+        acknowledged = [events.Acknowledged(proxy, last, 1) for proxy in range(4)]
         sent.clear()
-        work(
-            known.apply_list(list_from(list_json(*changed, rev=42 + n, whole=False)))[0],
-            *[events.Acknowledged(p, last, 1) for p in range(4) if last],
-            events.ProxyLeft(gone),
-            events.ProxyJoined(gone, 0, 9.0, False),
-            events.HostRequestStats(known.ids[f"s-{n + 5}"], 0, 9, 0, 2e5, SECOND, None),
+        run_batch(
+            directory.apply_list(list_from(list_json(*changed, rev=42 + n, whole=False)))[0],
+            *(acknowledged if last else []),
+            events.ProxyLeft(left_proxy),
+            events.ProxyJoined(left_proxy, 0, 9.0, False),
+            events.HostRequestStats(directory.ids[f"s-{n + 5}"], 0, 9, 0, 2e5, SECOND, None),
         )
-        publisher, message_builder = core.publisher, runner.message_builder
         sizes.append(
             [
                 len(each)
                 for each in (
-                    known.hosts,
-                    known.ids,
+                    directory.hosts,
+                    directory.ids,
                     core.host_table.host_ids,
                     core.host_table.index_of,
                     core.hosts,
@@ -101,7 +105,7 @@
             ]
         )
     assert telemetry.counts["core.failed"] == 0 and not publisher.unbound
-    assert set(message_builder.tables[0]) == {known.ids[f"s-{n}"] for n in range(400, 412)}
+    assert set(message_builder.tables[0]) == {directory.ids[f"s-{n}"] for n in range(400, 412)}
     largest_early = map(max, *sizes[:200])
     largest_late = map(max, *sizes[200:])
     assert all(late <= early for early, late in zip(largest_early, largest_late, strict=False))
@@ -109,45 +113,43 @@
 
 def test_the_channel_accounts_for_all_lines_whatever_hosts_proxies_may_have_withdrawn() -> None:
     """Guards against a channel fuller than its cap by lines that reinstate hosts at a proxy."""
-    known, facts = (
-        directory_of(*[f"s-{n}" for n in range(40)]),
-        start_facts(bind_reinstates_hosts=True, warmup_us=SECOND),
-    )
+    directory = directory_of(*[f"s-{n}" for n in range(40)])
+    facts = start_facts(bind_reinstates_hosts=True, warmup_us=SECOND)
     runner = CoreRunner(
         Controller(facts, 7), MessageBuilder(1), Clock(), Telemetry(EventLog("n", print)), 1000
     )
-    now, over = 10**15, []
+    now = 10**15
+    surplus_lines = list[int]()  # of each message, in the channel's accounting
     channel = runner.controller.publisher.channel
 
     def send(message: Message) -> None:
-        over.append(
-            channel.sent[message.sequence_number][message.proxy]
-            - message.line_count()
-            - facts.message_overhead_lines
-        )
+        accounted = channel.sent[message.sequence_number][message.proxy]
+        surplus_lines.append(accounted - message.line_count() - facts.message_overhead_lines)
 
-    def work(*batch: events.Event) -> None:
+    def run_batch(*batch: events.Event) -> None:
         runner.run_batch(
             now, [*batch, *map(events.TimerExpired, (Controller.PULSE, Controller.TURN))]
         )
 
     runner.outputs.send_message = send
     first = [host_json(f"s-{n}", boot_ms=5.0 * (n % 3)) for n in range(40)]
-    work(known.apply_list(list_from(list_json(*first)), ListKind.CACHED)[0])
-    work(*[events.ProxyJoined(proxy, 0, 9.0, proxy % 2 == 0) for proxy in range(6)])
+    run_batch(directory.apply_list(list_from(list_json(*first)), ListKind.CACHED)[0])
+    run_batch(*[events.ProxyJoined(proxy, 0, 9.0, proxy % 2 == 0) for proxy in range(6)])
     for n in range(30):
         now += 7 * SECOND  # longer than it learns from what old tables bring
         changed = [host_json(f"s-{n}", "DRAINING"), host_json(f"s-{n + 40}", boot_ms=now / 1000)]
-        changed += [host_json(f"s-{n - 9}", boot_ms=now / 1000)] * (n > 9)  # it is back
-        gone = n % 6
-        work(
-            known.apply_list(list_from(list_json(*changed, rev=42 + n, whole=False)))[0],
+        if n > 9:
+            changed.append(host_json(f"s-{n - 9}", boot_ms=now / 1000))  # it is back
+        left_proxy = n % 6
+        run_batch(
+            directory.apply_list(list_from(list_json(*changed, rev=42 + n, whole=False)))[0],
             *[events.Acknowledged(p, channel.sequence_number, 1) for p in range(6)],
-            events.ProxyLeft(gone),
-            events.ProxyJoined(gone, 0, 9.0, n % 4 == 0),
+            events.ProxyLeft(left_proxy),
+            events.ProxyJoined(left_proxy, 0, 9.0, n % 4 == 0),
         )
-    assert len(over) > 100 and min(over) >= 0 and runner.telemetry.counts["core.failed"] == 0
-    assert sum(over) < 5 * len(over)  # they hold little more than that
+    assert len(surplus_lines) > 100 and min(surplus_lines) >= 0
+    assert runner.telemetry.counts["core.failed"] == 0
+    assert sum(surplus_lines) < 5 * len(surplus_lines)  # it holds little more than that
 
 
 def test_a_failing_decision_is_logged_and_the_controller_goes_on(
@@ -169,5 +171,6 @@
         await proxy.receive("replace=1")
 
     run_scenario(scenario, log)
-    (failed,) = [said for said in map(orjson.loads, log) if said["event"] == "core_failed"][:1]
+    lines = map(orjson.loads, log)
+    failed = next(line for line in lines if line["event"] == "core_failed")
     assert failed["why"].startswith("ZeroDivisionError") and failed["place"].startswith("<lambda>")
--- a/tests/net/test_directory.py
+++ b/tests/net/test_directory.py
@@ -11,15 +11,15 @@
 
 
 def test_hosts_keep_their_ids_and_unreadable_entries_leave_them_as_they_were() -> None:
-    known = new_directory(Clock(lambda: 10**18, lambda: 5 * 10**9))
+    directory = new_directory(Clock(lambda: 10**18, lambda: 5 * 10**9))
     members = host_json("s-1", boot_ms=999_999_000_000), host_json("s-2", az="b")
-    first, refused = known.apply_list(list_from(list_json(*members)))
-    assert refused == 0 and first.kind is ListKind.FULL
+    first, rejected = directory.apply_list(list_from(list_json(*members)))
+    assert rejected == 0 and first.kind is ListKind.FULL
     assert [(e.host, e.zone, e.started_us) for e in first.entries] == [
         (0, 0, 999_999_000_000_000),
         (1, 1, 0),
     ]
-    second, refused = known.apply_list(
+    second, rejected = directory.apply_list(
         list_from(
             list_json(
                 host_json("s-2", state="??"),
@@ -30,55 +30,56 @@
             )
         )
     )
-    assert refused == 3 and second.kind is ListKind.CHANGES
+    assert rejected == 3 and second.kind is ListKind.CHANGES
     assert [(e.host, e.state) for e in second.entries] == [(1, READY), (0, DRAINING)]
-    gone, _ = known.apply_list(list_from(list_json(host_json("s-1", state="DELETED"), whole=False)))
+    gone, _ = directory.apply_list(
+        list_from(list_json(host_json("s-1", state="DELETED"), whole=False))
+    )
     assert [(e.host, e.state) for e in gone.entries] == [(0, GONE)]
 
 
 def test_the_clock_never_steps_and_a_host_starts_once() -> None:
     """Guards against a host that seems to start again, or in the future, as the time is set."""
-    wall, steady = [10**18], [0]
-    clock = Clock(lambda: wall[0], lambda: steady[0])
-    known, boot_ms = new_directory(clock), 10**12 - 2000
-    started = (
-        known.apply_list(list_from(list_json(host_json("s-1", boot_ms=boot_ms))))[0]
-        .entries[0]
-        .started_us
-    )
-    assert clock.now_us() - started == 2 * SECOND
-    before, wall[0], steady[0] = clock.now_us(), wall[0] - 3600 * 10**9, 10**9
+    system_ns = [10**18]
+    monotonic_ns = [0]
+    clock = Clock(lambda: system_ns[0], lambda: monotonic_ns[0])
+    directory = new_directory(clock)
+    boot_ms = 10**12 - 2000
+    listed, _ = directory.apply_list(list_from(list_json(host_json("s-1", boot_ms=boot_ms))))
+    started_us = listed.entries[0].started_us
+    assert clock.now_us() - started_us == 2 * SECOND
+    before = clock.now_us()
+    system_ns[0] -= 3600 * 10**9
+    monotonic_ns[0] = 10**9
     assert clock.now_us() == before + SECOND
-    again, new = known.apply_list(
-        list_from(
-            list_json(
-                host_json("s-1", boot_ms=boot_ms), host_json("s-2", boot_ms=wall[0] / 1e6 - 500)
-            )
-        )
-    )[0].entries
-    assert again.started_us == started and clock.now_us() - new.started_us == SECOND // 2
+    old_host = host_json("s-1", boot_ms=boot_ms)
+    new_host = host_json("s-2", boot_ms=system_ns[0] / 1e6 - 500)
+    listed, _ = directory.apply_list(list_from(list_json(old_host, new_host)))
+    again, new = listed.entries
+    assert again.started_us == started_us and clock.now_us() - new.started_us == SECOND // 2
 
 
 def test_a_forgotten_host_that_is_listed_again_is_a_new_one() -> None:
-    known, message_builder = directory_of("s-1", "s-2"), MessageBuilder(1)
+    directory = directory_of("s-1", "s-2")
+    message_builder = MessageBuilder(1)
     for proxy in (0, 1):
         message_builder.observe(events.ProxyJoined(proxy, 0, 9.0, True))
     message_builder.build(
         [commands.SetRoute(0, 1, 1.0), commands.BindProxy(0, 0), commands.WithdrawHost(0, True)]
     )
-    known.forget(0)
+    directory.forget(0)
     message_builder.forget(0)
-    listed, refused = known.apply_list(
+    listed, rejected = directory.apply_list(
         list_from(list_json(host_json("s-1", boot_ms=5), rev=42, whole=False))
     )
     message_builder.observe(listed)
-    assert [each.host for each in listed.entries] == [2] and not refused and known.uid(2) == "s-1"
-    told = {
-        m.proxy: m.withdrawn
-        for m in message_builder.build([commands.SetRoute(0, 2, 1.0), commands.BindProxy(0, 1)])
-    }
-    assert told == {0: {}, 1: {2: False}}  # proxy 1 may hold it back yet
-    listed, refused = known.apply_list(
+    assert (
+        [each.host for each in listed.entries] == [2] and not rejected and directory.uid(2) == "s-1"
+    )
+    messages = message_builder.build([commands.SetRoute(0, 2, 1.0), commands.BindProxy(0, 1)])
+    withdrawn = {message.proxy: message.withdrawn for message in messages}
+    assert withdrawn == {0: {}, 1: {2: False}}  # proxy 1 may have it withdrawn yet
+    listed, rejected = directory.apply_list(
         list_from(list_json(host_json("s-9", "DELETED"), rev=43, whole=False))
     )
-    assert not listed.entries and not refused and "s-9" not in known.ids
+    assert not listed.entries and not rejected and "s-9" not in directory.ids
--- a/tests/net/test_line_codec.py
+++ b/tests/net/test_line_codec.py
@@ -19,8 +19,7 @@
 
 
 def test_lines_are_parsed_as_the_protocol_defines_them() -> None:
-    said = [parse_line(line + b"\r") for line in LINES]
-    assert said == [
+    assert [parse_line(line + b"\r") for line in LINES] == [
         CollectorMessage("a"),
         LivenessCheckMessage(),
         HelloMessage(3, "a", 21.5, True),
@@ -77,18 +76,17 @@
     ],
 )
 def test_a_bad_field_is_told_from_broken_framing(line: bytes, breaks_framing: bool) -> None:
-    refused = parse_line(line + b"\r")
-    assert isinstance(refused, Rejection) and refused.breaks_framing is breaks_framing
+    rejection = parse_line(line + b"\r")
+    assert isinstance(rejection, Rejection)
+    assert rejection.breaks_framing is breaks_framing
 
 
 def test_an_impossible_load_figure_is_left_out_and_the_outcomes_beside_it_count() -> None:
     line = OUTCOMES_LINE.replace(b"inflight:7", b"inflight:38654705664")
-    said = parse_line(line + b"\r")
-    assert (
-        isinstance(said, OutcomesMessage)
-        and said.attempts == 212
-        and said.load_report == LoadReport(utilization=0.61)
-    )
+    message = parse_line(line + b"\r")
+    assert isinstance(message, OutcomesMessage)
+    assert message.attempts == 212
+    assert message.load_report == LoadReport(utilization=0.61)
 
 
 def test_load_reports_of_health_checks() -> None:
@@ -101,13 +99,14 @@
 
 def test_load_reports_use_names_of_the_settings_or_of_the_protocol() -> None:
     named = [b"rif:7,q:2,busy:0.61,lat_ms:3.5", b"inflight:7,queue:2,util:0.61,latency_ms:3.5"]
-    for said in [
-        parse_line(OUTCOMES_LINE.rpartition(b"=")[0] + b"=" + figures + b"\r") for figures in named
-    ]:
-        assert said.load_report == LoadReport(
+    for figures in named:
+        message = parse_line(OUTCOMES_LINE.rpartition(b"=")[0] + b"=" + figures + b"\r")
+        assert isinstance(message, OutcomesMessage)
+        assert message.load_report == LoadReport(
             in_flight=7.0, queue_length=2.0, utilization=0.61, service_time_us=3500.0
         )
     wrong = parse_line(OUTCOMES_LINE.replace(b"inflight:7", b"inflight:x,queue:-1,eps:inf") + b"\r")
+    assert isinstance(wrong, OutcomesMessage)
     assert wrong.load_report == LoadReport(utilization=0.61) and wrong.attempts == 212
     assert parse_load_report(b"TEXT rif=7, busy=0.61") == LoadReport(
         in_flight=7.0, utilization=0.61
--- a/tests/net/test_message_admission.py
+++ b/tests/net/test_message_admission.py
@@ -23,19 +23,17 @@
 
 @pytest.mark.parametrize("seed", range(30))
 def test_generated_garbage_is_rejected_or_parsed_and_never_raises(seed: int) -> None:
-    random_source, admission = (
-        random.Random(seed),
-        Admission(directory_of("s-5be2a07c"), 9, 8 * SECOND),
-    )
+    random_source = random.Random(seed)
+    admission = Admission(directory_of("s-5be2a07c"), 9, 8 * SECOND)
     identity = PeerIdentity()
     for _ in range(300):
         line = bytearray(random_source.choice(LINES) + b"\r")
         for _ in range(random_source.randrange(4)):
             line[random_source.randrange(len(line))] = random_source.choice(b"0=, :-.eEnx\xff\r")
         end = random_source.randrange(len(line) + 1) if random_source.random() < 0.3 else len(line)
-        said = parse_line(bytes(line[:end]))
-        if not isinstance(said, Rejection):
-            admission.admit(identity, said)
+        message = parse_line(bytes(line[:end]))
+        if not isinstance(message, Rejection):
+            admission.admit(identity, message)
 
 
 def admitted(admission: Admission, identity: PeerIdentity, *lines: bytes) -> list:
@@ -43,11 +41,9 @@
 
 
 def test_a_proxy_and_a_collector_may_each_send_their_own_messages() -> None:
-    admission, proxy, collector = (
-        Admission(directory_of("s-5be2a07c"), 9, 8 * SECOND),
-        PeerIdentity(),
-        PeerIdentity(),
-    )
+    admission = Admission(directory_of("s-5be2a07c"), 9, 8 * SECOND)
+    proxy = PeerIdentity()
+    collector = PeerIdentity()
     assert admitted(admission, proxy, HELLO_LINE) == [events.ProxyJoined(3, 0, 21.5, True)]
     admission.joined.add(3)
     proxy.unacknowledged.extend((904, 905, 906))
@@ -56,10 +52,8 @@
         events.ProxyRequestStats(3, 0, 19, 0, SECOND),
     ]
     assert list(proxy.unacknowledged) == [906]
-    assert (
-        admitted(admission, collector, COLLECTOR_LINE) == [None]
-        and collector.role is Role.COLLECTOR
-    )
+    assert admitted(admission, collector, COLLECTOR_LINE) == [None]
+    assert collector.role is Role.COLLECTOR
     assert admitted(admission, collector, OUTCOMES_LINE, DEMAND_LINE) == [
         events.HostRequestStats(
             0, 0, 212, 3, 41700, SECOND, LoadReport(in_flight=7.0, utilization=0.61)
@@ -92,7 +86,8 @@
     ],
 )
 def test_messages_that_a_peer_may_not_send_are_rejected(first: bytes | None, line: bytes) -> None:
-    admission, identity = Admission(directory_of("s-5be2a07c"), 9, 8 * SECOND), PeerIdentity()
-    for known in [first] if first else []:
-        admitted(admission, identity, known)
+    admission = Admission(directory_of("s-5be2a07c"), 9, 8 * SECOND)
+    identity = PeerIdentity()
+    if first is not None:
+        admitted(admission, identity, first)
     assert isinstance(admitted(admission, identity, line)[0], Rejection)
