--- a/tests/net/test_event_log.py
+++ b/tests/net/test_event_log.py
@@ -6,8 +6,14 @@
 
 
 def test_a_blocked_log_drops_lines_and_blocks_nobody() -> None:
-    written, gate = [], threading.Event()
-    log = EventLog("n", lambda line: gate.wait(30) and written.append(line))
+    written = list[bytes]()
+    gate = threading.Event()
+
+    def write(line: bytes) -> None:
+        if gate.wait(30):
+            written.append(line)
+
+    log = EventLog("n", write)
     telemetry = Telemetry(log)
     for number in range(3000):
         log.event("info", f"event{number}")
--- a/tests/net/test_http_client.py
+++ b/tests/net/test_http_client.py
@@ -47,16 +47,15 @@
         b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nTE\r\n2\r\nXT\r\n0\r\n\r\n"
     )
     assert call(chunked) == Response(200, b"TEXT", ANY)
-    for data, reached in (
+    for data, progress in (
         (b"", CallProgress.REQUEST_SENT),
         (b"junk\r\n\r\n", CallProgress.REQUEST_SENT),
         (ok[:-2], CallProgress.RESPONSE_BODY),
         (ok.replace(b"4", b"400") + b"x" * 400, CallProgress.RESPONSE_BODY),
     ):
         failed = call(data)
-        assert (
-            isinstance(failed, CallFailure) and failed.progress is reached and not failed.timed_out
-        )
+        assert isinstance(failed, CallFailure)
+        assert failed.progress is progress and not failed.timed_out
     silent = call(b"HTTP/1.1 200", stay=True)
     assert isinstance(silent, CallFailure) and silent.timed_out
 
--- a/tests/net/test_process_start_and_end.py
+++ b/tests/net/test_process_start_and_end.py
@@ -21,35 +21,35 @@
 ) -> None:
     path = tmp_path / "config.json"
     path.write_bytes(text or b"")
-    env = (
-        {**os.environ, "GW_CONFIG": str(path)}
-        if text is not None
-        else {name: value for name, value in os.environ.items() if name != "GW_CONFIG"}
-    )
+    env = {name: value for name, value in os.environ.items() if name != "GW_CONFIG"}
+    if text is not None:
+        env["GW_CONFIG"] = str(path)
     done = subprocess.run(
         [sys.executable, "-m", "plankroute"], env=env, capture_output=True, timeout=60, check=False
     )
-    assert done.returncode == 2 and done.stderr.count(b"\n") == 1 and word.encode() in done.stderr
+    assert done.returncode == 2
+    assert done.stderr.count(b"\n") == 1 and word.encode() in done.stderr
 
 
 def test_sigterm_prints_the_counters_and_ends_cleanly(tmp_path: Path) -> None:
-    text = config(discovery=9, listen=(port := free_port()))
+    port = free_port()
+    text = config(discovery=9, listen=port)
     with (
         process(tmp_path / "config.json", text) as controller,
         socket.create_connection(("127.0.0.1", port)),
     ):
         assert ask(port) == b"alive\r\n"
         controller.send_signal(signal.SIGTERM)
-        said = [json.loads(line) for line in controller.stderr.read().splitlines()]
+        lines = [json.loads(line) for line in controller.stderr.read().splitlines()]
         assert controller.wait(60) == 0
-    assert [line["event"] for line in said[-2:]] == ["counters", "ended"] and said[-2][
-        "core.batches"
-    ] >= 1
-    assert not [line for line in said if line["level"] == "error"]
+    assert [line["event"] for line in lines[-2:]] == ["counters", "ended"]
+    assert lines[-2]["core.batches"] >= 1
+    assert not [line for line in lines if line["level"] == "error"]
 
 
 def test_a_killed_controller_listens_again_at_once_at_its_address(tmp_path: Path) -> None:
-    text = config(discovery=9, listen=(port := free_port()))
+    port = free_port()
+    text = config(discovery=9, listen=port)
     with process(tmp_path / "config.json", text), socket.create_connection(("127.0.0.1", port)):
         assert ask(port) == b"alive\r\n"
     with process(tmp_path / "config.json", text):
@@ -57,12 +57,17 @@
 
 
 def test_no_descriptors_left_for_accepting_is_survived(tmp_path: Path) -> None:
-    text = config(discovery=9, listen=(port := free_port()))
-    few = {"preexec_fn": lambda: resource.setrlimit(resource.RLIMIT_NOFILE, (24, 24))}
-    with process(tmp_path / "config.json", text, **few) as controller:
+    port = free_port()
+    text = config(discovery=9, listen=port)
+
+    def allow_few_descriptors() -> None:
+        resource.setrlimit(resource.RLIMIT_NOFILE, (24, 24))
+
+    path = tmp_path / "config.json"
+    with process(path, text, preexec_fn=allow_few_descriptors) as controller:
         silent = [socket.create_connection(("127.0.0.1", port)) for _ in range(40)]
         while b'"loop_failed"' not in controller.stderr.readline():
             pass
-        for stranger in silent:
-            stranger.close()
+        for connection in silent:
+            connection.close()
         assert ask(port) == b"alive\r\n"
--- a/tests/net/test_resource_limits.py
+++ b/tests/net/test_resource_limits.py
@@ -9,8 +9,6 @@
 def test_limits_fit_into_memory_and_descriptors(memory_mb: int, descriptors: int) -> None:
     limits = resource_limits_for(memory_mb, descriptors)
     assert limits.buffer_bytes + 10 * limits.list_bytes < memory_mb << 20
-    assert (
-        limits.connections >= 0.8 * descriptors
-        and limits.connections + limits.health_checks + PROCESS_DESCRIPTORS < descriptors
-    )
+    assert limits.connections >= 0.8 * descriptors
+    assert limits.connections + limits.health_checks + PROCESS_DESCRIPTORS < descriptors
     assert 0 < limits.liveness_checkers < limits.connections / 8
--- a/tests/net/test_ring_buffer.py
+++ b/tests/net/test_ring_buffer.py
@@ -9,8 +9,10 @@
 
 @pytest.mark.parametrize("seed", range(20))
 def test_a_ring_buffer_is_a_bounded_queue_of_bytes(seed: int) -> None:
-    random_source, pool = random.Random(seed), MemoryPool(6000)
-    ring, plain = RingBuffer(5000, pool), bytearray()
+    random_source = random.Random(seed)
+    pool = MemoryPool(6000)
+    ring = RingBuffer(5000, pool)
+    plain = bytearray()
     for _ in range(400):
         if random_source.random() < 0.55:
             piece = bytes(random_source.choices(b"ab\n", k=random_source.randrange(1500)))
@@ -32,6 +34,7 @@
     ring = RingBuffer(8192, pool)
     assert ring.append(bytes(4000))
     pool.resize(2048)
-    assert len(ring.take(4000)) == 4000 and pool.available == 2048 and not ring.append(bytes(2049))
+    assert len(ring.take(4000)) == 4000 and pool.available == 2048
+    assert not ring.append(bytes(2049))
     pool.resize(8192)
     assert ring.append(bytes(8000))
--- a/tests/net/test_timers_and_timeouts.py
+++ b/tests/net/test_timers_and_timeouts.py
@@ -12,19 +12,11 @@
     timers = Timers()
     for due, token in ((30, 1), (10, 2), (30, 3), (20, 4)):
         timers.schedule(due, token)
-    assert (
-        timers.next_due_us(),
-        timers.pop_due(9),
-        timers.pop_due(20),
-        timers.pop_due(99),
-        timers.next_due_us(),
-    ) == (
-        10,
-        [],
-        [2, 4],
-        [1, 3],
-        None,
-    )
+    assert timers.next_due_us() == 10
+    assert timers.pop_due(9) == []
+    assert timers.pop_due(20) == [2, 4]
+    assert timers.pop_due(99) == [1, 3]
+    assert timers.next_due_us() is None
 
 
 @pytest.mark.parametrize(
@@ -34,7 +26,8 @@
     pause_s: float, after_s: float, in_time: bool
 ) -> None:
     async def run() -> bool:
-        loop, came = asyncio.get_running_loop(), asyncio.Event()
+        loop = asyncio.get_running_loop()
+        came = asyncio.Event()
         try:
             async with tolerant_timeout(0.2):
                 time.sleep(pause_s)
