--- a/plankroute/membership/core.py
+++ b/plankroute/membership/core.py
@@ -162,23 +162,23 @@
     def on_message(self, source: str, message: Message, now_us: int) -> None:
         """Take the records of a message, then answer it."""
         match message:
-            case Ping(_, _, sender, gossip):
-                self.intake.take_from(sender, gossip, now_us)
+            case Ping():
+                self.intake.take_from(message.sender, message.gossip, now_us)
                 self.ping_handler.on_ping(source, message, now_us)
-            case Ack(_, sender, gossip, _):
-                self.intake.take_from(sender, gossip, now_us)
+            case Ack():
+                self.intake.take_from(message.sender, message.gossip, now_us)
                 self.ping_handler.on_ack(source, message)
-            case IndirectPingRequest(_, _, sender, gossip):
-                self.intake.take_from(sender, gossip, now_us)
+            case IndirectPingRequest():
+                self.intake.take_from(message.sender, message.gossip, now_us)
                 self.ping_handler.on_indirect_ping_request(source, message)
-            case IndirectAck(_, target, gossip):
-                self.intake.take_all((target, *gossip), now_us)
+            case IndirectAck():
+                self.intake.take_all((message.target, *message.gossip), now_us)
                 self.ping_handler.on_indirect_ack(message)
-            case Gossip(records):
-                self.intake.take_all(records, now_us)
-            case ViewExchange(records, wanted_buckets):
-                self.intake.take_all(records, now_us, is_passed_on=False)
-                self.anti_entropy.on_wanted(source, wanted_buckets, now_us)
+            case Gossip():
+                self.intake.take_all(message.records, now_us)
+            case ViewExchange():
+                self.intake.take_all(message.records, now_us, is_passed_on=False)
+                self.anti_entropy.on_wanted(source, message.wanted_buckets, now_us)
 
     def on_leave_requested(self) -> None:
         """Begin to leave; the first announcement goes out at once."""
--- a/plankroute/net/peers/shared_discovery.py
+++ b/plankroute/net/peers/shared_discovery.py
@@ -6,9 +6,8 @@
 
 import asyncio
 from collections.abc import Callable
-from typing import Literal, cast
+from typing import cast
 
-import msgspec
 import orjson
 
 from plankroute.cold_start.backoff import BackoffFacts, RequestScheduler, Started
@@ -19,8 +18,6 @@
     Disconnect,
     ElectionFacts,
     Event,
-    FrameReceived,
-    HeartbeatReceived,
     LinkClosed,
     ListUpdated,
     LiveControllersChanged,
@@ -30,23 +27,17 @@
     Transition,
 )
 from plankroute.cold_start.endpoint_list import NO_REVISION, EndpointList, RawList
-from plankroute.cold_start.followed_links import NEVER_HEARD_US
 from plankroute.cold_start.link_codec import (
     LINK_VERSION,
-    DrainNoticeFrame,
-    Frame,
     HealthCheckResults,
-    Heartbeat,
     Hello,
-    ListPart,
-    ListStart,
 )
-from plankroute.cold_start.list_receiver import ListTransferError
 from plankroute.cold_start.watcher_election import TICK_US, WatcherElection
+from plankroute.events.events import HostState
 from plankroute.net.discovery.backoff_watch import BackoffDiscovery
-from plankroute.net.discovery.catalogue import STATES
 from plankroute.net.discovery.watch import Discovery
 from plankroute.net.peers.drain_notices import DrainNoticeOverlay
+from plankroute.net.peers.frame_handler import FrameHandler
 from plankroute.net.peers.link_client import LinkError, LinkPool, LinkTarget
 from plankroute.net.peers.link_server import LinkServer
 from plankroute.net.peers.list_transfers import ListTransfers
@@ -70,13 +61,6 @@
 )
 
 
-class ClosedEntry(msgspec.Struct):
-    """Of an entry of the list, what a drain notice needs."""
-
-    uid: str
-    state: Literal["DRAINING", "DELETED"]
-
-
 class SharedDiscovery(BackoffDiscovery):
     """Needs membership; `prepare_links` before `start`.
 
@@ -117,8 +101,9 @@
         self.server = LinkServer(self)
         self.drain_notices = DrainNoticeOverlay(self.directory, self.telemetry, self.submit)
         self.list_filter = self.drain_notices.filter_list
-        self.links = LinkPool(self.on_frame, self.on_link_closed)
         self.transfers = ListTransfers(self.limits.max_body_bytes)
+        frames = FrameHandler(self, self.transfers, self.telemetry)
+        self.links = LinkPool(frames.on_frame, self.on_link_closed)
         self.full_list_from = set[str]()  # asked for the complete list, whatever is held
         self.requesting: asyncio.Task[None] | None = None
         self.opening: asyncio.Task[None] | None = None
@@ -276,74 +261,24 @@
             raise LinkError("no list")
         self.hold_list(text, from_service=False)
 
-    # Frames
-
-    def on_frame(self, name: str, frame: Frame) -> None:
-        """Take a frame of a controller that is followed.
-
-        Raises:
-            LinkError: the link is of no more use.
-        """
-        try:
-            self.handle_frame(name, frame)
-        except (LinkError, ListTransferError) as error:
-            self.telemetry.count("links.protocol_errors")
-            self.telemetry.log.event("warning", "link_protocol_error", other=name, why=str(error))
-            raise LinkError(str(error)) from error
-
-    def handle_frame(self, name: str, frame: Frame) -> None:
-        """Handle a frame by its kind.
+    # What followed controllers say
 
-        Raises:
-            LinkError: it is not for this side, or can't be read.
-            ListTransferError: a list can't be taken.
-        """
-        match frame:
-            case ListStart():
-                try:
-                    self.transfers.receiver_for_start(name, frame).start(frame)
-                finally:
-                    self.deliver([FrameReceived(name)])
-            case ListPart(data):
-                receiver = self.transfers.receiver_of(name)
-                self.deliver([FrameReceived(name)])
-                text = receiver.add(data)
-                if text is not None:
-                    self.accept_list_from(name, text)
-            case Heartbeat(revision, age_us):
-                self.on_heartbeat(name, revision, age_us)
-            case HealthCheckResults():
-                self.on_health_checks(frame)
-            case DrainNoticeFrame(revision, entries):
-                self.deliver([FrameReceived(name)])
-                self.on_drain_notices(name, revision, entries)
-            case _:
-                raise LinkError("not for this side")
-
-    def on_heartbeat(self, name: str, revision: int, age_us: int) -> None:
+    def on_service_contact(self, age_us: int) -> None:
         """A followed controller's contact with the service is this one's too."""
-        if not self.election.is_watching and age_us < NEVER_HEARD_US:
+        if not self.election.is_watching:
             self.has_contact = True
             self.last_contact_us = max(self.last_contact_us, now_us() - age_us)
             self.clear_old()
-        self.deliver([HeartbeatReceived(name, revision, age_us)])
 
     def on_health_checks(self, frame: HealthCheckResults) -> None:
         """Results of another controller, whichever side dialled."""
         self.result_listener(frame)
 
-    def on_drain_notices(self, name: str, revision: int, entries: bytes) -> None:
-        """Drains ahead of their list.
-
-        Raises:
-            LinkError: they can't be read.
-        """
-        try:
-            closed = msgspec.json.decode(entries, type=list[ClosedEntry])
-        except msgspec.MsgspecError as error:
-            raise LinkError("no drains") from error
-        states = [(entry.uid, STATES[entry.state]) for entry in closed]
-        self.drain_notices.receive(name, revision, states)
+    def on_drain_notices(
+        self, name: str, revision: int, closed: list[tuple[str, HostState]]
+    ) -> None:
+        """Drains ahead of their list."""
+        self.drain_notices.receive(name, revision, closed)
 
     # Links
 
