--- a/plankroute/net/peers/link_server.py
+++ b/plankroute/net/peers/link_server.py
@@ -40,12 +40,12 @@
 class ViewStore(Protocol):
     """Who knows what is learned of hosts, and keeps it for others: `peers.warm_start`."""
 
-    most: int
+    max_view_bytes: int
 
-    def for_another(self, name: str) -> list[tuple[str, int, bytes]]:
+    def views_for(self, name: str) -> list[tuple[str, int, bytes]]:
         """Views for that controller: whose, age in microseconds, bytes."""
 
-    def keep(self, name: str, data: bytes) -> None:
+    def keep_handover(self, name: str, data: bytes) -> None:
         """Keep a view for the successor of that name."""
 
 
@@ -164,10 +164,10 @@
         assert self.views
         async with asyncio.timeout(WRITE_TIMEOUT_S):
             if isinstance(first, WarmStartHandover):
-                async for view in read_views(reader, decoder, self.views.most):
-                    self.views.keep(first.name, view.data)
+                async for view in read_views(reader, decoder, self.views.max_view_bytes):
+                    self.views.keep_handover(first.name, view.data)
                 return
-            for name, age_us, data in self.views.for_another(first.name):
+            for name, age_us, data in self.views.views_for(first.name):
                 for frame in view_frames(name, age_us, data):
                     writer.write(frame)
                     await writer.drain()
--- a/plankroute/net/peers/snapshot_exchange.py
+++ b/plankroute/net/peers/snapshot_exchange.py
@@ -63,7 +63,7 @@
     """Asks peers, answers them, and hands over to one.
 
     Attributes:
-        most: The largest snapshot that is read from a link, in bytes.
+        max_view_bytes: The largest snapshot that is read from a link, in bytes.
         peers: Living controllers, in the order in which they are asked.
         handovers: What others handed over here, by their names, oldest first.
     """
@@ -83,13 +83,13 @@
         self.telemetry = telemetry
         self.current = current
         self.on_snapshot = on_snapshot
-        self.most = MAX_FILE_BYTES
+        self.max_view_bytes = MAX_FILE_BYTES
         self.handovers: dict[str, Handover] = {}
         self.peers: Callable[[], list[Peer]] = list
 
-    # Serving others; the names are those of the protocol `Views` of the link server.
+    # Serving others; the names are those of the protocol `ViewStore` of the link server.
 
-    def for_another(self, name: str) -> list[EncodedSnapshot]:
+    def views_for(self, name: str) -> list[EncodedSnapshot]:
         """What is known here, and what the asking controller handed over here as it last ended."""
         snapshots = [(self.controller, 0, encode_snapshot(self.current()))]
         handover = self.handovers.get(name)
@@ -98,7 +98,7 @@
         self.telemetry.count("warm_start.requests_served")
         return snapshots
 
-    def keep(self, name: str, data: bytes) -> None:
+    def keep_handover(self, name: str, data: bytes) -> None:
         """Holds the newest handover of a controller, of `MAX_HANDOVERS` controllers at most."""
         snapshot = decode_snapshot(data)
         if snapshot is None or snapshot.controller != name:
@@ -169,7 +169,7 @@
         reader, writer = await self.connect(peer.address)
         try:
             writer.write(encode_frame(WarmStartRequest(LINK_VERSION, self.group, self.controller)))
-            async for snapshot in read_views(reader, FrameDecoder(), self.most):
+            async for snapshot in read_views(reader, FrameDecoder(), self.max_view_bytes):
                 snapshots.append(snapshot)
         finally:
             writer.transport.abort()
--- a/tests/warm_start/test_snapshot_exchange.py
+++ b/tests/warm_start/test_snapshot_exchange.py
@@ -101,10 +101,10 @@
     exchange = new_exchange([])
     for number in range(40):
         name = f"n{number}"
-        exchange.keep(name, encode_snapshot(snapshot_of(HEALTHY, controller=name)))
-    exchange.keep("n39", encode_snapshot(snapshot_of(UNHEALTHY, controller="n39")))
-    exchange.keep("n38", encode_snapshot(snapshot_of(UNHEALTHY, controller="somebody")))
-    exchange.keep("n37", b"noise")
+        exchange.keep_handover(name, encode_snapshot(snapshot_of(HEALTHY, controller=name)))
+    exchange.keep_handover("n39", encode_snapshot(snapshot_of(UNHEALTHY, controller="n39")))
+    exchange.keep_handover("n38", encode_snapshot(snapshot_of(UNHEALTHY, controller="somebody")))
+    exchange.keep_handover("n37", b"noise")
     assert len(exchange.handovers) == 16
     newest = decode_snapshot(exchange.handovers["n39"].data)
     assert newest
