--- a/plankroute/controller/controller.py
+++ b/plankroute/controller/controller.py
@@ -94,7 +94,7 @@
         return [
             self._knowledge_of(host, index)
             for host, index in host_table.index_of.items()
-            if host_table.state[index] is HostState.READY and self.hosts[index].found_out
+            if host_table.state[index] is HostState.READY and self.hosts[index].has_own_knowledge
         ]
 
     def _knowledge_of(self, host: int, index: int) -> events.HostPriorKnowledge:
@@ -229,13 +229,11 @@
             self.scheduler.put(host, Tick.TURN)
         self.scheduler.put(self.policy.weights, Tick.TURN)
         self.scheduler.put(self.policy.admission, Tick.TURN)
-        self._forget_hosts(self.publisher.long_gone())
+        self._forget_hosts(self.publisher.expired_hosts())
 
     def _forget_hosts(self, hosts: list[int]) -> None:
         for host in hosts:
             index = self.host_table.remove(host)
             self.host_table.possibly_withdrawn.discard(index)
-            self.publisher.withdrawn.discard(index)
-            self.publisher.due.discard(index)
-            self.publisher.notified.pop(index, None)
+            self.publisher.forget_host(index)
             self.scheduler.out.append(commands.ForgetHost(host))
--- a/plankroute/policy/drains.py
+++ b/plankroute/policy/drains.py
@@ -150,6 +150,11 @@
             and not self.registry.tables_with(index)
         ]
 
+    def forget(self, index: int) -> None:
+        """Forgets a host: another one may get its index."""
+        self.withdrawn.discard(index)
+        self.pending.discard(index)
+
     def _urgency(self, host: int) -> tuple[bool, int, int]:
         """Sorts hosts that tables name first, then those that were removed last."""
         is_in_no_table = not self.registry.tables_with(host)
--- a/plankroute/policy/host.py
+++ b/plankroute/policy/host.py
@@ -30,8 +30,8 @@
         index: Index of the host in the table.
         health: Its health checks and ejection.
         ramp: Its warm-up.
-        found_out: Whether this controller has found out anything of the host's present process by
-            itself. Prior knowledge is not passed on.
+        has_own_knowledge: Whether this controller has found out anything of the host's present
+            process by itself. Prior knowledge is not passed on.
     """
 
     def __init__(
@@ -49,7 +49,7 @@
         self.index = index
         self.health = HostHealth(scheduler, host_table, prior, index)
         self.ramp = Ramp()
-        self.found_out = False
+        self.has_own_knowledge = False
         host_table.decayed_at_us[index] = scheduler.now
         host_table.heard_at_us[index] = scheduler.now
 
@@ -104,7 +104,7 @@
         host_table.heard_at_us[index] = self.scheduler.now
         self.ramp.readmission_share = 1.0
         self.health.required_checks = GOOD_CHECKS_TO_READMIT
-        self.found_out = False
+        self.has_own_knowledge = False
         self.prior.discard(index)
         if host_table.usual_weight_by_type:
             host_table.weight[index] = host_table.usual_weight_of_type(index)
@@ -121,7 +121,7 @@
         host_table.decay(index, now, STATS_HALF_LIFE_US)
         host_table.heard_at_us[index] = now
         host_table.heard_since_turn[index] = True
-        self.found_out = True
+        self.has_own_knowledge = True
         served = 0
         latency_sum_us = 0.0
         if 0 < stats.mean_latency_us < NO_CAP:
@@ -143,7 +143,7 @@
         if result.age_us > STATS_HALF_LIFE_US:
             return
         if self.health.on_check(result):
-            self.found_out = True
+            self.has_own_knowledge = True
 
     def on_prior_knowledge(self, event: events.HostPriorKnowledge) -> None:
         """Starts from prior knowledge, as long as the controller knows nothing better itself."""
--- a/plankroute/policy/publisher.py
+++ b/plankroute/policy/publisher.py
@@ -82,15 +82,15 @@
         """Hosts that proxies have a command to withdraw, by index."""
         return self.drains.withdrawn
 
-    @property
-    def due(self) -> set[int]:
-        """Hosts still to be withdrawn, by index."""
-        return self.drains.pending
-
-    def long_gone(self) -> list[int]:
+    def expired_hosts(self) -> list[int]:
         """Returns the ids of removed hosts of which nothing has to be remembered any more."""
         return self.drains.expired_hosts()
 
+    def forget_host(self, index: int) -> None:
+        """Forgets a host: another one may get its index."""
+        self.drains.forget(index)
+        self.notified.pop(index, None)
+
     def handle(self, event: PublisherEvent) -> None:
         """Takes in what concerns proxies and drains; writes on a tick."""
         match event:
