--- a/tests/support/controller_model.py
+++ b/tests/support/controller_model.py
@@ -1,6 +1,11 @@
-"""A slow, plain model of proxies, channel and rules: it applies a steward's orders and objects to breaks."""
+"""A slow, plain model of proxies, channel and rules, which a controller is run against.
 
-from dataclasses import replace
+It applies the controller's commands and fails at the first break of a rule.
+"""
+
+from collections.abc import Iterable
+from dataclasses import dataclass, replace
+from typing import Any
 
 from plankroute.controller.controller import Controller
 from plankroute.events import commands, events
@@ -15,11 +20,13 @@
     StartFacts,
 )
 
-SECOND = 1_000_000
+SECOND = 1_000_000  # microseconds
 READY, DRAINING, GONE = HostState.READY, HostState.DRAINING, HostState.GONE
+NO_TABLE = -1
 
 
-def product(**changes) -> RequestClassFacts:
+def product(**changes: Any) -> RequestClassFacts:  # noqa: ANN401 - fields of all types
+    """A plain request class with some fields changed."""
     plain = RequestClassFacts(
         latency_objective_us=SECOND,
         deadline_us=4 * SECOND,
@@ -32,7 +39,8 @@
     return replace(plain, **changes)
 
 
-def start_facts(**changes) -> StartFacts:
+def start_facts(**changes: Any) -> StartFacts:  # noqa: ANN401 - fields of all types
+    """Facts of a small site with some fields changed."""
     plain = StartFacts(
         request_classes=(product(),),
         zones=3,
@@ -79,188 +87,315 @@
     weight: float = 1.0,
     started_us: int = 0,
 ) -> events.HostEntry:
+    """An entry of a host list; `kind` is the machine type."""
     return events.HostEntry(host, state, zone, kind, 0, weight, started_us)
 
 
 def full(*entries: events.HostEntry) -> events.HostList:
+    """A whole host list."""
     return events.HostList(ListKind.FULL, entries)
 
 
 def changes(*entries: events.HostEntry) -> events.HostList:
+    """Changes of a host list."""
     return events.HostList(ListKind.CHANGES, entries)
 
 
+@dataclass(slots=True)
+class QueuedMessage:
+    """A message in the channel.
+
+    Attributes:
+        proxy: The recipient.
+        lines_left: Lines of it that have not left yet.
+        sequence_number: What the proxy acknowledges when all of it has left, if anything.
+    """
+
+    proxy: int
+    lines_left: float
+    sequence_number: int | None
+
+
+@dataclass(frozen=True, slots=True)
+class RunningTimer:
+    """A timer that the controller has set."""
+
+    due_us: int
+    token: int
+
+
+@dataclass(frozen=True, slots=True)
+class SentMessage:
+    """A message that the controller wrote."""
+
+    at_us: int
+    proxy: int
+
+
 class Bench:
-    """One steward, its channel of a given speed, and proxies that do as their messages say."""
+    """One controller, its channel of a given speed, and proxies that do as their messages say.
+
+    What a command sets holds at once, but its lines go through the channel.
+
+    Attributes:
+        facts: What the controller was told at its start.
+        rate: Lines that the channel carries a second; tests change it.
+        controller: The controller under test.
+        now: The clock, in microseconds.
+        hosts: The last entry of each host, by id.
+        lines: By table, weight by host.
+        levels: All admission limits that were set, in their order.
+        withdrawn: Hosts that are withdrawn.
+        bound: Table by proxy and request class.
+        most_waiting: The most lines that ever waited in the channel.
+        log: All commands, in their order.
+    """
 
     def __init__(
         self, facts: StartFacts, speed: float = 1.0, controller: Controller | None = None
     ) -> None:
-        self.facts, self.rate = facts, facts.channel_lines_per_s * speed
+        """Starts the controller.
+
+        Args:
+            facts: What it is told.
+            speed: Pace of the channel as a multiple of what the facts state.
+            controller: One to use instead.
+        """
+        self.facts = facts
+        self.rate = facts.channel_lines_per_s * speed
         self.controller = controller or Controller(facts, 7)
-        self.now, self.timers = 100 * SECOND, []
+        self.now = 100 * SECOND
         self.hosts: dict[int, events.HostEntry] = {}
-        self.told: dict[int, int] = {}  # since when the steward knows that a host is not ready
         self.lines: dict[int, dict[int, float]] = {}
         self.levels: list[commands.SetAdmissionLimit] = []
         self.withdrawn: set[int] = set()
-        self.joined: dict[int, int] = {}  # proxy: zone
-        self.since: dict[int, int] = {}
-        self.bound: dict[tuple[int, int], int] = {}  # proxy and product: table
-        self.queue: list[list] = []  # proxy, lines left, mark
-        self.most_waiting, self.sent = 0, []
-        self.bare_since: dict[tuple[int, int], int] = {}  # the last time that it was not
+        self.bound: dict[tuple[int, int], int] = {}
+        self.most_waiting = 0.0
         self.log: list[commands.Command] = []
+        self._request_classes = range(len(facts.request_classes))
+        self._unready_since: dict[int, int] = {}  # by host: since when the controller knows
+        self._zone_of_proxy: dict[int, int] = {}  # joined proxies
+        self._joined_at: dict[int, int] = {}  # by proxy, its last joining
+        self._endpoints_seen_at: dict[tuple[int, int], int] = {}  # by proxy and request class
+        self._timers: list[RunningTimer] = []
+        self._queue: list[QueuedMessage] = []
+        self._sent: list[SentMessage] = []
 
     def give(self, *batch: events.Event) -> list[commands.Command]:
-        for note in batch:
-            self.learn(note)
+        """Delivers a batch, applies the commands and checks the rules; returns the commands."""
+        for event in batch:
+            self._observe(event)
         out = self.controller.deliver(self.now, list(batch))
         self.log += out
-        self.obey(out)
-        self.check()
+        self._apply(out)
+        self._check_rules()
         return out
 
-    def learn(self, note: events.Event) -> None:
-        match note:
-            case events.HostList(kind=kind, entries=entries) if kind is not ListKind.FAILED:
-                named = {item.host: item for item in entries}
-                if kind is not ListKind.CHANGES:
-                    for host, old in self.hosts.items():
-                        named.setdefault(host, replace(old, state=GONE))
-                self.hosts |= named
-                for host, item in self.hosts.items():
-                    if item.state is READY:
-                        self.told.pop(host, None)
-                    else:
-                        self.told.setdefault(host, self.now)
+    def pass_time(self, us: int, step: int = 100_000) -> None:
+        """Lets time pass in steps: timers expire, and the channel carries lines."""
+        end = self.now + us
+        while self.now < end:
+            self.now += step
+            due = [timer for timer in self._timers if timer.due_us <= self.now]
+            self._timers = [timer for timer in self._timers if timer.due_us > self.now]
+            expired = [events.TimerExpired(timer.token) for timer in due]
+            acknowledged = self._carry_lines(self.rate * step / SECOND)
+            self.give(*expired, *acknowledged)
+
+    def picks(self, proxy: int, place: int) -> dict[int, float]:
+        """Weights of the hosts that a proxy may send a request class (by index) to."""
+        routes = self.lines.get(self.bound.get((proxy, place), NO_TABLE), {})
+        return {host: weight for host, weight in routes.items() if host not in self.withdrawn}
+
+    # Events
+
+    def _observe(self, event: events.Event) -> None:
+        match event:
+            case events.HostList(kind=ListKind.FAILED):
+                pass
+            case events.HostList():
+                self._observe_list(event)
             case events.ProxyJoined(proxy=proxy, zone=zone):
-                self.forget(proxy)
-                self.joined[proxy], self.since[proxy] = zone, self.now
+                self._forget_proxy(proxy)
+                self._zone_of_proxy[proxy] = zone
+                self._joined_at[proxy] = self.now
             case events.ProxyLeft(proxy=proxy):
-                self.forget(proxy)
+                self._forget_proxy(proxy)
+
+    def _observe_list(self, listed: events.HostList) -> None:
+        named = {item.host: item for item in listed.entries}
+        if listed.kind is not ListKind.CHANGES:
+            for host, item in self.hosts.items():
+                named.setdefault(host, replace(item, state=GONE))
+        self.hosts |= named
+        for host, item in self.hosts.items():
+            if item.state is READY:
+                self._unready_since.pop(host, None)
+            else:
+                self._unready_since.setdefault(host, self.now)
 
-    def forget(self, proxy: int) -> None:
-        self.joined.pop(proxy, None)
+    def _forget_proxy(self, proxy: int) -> None:
+        self._zone_of_proxy.pop(proxy, None)
         self.bound = {key: table for key, table in self.bound.items() if key[0] != proxy}
-        self.queue = [item for item in self.queue if item[0] != proxy]
+        self._queue = [message for message in self._queue if message.proxy != proxy]
 
-    def users(self, table: int | None) -> set[int]:
-        return {proxy for (proxy, _), number in self.bound.items() if number == table}
+    # Commands
 
-    def obey(self, out: list[commands.Command]) -> None:
-        """The orders' standing effect at once, their lines through the channel."""
-        cost: dict[int, int] = {}
-        mark = None
-        for order in out:
-            users: set[int] = set()
-            lines = 1
-            match order:
-                case commands.SetTimer(after_us, token):
-                    self.timers.append((self.now + after_us, token))
-                case commands.SetRoute(table, host, weight):
-                    assert host in self.hosts and weight >= 0
-                    held = self.lines.setdefault(table, {})
-                    held[host] = weight
-                    if not weight:
-                        del held[host]
-                    users = self.users(table)
-                case commands.WithdrawHost(host, out_):
-                    assert host in self.hosts
-                    products = range(len(self.facts.request_classes))
-                    users = {
-                        p
-                        for p in self.joined
-                        if not any((p, i) in self.bound for i in products)
-                        or host in {h for i in products for h in self.picks(p, i)}
-                    }
-                    (self.withdrawn.add if out_ else self.withdrawn.discard)(host)
-                case commands.SetAdmissionLimit(table, _, level, retry):
-                    assert level >= 0 and retry <= commands.RetryPolicy.IF_NOT_EXECUTED
-                    self.levels.append(order)
-                    users = self.users(table)
-                case commands.BindProxy(table, proxy, products):
-                    assert proxy in self.since and not self.facts.slices
-                    if proxy not in self.joined:
-                        continue  # it left meanwhile: nothing happens
-                    for place in products or range(len(self.facts.request_classes)):
-                        self.bound[proxy, place] = table
-                    users, lines = {proxy}, 1 + len(self.lines.get(table, {}))
-                case commands.RequestAcknowledgement(sequence_number):
-                    assert 0 <= sequence_number < 65536
-                    mark = sequence_number
-                case commands.CheckHealth(host):
-                    assert host in self.hosts and self.facts.health_checks_allowed
-            for proxy in users:
-                cost[proxy] = cost.get(proxy, self.facts.message_overhead_lines) + lines
-        self.queue += [[proxy, lines + (mark is not None), mark] for proxy, lines in cost.items()]
-        self.sent = [
-            (at, proxy) for at, proxy in self.sent if at > self.now - self.facts.message_window_us
-        ]
-        self.sent += [(self.now, proxy) for proxy in cost]
-        self.most_waiting = max(self.most_waiting, sum(item[1] for item in self.queue))
+    def _apply(self, out: list[commands.Command]) -> None:
+        lines_to: dict[int, int] = {}  # lines of this batch's message to each proxy
+        sequence_number = None
+        for command in out:
+            recipients, lines = self._apply_command(command)
+            for proxy in recipients:
+                written = lines_to.get(proxy, self.facts.message_overhead_lines)
+                lines_to[proxy] = written + lines
+            if isinstance(command, commands.RequestAcknowledgement):
+                sequence_number = command.sequence_number
+        self._send(lines_to, sequence_number)
 
-    def pass_time(self, us: int, step: int = 100_000) -> None:
-        end = self.now + us
-        while self.now < end:
-            self.now += step
-            due = [token for at, token in self.timers if at <= self.now]
-            self.timers = [(at, token) for at, token in self.timers if at > self.now]
-            answers = self.drain(self.rate * step / SECOND)
-            self.give(*[events.TimerExpired(token) for token in due], *answers)
-
-    def drain(self, room: float) -> list[events.Event]:
-        answers: list[events.Event] = []
-        while self.queue and room > 0:
-            sent = min(room, self.queue[0][1])
-            room -= sent
-            self.queue[0][1] -= sent
-            if self.queue[0][1] <= 0:
-                proxy, _, mark = self.queue.pop(0)
-                if mark is not None:
-                    answers.append(events.Acknowledged(proxy, mark, 0))
-        return answers
-
-    def open_to(self, place: int, zone: int, host: int) -> bool:
-        item, facts = self.hosts[host], self.facts.request_classes[place]
-        return (
-            (facts.zones is None or item.zone in facts.zones)
-            and (facts.machine_types is None or item.machine_type in facts.machine_types)
-            and (not facts.stays_in_zone or item.zone == zone)
+    def _apply_command(self, command: commands.Command) -> tuple[set[int], int]:
+        """Applies a command; returns the proxies it writes to, and the lines to each of them."""
+        match command:
+            case commands.SetTimer(after_us, token):
+                self._timers.append(RunningTimer(self.now + after_us, token))
+            case commands.SetRoute():
+                self._set_route(command)
+                return self._users(command.table), 1
+            case commands.WithdrawHost():
+                return self._withdraw(command), 1
+            case commands.SetAdmissionLimit():
+                assert command.limit >= 0
+                assert command.retry <= commands.RetryPolicy.IF_NOT_EXECUTED
+                self.levels.append(command)
+                return self._users(command.table), 1
+            case commands.BindProxy():
+                return self._bind(command)
+            case commands.RequestAcknowledgement():
+                assert 0 <= command.sequence_number < 65536
+            case commands.CheckHealth():
+                assert command.host in self.hosts
+                assert self.facts.health_checks_allowed
+        return set(), 0
+
+    def _set_route(self, command: commands.SetRoute) -> None:
+        assert command.host in self.hosts
+        assert command.weight >= 0
+        routes = self.lines.setdefault(command.table, {})
+        routes[command.host] = command.weight
+        if not command.weight:
+            del routes[command.host]
+
+    def _withdraw(self, command: commands.WithdrawHost) -> set[int]:
+        assert command.host in self.hosts
+        recipients = {proxy for proxy in self._zone_of_proxy if self._may_use(proxy, command.host)}
+        if command.withdrawn:
+            self.withdrawn.add(command.host)
+        else:
+            self.withdrawn.discard(command.host)
+        return recipients
+
+    def _may_use(self, proxy: int, host: int) -> bool:
+        """Whether the proxy is on unknown tables, or may send to the host by its tables."""
+        is_bound = any((proxy, place) in self.bound for place in self._request_classes)
+        return not is_bound or any(
+            host in self.picks(proxy, place) for place in self._request_classes
         )
 
-    def picks(self, proxy: int, place: int) -> dict[int, float]:
-        lines = self.lines.get(self.bound.get((proxy, place), -1), {})
-        return {host: weight for host, weight in lines.items() if host not in self.withdrawn}
+    def _bind(self, command: commands.BindProxy) -> tuple[set[int], int]:
+        assert command.proxy in self._joined_at
+        assert not self.facts.slices
+        if command.proxy not in self._zone_of_proxy:
+            return set(), 0  # it left meanwhile: nothing happens
+        for place in command.products or self._request_classes:
+            self.bound[command.proxy, place] = command.table
+        return {command.proxy}, 1 + len(self.lines.get(command.table, {}))
 
-    def warm(self, host: int) -> bool:
-        item = self.hosts[host]
-        return item.state is READY and self.now - item.started_us >= self.facts.warmup_us
+    def _users(self, table: int | None) -> set[int]:
+        return {proxy for (proxy, _), number in self.bound.items() if number == table}
+
+    # The channel
 
-    def check(self) -> None:
-        """Stricter than the rules: orders must settle in half of the time that they allow."""
-        grace = self.facts.drain_grace_us / 2
+    def _send(self, lines_to: dict[int, int], sequence_number: int | None) -> None:
+        acknowledgement_lines = 0 if sequence_number is None else 1
+        for proxy, lines in lines_to.items():
+            message = QueuedMessage(proxy, lines + acknowledgement_lines, sequence_number)
+            self._queue.append(message)
+        window_start = self.now - self.facts.message_window_us
+        self._sent = [sent for sent in self._sent if sent.at_us > window_start]
+        self._sent += [SentMessage(self.now, proxy) for proxy in lines_to]
+        waiting = sum(message.lines_left for message in self._queue)
+        self.most_waiting = max(self.most_waiting, waiting)
+
+    def _carry_lines(self, capacity: float) -> list[events.Event]:
+        """Lets so many lines leave the channel; returns the acknowledgements."""
+        acknowledged: list[events.Event] = []
+        while self._queue and capacity > 0:
+            message = self._queue[0]
+            carried = min(capacity, message.lines_left)
+            capacity -= carried
+            message.lines_left -= carried
+            if message.lines_left > 0:
+                continue
+            del self._queue[0]
+            if message.sequence_number is not None:
+                acknowledged.append(events.Acknowledged(message.proxy, message.sequence_number, 0))
+        return acknowledged
+
+    # The rules
+
+    def _check_rules(self) -> None:
+        """Stricter than the rules: commands must settle in half of the time that they allow."""
         assert self.most_waiting <= self.facts.backlog_cap_lines, "the queue grew past its limit"
-        for proxy, zone in self.joined.items():
-            written = sum(at >= self.since[proxy] and to == proxy for at, to in self.sent)
-            assert (
-                not self.facts.max_messages_per_window
-                or written <= self.facts.max_messages_per_window
-            ), "too many messages"
-            for place in range(len(self.facts.request_classes)):
-                picks = self.picks(proxy, place)
-                told = {h: max(self.told[h], self.since[proxy]) for h in picks if h in self.told}
-                late = [h for h, at in told.items() if self.now - at > grace]
-                assert not late, "a drained host is still picked"
-                assert all(self.open_to(place, zone, host) for host in picks), (
-                    "a product where it may not go"
-                )
-                ready = [
-                    host
-                    for host in self.hosts
-                    if self.warm(host) and self.open_to(place, zone, host)
-                ]
-                if picks or not ready or (proxy, place) not in self.bound:
-                    self.bare_since[proxy, place] = self.now
-                bare = self.now - max(self.since[proxy], self.bare_since[proxy, place])
-                assert bare <= self.facts.max_unbound_us / 2, "a proxy has nobody to pick"
+        for proxy in self._zone_of_proxy:
+            self._check_message_limit(proxy)
+            for place in self._request_classes:
+                self._check_drained_hosts(proxy, place)
+                self._check_allowed_hosts(proxy, place)
+                self._check_endpoints_left(proxy, place)
+
+    def _check_message_limit(self, proxy: int) -> None:
+        limit = self.facts.max_messages_per_window
+        joined_at = self._joined_at[proxy]
+        sent = sum(sent.at_us >= joined_at and sent.proxy == proxy for sent in self._sent)
+        assert not limit or sent <= limit, "too many messages"
+
+    def _check_drained_hosts(self, proxy: int, place: int) -> None:
+        grace_us = self.facts.drain_grace_us / 2
+        for host in self.picks(proxy, place):
+            if host in self._unready_since:
+                known_since = max(self._unready_since[host], self._joined_at[proxy])
+                assert self.now - known_since <= grace_us, "a drained host is still picked"
+
+    def _check_allowed_hosts(self, proxy: int, place: int) -> None:
+        zone = self._zone_of_proxy[proxy]
+        for host in self.picks(proxy, place):
+            assert self._may_serve(host, place, zone), "a request class where it may not go"
+
+    def _check_endpoints_left(self, proxy: int, place: int) -> None:
+        key = (proxy, place)
+        zone = self._zone_of_proxy[proxy]
+        could_serve = self._warm_hosts(place, zone)
+        if self.picks(proxy, place) or not could_serve or key not in self.bound:
+            self._endpoints_seen_at[key] = self.now
+        last_seen = max(self._joined_at[proxy], self._endpoints_seen_at[key])
+        limit_us = self.facts.max_unbound_us / 2
+        assert self.now - last_seen <= limit_us, "a proxy has nobody to pick"
+
+    def _warm_hosts(self, place: int, zone: int) -> Iterable[int]:
+        return [
+            host
+            for host, item in self.hosts.items()
+            if item.state is READY
+            and self.now - item.started_us >= self.facts.warmup_us
+            and self._may_serve(host, place, zone)
+        ]
+
+    def _may_serve(self, host: int, place: int, proxy_zone: int) -> bool:
+        """Whether the request class may go from proxies of this zone to the host."""
+        item = self.hosts[host]
+        facts = self.facts.request_classes[place]
+        if facts.zones is not None and item.zone not in facts.zones:
+            return False
+        if facts.machine_types is not None and item.machine_type not in facts.machine_types:
+            return False
+        return not facts.stays_in_zone or item.zone == proxy_zone
