--- a/plankroute/seeded_random.py
+++ b/plankroute/seeded_random.py
@@ -1,10 +1,10 @@
-"""Random numbers that are the same for the same seed and number of draws."""
+"""Random numbers that are the same for the same seed and number of draws, in any process."""
 
 import zlib
 
 
 class SeededRandom:
-    """A stream of random numbers, made of a seed and a counter.
+    """A stream of random numbers: the checksum of the seed and a counter.
 
     Attributes:
         seed: The seed.
@@ -16,6 +16,6 @@
         self.draws = 0
 
     def draw(self) -> float:
-        """The next number, from 0 to under 1."""
+        """Returns the next number, from 0 to under 1."""
         self.draws += 1
         return zlib.crc32(f"{self.seed}:{self.draws}".encode()) / 2**32
