--- a/plankroute/net/discovery/watch.py
+++ b/plankroute/net/discovery/watch.py
@@ -36,7 +36,9 @@
 class ListFilter(Protocol):
     """Changes a list on its way to the core; it knows of drains ahead of lists."""
 
-    def __call__(self, revision: int, whole: bool, listed: events.HostList, /) -> events.HostList:
+    def __call__(
+        self, revision: int, is_complete: bool, listed: events.HostList, /
+    ) -> events.HostList:
         """Returns what the core is to be told."""
 
 
--- a/plankroute/net/proxies/connection_table.py
+++ b/plankroute/net/proxies/connection_table.py
@@ -37,7 +37,7 @@
         """Takes a connection that was just accepted, and makes room for it."""
         self.connections[connection] = None
         self.unidentified[connection] = None
-        self._make_room()
+        self._enforce_limit()
 
     def remove(self, connection: Connection) -> None:
         """The connection takes no room any more."""
@@ -91,7 +91,7 @@
                 self.telemetry.count("dropped.collectors")
                 other.outbound.abort()
 
-    def _make_room(self) -> None:
+    def _enforce_limit(self) -> None:
         """Closes one connection where they are too many: monitors first, then unidentified ones.
 
         Guards against proxies back from a network cut that are rejected unheard, for the room is
--- a/plankroute/net/proxies/line_codec.py
+++ b/plankroute/net/proxies/line_codec.py
@@ -253,10 +253,10 @@
 
 def parse_load_report(body: bytes) -> LoadReport | None:
     """Returns the load report in the body of a health check's response, if there is one."""
-    format_name, _, rest = body.decode("ascii", "replace").strip().partition(" ")
+    format_name, _, fields = body.decode("ascii", "replace").strip().partition(" ")
     if format_name != "TEXT":
         return None
-    return _load_report_from(pair.strip().partition("=") for pair in rest.split(","))
+    return _load_report_from(pair.strip().partition("=") for pair in fields.split(","))
 
 
 def _load_report_from(pairs: Iterable[tuple[str, str, str]]) -> LoadReport:
