--- a/plankroute/net/peers/link_server.py
+++ b/plankroute/net/peers/link_server.py
@@ -24,7 +24,7 @@
     FollowerConnection,
     LinkOwner,
 )
-from plankroute.net.peers.link_frames import read_views, view_frames
+from plankroute.net.peers.link_frames import READ_BYTES, read_views, view_frames
 from plankroute.net.process.address import host_and_port
 
 HELLO_TIMEOUT_S = 2.0  # a guess
@@ -32,7 +32,6 @@
 MAX_LINKS = 512
 # Of a list that is handed out: a drain notice can't overtake what waits there any more.
 MAX_UNSENT_BYTES = PART_BYTES
-READ_BYTES = 65536  # from the socket at once
 
 FirstFrame = Hello | WarmStartRequest | WarmStartHandover
 
--- a/tests/cold_start/test_backoff_discovery.py
+++ b/tests/cold_start/test_backoff_discovery.py
@@ -33,7 +33,7 @@
     async def scene() -> Event:
         async with asyncio.timeout(20), await asyncio.start_server(serve, "127.0.0.1", 0) as server:
             port = server.sockets[0].getsockname()[1]
-            careful = BackoffDiscovery(
+            discovery = BackoffDiscovery(
                 f"127.0.0.1:{port}",
                 1 << 20,
                 Directory(Clock(), ("a",), ("m",), ()),
@@ -42,9 +42,9 @@
                 False,
                 [].append,
             )
-            careful.prepare(BackoffFacts(0, 1, 20.0, SECOND, SECOND), SECOND, 1)
-            careful.revision = 5
-            return await careful.request_once()
+            discovery.prepare(BackoffFacts(0, 1, 20.0, SECOND, SECOND), SECOND, 1)
+            discovery.revision = 5
+            return await discovery.request_once()
 
     event = asyncio.run(scene())
     assert isinstance(event, expected)
--- a/tests/cold_start/test_drain_notices.py
+++ b/tests/cold_start/test_drain_notices.py
@@ -20,37 +20,43 @@
 
 
 def test_a_drain_notice_holds_until_a_list_of_its_revision_says_otherwise() -> None:
-    early = DrainNotices()
-    assert early.receive(
+    notices = DrainNotices()
+    assert notices.receive(
         0, "n1", 7, [*DRAINS, ("d", HostState.READY)], own_revision=5, listed_hosts=10
     ) == [
         "a",
         "b",
         "c",
     ]
-    assert not early.receive(0, "n2", 7, DRAINS, 5, 10)  # known already
-    assert not early.receive(0, "n2", 5, [("e", HostState.GONE)], 5, 10)  # the list held says more
-    assert early.receive(0, "n2", 8, DRAINS[:1], 5, 10) == ["a"]
-    assert not early.on_list(6) and early.on_list(7) == ["b", "c"] and early.on_list(None) == ["a"]
-    assert not early.by_host
+    assert not notices.receive(0, "n2", 7, DRAINS, 5, 10)  # known already
+    assert not notices.receive(
+        0, "n2", 5, [("e", HostState.GONE)], 5, 10
+    )  # the list held says more
+    assert notices.receive(0, "n2", 8, DRAINS[:1], 5, 10) == ["a"]
+    assert (
+        not notices.on_list(6)
+        and notices.on_list(7) == ["b", "c"]
+        and notices.on_list(None) == ["a"]
+    )
+    assert not notices.by_host
 
 
 def test_a_peer_can_close_half_of_the_hosts_and_only_for_a_while() -> None:
     """Guards against false notices that leave proxies nobody to pick."""
-    early = DrainNotices()
+    notices = DrainNotices()
     false_notices = [(f"h{host}", HostState.GONE) for host in range(10)]
-    assert len(early.receive(0, "false", 99, false_notices, 5, 10)) == 5 and early.rejected == 5
-    assert early.receive(SECOND, "n2", 9, [("h0", HostState.DRAINING)], 5, 10) == []
-    assert not early.expire(60 * SECOND) and len(early.expire(61 * SECOND)) == 5
-    early.receive(0, "false", 99, false_notices, 5, 10)
-    early.receive(0, "n2", 9, [("x", HostState.DRAINING)], 5, 100)
-    assert len(early.retract("false")) == 5 and list(early.by_host) == ["x"]
+    assert len(notices.receive(0, "false", 99, false_notices, 5, 10)) == 5 and notices.rejected == 5
+    assert notices.receive(SECOND, "n2", 9, [("h0", HostState.DRAINING)], 5, 10) == []
+    assert not notices.expire(60 * SECOND) and len(notices.expire(61 * SECOND)) == 5
+    notices.receive(0, "false", 99, false_notices, 5, 10)
+    notices.receive(0, "n2", 9, [("x", HostState.DRAINING)], 5, 100)
+    assert len(notices.retract("false")) == 5 and list(notices.by_host) == ["x"]
 
 
 def test_drain_notices_lie_over_lists_and_give_way_to_the_lists_own_state() -> None:
-    told, telemetry = [], Telemetry(EventLog("n0", lambda line: None))
+    submitted, telemetry = [], Telemetry(EventLog("n0", lambda line: None))
     directory = Directory(Clock(), ("a",), ("m",), ("p",))
-    ahead = DrainNoticeOverlay(directory, telemetry, told.append)
+    overlay = DrainNoticeOverlay(directory, telemetry, submitted.append)
 
     def listed(revision: int, whole: bool, **states: str) -> dict[str, str]:
         items = [
@@ -58,15 +64,15 @@
             for uid, state in states.items()
         ]
         said = list_from({"rev": revision, "all": whole, "targets": items})
-        return states_of(ahead.filter_list(revision, whole, directory.apply_list(said)[0]))
+        return states_of(overlay.filter_list(revision, whole, directory.apply_list(said)[0]))
 
     def states_of(note: events.HostList) -> dict[str, str]:
         return {directory.uid(entry.host): entry.state.value for entry in note.entries}
 
     everybody = dict.fromkeys("abcdef", "SERVING")
     listed(5, True, **everybody)
-    ahead.receive("n1", 7, DRAINS)
-    assert states_of(told[-1]) == dict.fromkeys("abc", "draining")
+    overlay.receive("n1", 7, DRAINS)
+    assert states_of(submitted[-1]) == dict.fromkeys("abc", "draining")
     assert listed(6, True, **everybody)["a"] == "draining"  # an older list opens nobody
     assert listed(6, False, a="SERVING") == {"a": "draining"}
     assert listed(7, False, a="DRAINING") == {
@@ -74,10 +80,10 @@
         "b": "ready",
         "c": "ready",
     }  # those notices were false
-    ahead.receive("n1", 9, [("d", HostState.GONE)])
-    ahead.retract("n1")
-    assert states_of(told[-1]) == {"d": "ready"} and not ahead.listed
-    ahead.receive("n1", 9, DRAINS[1:])
+    overlay.receive("n1", 9, [("d", HostState.GONE)])
+    overlay.retract("n1")
+    assert states_of(submitted[-1]) == {"d": "ready"} and not overlay.listed
+    overlay.receive("n1", 9, DRAINS[1:])
     assert listed(2, True, **everybody) == dict.fromkeys(
         "abcdef", "ready"
     )  # the service began anew
@@ -96,18 +102,18 @@
     words: list[tuple[int, str, HostState, bool]],
 ) -> None:
     """A plain model beside it: of each host the newest revision, of notices and of lists."""
-    early, newest, held = DrainNotices(), {}, 0
+    notices, newest, held = DrainNotices(), {}, 0
     for revision, uid, state, is_list in words:
         if is_list and revision >= held:
             held = revision
-            early.on_list(revision)
+            notices.on_list(revision)
             newest = {host: at for host, at in newest.items() if at > revision}
-        elif not is_list and early.receive(0, "n", revision, [(uid, state)], held, 100):
+        elif not is_list and notices.receive(0, "n", revision, [(uid, state)], held, 100):
             newest[uid] = revision
     for uid in "abcdef":
-        assert (uid in early.by_host) == (uid in newest)
+        assert (uid in notices.by_host) == (uid in newest)
         if uid in newest:
             assert (
-                early.by_host[uid].state is not HostState.READY
-                and early.by_host[uid].revision > held
+                notices.by_host[uid].state is not HostState.READY
+                and notices.by_host[uid].revision > held
             )
--- a/tests/cold_start/test_links.py
+++ b/tests/cold_start/test_links.py
@@ -37,16 +37,16 @@
         ListPart(noise),
         Heartbeat(5, 0),
     ]
-    data, cutter = b"".join(map(encode_frame, frames)), FrameDecoder()
+    data, decoder = b"".join(map(encode_frame, frames)), FrameDecoder()
     assert [
-        f for at in range(0, len(data), step) for f in cutter.feed(data[at : at + step])
+        f for at in range(0, len(data), step) for f in decoder.feed(data[at : at + step])
     ] == frames
     spoilt = FrameDecoder()
     out = spoilt.feed(b"\xff" + noise + b"\xff" * 8)
     assert out in ([], [None]) and len(spoilt.buffer) <= 70_000
 
 
-class HoldsList:
+class ListOwner:
     """Owner of links, and what it holds."""
 
     group, name = "g", "n0"
@@ -66,20 +66,20 @@
         pass
 
 
-@pytest.mark.parametrize("light", [False, True])
-def test_a_drain_overtakes_a_large_list_on_its_link(light: bool) -> None:
+@pytest.mark.parametrize("heartbeats_only", [False, True])
+def test_a_drain_overtakes_a_large_list_on_its_link(heartbeats_only: bool) -> None:
     """Guards against a drain that waits until 4 MB have gone over a slow link."""
 
     async def run() -> list:
-        owner = HoldsList(1000, 4000)
+        owner = ListOwner(1000, 4000)
         server = LinkServer(owner)
         await server.open("127.253.0.1:0")
         reader, writer = await asyncio.open_connection(*server.server.sockets[0].getsockname())
-        writer.write(encode_frame(Hello(LINK_VERSION, "g", "n1", 4, light)))
-        cutter, frames = FrameDecoder(), []
+        writer.write(encode_frame(Hello(LINK_VERSION, "g", "n1", 4, heartbeats_only)))
+        decoder, frames = FrameDecoder(), []
         async with asyncio.timeout(30):
             while not any(isinstance(frame, Heartbeat) for frame in frames):
-                frames += cutter.feed(await reader.read(4096))
+                frames += decoder.feed(await reader.read(4096))
                 if (
                     frames and owner.endpoint_list.revision == 5
                 ):  # the list, or a first beat, is on its way
@@ -87,8 +87,10 @@
                         {"rev": 6, "all": False, "targets": [entry("h7", "DRAINING")]}
                     )
                     server.on_list_changed()
-            while light and not any(isinstance(frame, DrainNoticeFrame) for frame in frames):
-                frames += cutter.feed(await reader.read(4096))
+            while heartbeats_only and not any(
+                isinstance(frame, DrainNoticeFrame) for frame in frames
+            ):
+                frames += decoder.feed(await reader.read(4096))
         writer.transport.abort()
         server.close()
         return frames
@@ -98,7 +100,7 @@
     parts = [place for place, frame in enumerate(frames) if isinstance(frame, ListPart)]
     assert len(drains) == 1 and frames[drains[0]].revision == 6
     assert orjson.loads(frames[drains[0]].entries) == [entry("h7", "DRAINING")]
-    assert not parts if light else len(parts) > 200 and drains[0] < parts[-1] - 50
+    assert not parts if heartbeats_only else len(parts) > 200 and drains[0] < parts[-1] - 50
 
 
 def test_many_drain_notices_go_in_chunks_that_fit_a_frame() -> None:
--- a/tests/cold_start/test_request_backoff.py
+++ b/tests/cold_start/test_request_backoff.py
@@ -17,11 +17,11 @@
 SECOND = 1_000_000
 
 
-def callers(stewards: int, rate: float = 20.0, **more: int) -> list[RequestScheduler]:
+def schedulers(controllers: int, rate: float = 20.0, **more: int) -> list[RequestScheduler]:
     facts = {"max_pause_us": 60 * SECOND, "max_retry_after_us": 30 * SECOND} | more
     return [
-        RequestScheduler(BackoffFacts(rank, stewards, rate, **facts), rank + 1)
-        for rank in range(stewards)
+        RequestScheduler(BackoffFacts(rank, controllers, rate, **facts), rank + 1)
+        for rank in range(controllers)
     ]
 
 
@@ -31,7 +31,7 @@
 
 
 def test_first_requests_of_a_hundred_are_as_fast_as_the_service_and_no_faster() -> None:
-    times = [caller.deliver(0, Started()).due_us for caller in callers(100)]
+    times = [scheduler.deliver(0, Started()).due_us for scheduler in schedulers(100)]
     assert busiest(times) <= 21 and max(times) < 5.5 * SECOND
 
 
@@ -41,41 +41,43 @@
     Guards against requests that come all at once when the service is back.
     """
     refused, served = [], []
-    for caller in callers(100):
-        due, times = caller.deliver(0, Started()).due_us, 0
+    for scheduler in schedulers(100):
+        due, times = scheduler.deliver(0, Started()).due_us, 0
         while due < 8 * SECOND:
-            due, times = caller.deliver(due, RequestFailed()).due_us, times + 1
+            due, times = scheduler.deliver(due, RequestFailed()).due_us, times + 1
         refused.append(times)
         served.append(due)
     assert max(refused) <= 2 and max(served) < 17 * SECOND and busiest(served) <= 21
 
 
 def test_rounds_grow_in_a_long_outage_and_shrink_after_a_good_watch() -> None:
-    (caller,) = callers(100)[50:51]
-    due, dues = caller.deliver(0, Started()).due_us, []
+    (scheduler,) = schedulers(100)[50:51]
+    due, dues = scheduler.deliver(0, Started()).due_us, []
     for _ in range(12):
-        due = caller.deliver(due, RequestFailed()).due_us
+        due = scheduler.deliver(due, RequestFailed()).due_us
         dues.append(due)
     gaps = [later - sooner for sooner, later in pairwise(dues)]
     assert max(gaps[:2]) < 8 * SECOND and 15 * SECOND < min(gaps[-3:]) <= max(gaps) <= 21.5 * SECOND
-    again = caller.deliver(due + 100 * SECOND, WatchEnded(100 * SECOND)).due_us - due - 100 * SECOND
+    again = (
+        scheduler.deliver(due + 100 * SECOND, WatchEnded(100 * SECOND)).due_us - due - 100 * SECOND
+    )
     assert 0 < again < 5.5 * SECOND
 
 
 def test_a_watch_that_ends_everywhere_at_once_is_a_cold_start_too() -> None:
     times = []
-    for caller in callers(100):
-        due = caller.deliver(0, Started()).due_us
-        times.append(caller.deliver(60 * SECOND, WatchEnded(60 * SECOND - due)).due_us)
+    for scheduler in schedulers(100):
+        due = scheduler.deliver(0, Started()).due_us
+        times.append(scheduler.deliver(60 * SECOND, WatchEnded(60 * SECOND - due)).due_us)
     assert busiest(times) <= 21 and max(times) < 65.5 * SECOND
 
 
 def test_watches_that_end_at_once_run_out_of_the_retry_budget() -> None:
     """Guards against a service that takes calls and drops them: it sees fewer calls, not more."""
-    (caller,) = callers(2)[:1]
+    (scheduler,) = schedulers(2)[:1]
     now, times = 0, []
     for _ in range(40):
-        now = caller.deliver(now, WatchEnded(1000)).due_us
+        now = scheduler.deliver(now, WatchEnded(1000)).due_us
         times.append(now)
     assert busiest(times) <= RETRY_BURST + 1 and times[-1] > 15 * SECOND
 
@@ -87,9 +89,9 @@
 def test_retry_after_is_heeded_within_its_bound(
     asked_us: int | None, least_s: float, most_s: float
 ) -> None:
-    for caller in callers(100)[::9]:
-        due = caller.deliver(0, Started()).due_us
-        waits = caller.deliver(due, RequestFailed(asked_us)).due_us - due
+    for scheduler in schedulers(100)[::9]:
+        due = scheduler.deliver(0, Started()).due_us
+        waits = scheduler.deliver(due, RequestFailed(asked_us)).due_us - due
         assert least_s * SECOND <= waits <= most_s * SECOND
 
 
--- a/tests/cold_start/test_watcher_election.py
+++ b/tests/cold_start/test_watcher_election.py
@@ -21,7 +21,7 @@
 
 
 class Stage:
-    """One steward that follows, and the hands of the test on its time."""
+    """One controller that follows, and the time that the test gives it."""
 
     def __init__(self, others: int = 9, name: str = "") -> None:
         names = [f"n{number}" for number in range(others + 1)]
--- a/tests/membership/test_local_health.py
+++ b/tests/membership/test_local_health.py
@@ -5,13 +5,13 @@
 
 
 def test_a_pause_of_its_own_passes_no_time() -> None:
-    awake = PauseAwareClock()
-    before = awake.read(SECOND)
-    awake.due_us = SECOND + 100_000
-    assert awake.read(3 * SECOND) == before + 100_000 - SETTLE_US
-    awake.due_us = 3 * SECOND + 100_000
+    clock = PauseAwareClock()
+    before = clock.read(SECOND)
+    clock.due_us = SECOND + 100_000
+    assert clock.read(3 * SECOND) == before + 100_000 - SETTLE_US
+    clock.due_us = 3 * SECOND + 100_000
     assert (
-        awake.read(3 * SECOND + 100_000 + LATE_WAKE_US)
+        clock.read(3 * SECOND + 100_000 + LATE_WAKE_US)
         == before + 200_000 + LATE_WAKE_US - SETTLE_US
     )
 
