--- a/plankroute/membership/core.py
+++ b/plankroute/membership/core.py
@@ -144,13 +144,8 @@
     def handle(self, event: Event, now_us: int) -> None:
         """Handle one event."""
         match event:
-            case MessageReceived(source, ViewRequest(first_line)):
-                response = view_response(self.table, first_line, now_us, self.record_size)
-                self.outbox.send(source, response)
-            case MessageReceived() if self.departure.has_lost_name:
-                self.outbox.count(Metric.DROPPED_NAME_LOST)
-            case MessageReceived(source, message):
-                self.on_message(source, message, now_us)
+            case MessageReceived():
+                self.on_message(event.source, event.message, now_us)
             case SeedsChanged(seeds):
                 self.facts = self.facts.with_seeds(seeds)
                 self.reconnector.change_seeds(seeds, now_us)
@@ -160,6 +155,16 @@
                 pass
 
     def on_message(self, source: str, message: Message, now_us: int) -> None:
+        """Answer an operator; take no other message where the name is lost."""
+        if isinstance(message, ViewRequest):
+            response = view_response(self.table, message.first_line, now_us, self.record_size)
+            self.outbox.send(source, response)
+        elif self.departure.has_lost_name:
+            self.outbox.count(Metric.DROPPED_NAME_LOST)
+        else:
+            self.on_member_message(source, message, now_us)
+
+    def on_member_message(self, source: str, message: Message, now_us: int) -> None:
         """Take the records of a message, then answer it."""
         match message:
             case Ping():
