--- a/plankroute/net/__init__.py
+++ b/plankroute/net/__init__.py
@@ -1,1 +1,4 @@
-"""The steward on sockets: streams, collectors, discovery and hosts met by their protocol. No decisions."""
+"""asyncio adapters: connections, discovery, health checks and other controllers by their protocols.
+
+No decisions are made here.
+"""
