--- a/tests/support/controller_model.py
+++ b/tests/support/controller_model.py
@@ -19,6 +19,7 @@
     RequestClassFacts,
     StartFacts,
 )
+from support.channel_model import ChannelModel
 
 SECOND = 1_000_000  # microseconds
 READY, DRAINING, GONE = HostState.READY, HostState.DRAINING, HostState.GONE
@@ -101,21 +102,6 @@
     return events.HostList(ListKind.CHANGES, entries)
 
 
-@dataclass(slots=True)
-class QueuedMessage:
-    """A message in the channel.
-
-    Attributes:
-        proxy: The recipient.
-        lines_left: Lines of it that have not left yet.
-        sequence_number: What the proxy acknowledges when all of it has left, if anything.
-    """
-
-    proxy: int
-    lines_left: float
-    sequence_number: int | None
-
-
 @dataclass(frozen=True, slots=True)
 class RunningTimer:
     """A timer that the controller has set."""
@@ -124,14 +110,6 @@
     token: int
 
 
-@dataclass(frozen=True, slots=True)
-class SentMessage:
-    """A message that the controller wrote."""
-
-    at_us: int
-    proxy: int
-
-
 class Bench:
     """One controller, its channel of a given speed, and proxies that do as their messages say.
 
@@ -147,7 +125,6 @@
         levels: All admission limits that were set, in their order.
         withdrawn: Hosts that are withdrawn.
         bound: Table by proxy and request class.
-        most_waiting: The most lines that ever waited in the channel.
         log: All commands, in their order.
     """
 
@@ -170,7 +147,6 @@
         self.levels: list[commands.SetAdmissionLimit] = []
         self.withdrawn: set[int] = set()
         self.bound: dict[tuple[int, int], int] = {}
-        self.most_waiting = 0.0
         self.log: list[commands.Command] = []
         self._request_classes = range(len(facts.request_classes))
         self._unready_since: dict[int, int] = {}  # by host: since when the controller knows
@@ -178,8 +154,7 @@
         self._joined_at: dict[int, int] = {}  # by proxy, its last joining
         self._endpoints_seen_at: dict[tuple[int, int], int] = {}  # by proxy and request class
         self._timers: list[RunningTimer] = []
-        self._queue: list[QueuedMessage] = []
-        self._sent: list[SentMessage] = []
+        self._channel = ChannelModel(facts.message_window_us)
 
     def give(self, *batch: events.Event) -> list[commands.Command]:
         """Delivers a batch, applies the commands and checks the rules; returns the commands."""
@@ -199,9 +174,14 @@
             due = [timer for timer in self._timers if timer.due_us <= self.now]
             self._timers = [timer for timer in self._timers if timer.due_us > self.now]
             expired = [events.TimerExpired(timer.token) for timer in due]
-            acknowledged = self._carry_lines(self.rate * step / SECOND)
+            acknowledged = self._channel.carry(self.rate * step / SECOND)
             self.give(*expired, *acknowledged)
 
+    @property
+    def most_waiting(self) -> float:
+        """The most lines that ever waited in the channel."""
+        return self._channel.most_waiting
+
     def picks(self, proxy: int, place: int) -> dict[int, float]:
         """Weights of the hosts that a proxy may send a request class (by index) to."""
         routes = self.lines.get(self.bound.get((proxy, place), NO_TABLE), {})
@@ -237,7 +217,7 @@
     def _forget_proxy(self, proxy: int) -> None:
         self._zone_of_proxy.pop(proxy, None)
         self.bound = {key: table for key, table in self.bound.items() if key[0] != proxy}
-        self._queue = [message for message in self._queue if message.proxy != proxy]
+        self._channel.drop(proxy)
 
     # Commands
 
@@ -251,7 +231,7 @@
                 lines_to[proxy] = written + lines
             if isinstance(command, commands.RequestAcknowledgement):
                 sequence_number = command.sequence_number
-        self._send(lines_to, sequence_number)
+        self._channel.send(self.now, lines_to, sequence_number)
 
     def _apply_command(self, command: commands.Command) -> tuple[set[int], int]:
         """Applies a command; returns the proxies it writes to, and the lines to each of them."""
@@ -313,34 +293,6 @@
     def _users(self, table: int | None) -> set[int]:
         return {proxy for (proxy, _), number in self.bound.items() if number == table}
 
-    # The channel
-
-    def _send(self, lines_to: dict[int, int], sequence_number: int | None) -> None:
-        acknowledgement_lines = 0 if sequence_number is None else 1
-        for proxy, lines in lines_to.items():
-            message = QueuedMessage(proxy, lines + acknowledgement_lines, sequence_number)
-            self._queue.append(message)
-        window_start = self.now - self.facts.message_window_us
-        self._sent = [sent for sent in self._sent if sent.at_us > window_start]
-        self._sent += [SentMessage(self.now, proxy) for proxy in lines_to]
-        waiting = sum(message.lines_left for message in self._queue)
-        self.most_waiting = max(self.most_waiting, waiting)
-
-    def _carry_lines(self, capacity: float) -> list[events.Event]:
-        """Lets so many lines leave the channel; returns the acknowledgements."""
-        acknowledged: list[events.Event] = []
-        while self._queue and capacity > 0:
-            message = self._queue[0]
-            carried = min(capacity, message.lines_left)
-            capacity -= carried
-            message.lines_left -= carried
-            if message.lines_left > 0:
-                continue
-            del self._queue[0]
-            if message.sequence_number is not None:
-                acknowledged.append(events.Acknowledged(message.proxy, message.sequence_number, 0))
-        return acknowledged
-
     # The rules
 
     def _check_rules(self) -> None:
@@ -355,8 +307,7 @@
 
     def _check_message_limit(self, proxy: int) -> None:
         limit = self.facts.max_messages_per_window
-        joined_at = self._joined_at[proxy]
-        sent = sum(sent.at_us >= joined_at and sent.proxy == proxy for sent in self._sent)
+        sent = self._channel.messages_since(proxy, self._joined_at[proxy])
         assert not limit or sent <= limit, "too many messages"
 
     def _check_drained_hosts(self, proxy: int, place: int) -> None:
