--- a/plankroute/net/peers/list_transfers.py
+++ b/plankroute/net/peers/list_transfers.py
@@ -1,5 +1,7 @@
 """Lists that are coming in over links, by the controller that sends them."""
 
+from collections.abc import Callable
+
 from plankroute.cold_start.link_codec import ListProgress, ListStart
 from plankroute.cold_start.list_receiver import ListReceiver
 
@@ -7,14 +9,19 @@
 class ListTransfers:
     """Receivers by name, and the one that broke off, which goes on wherever the same list comes."""
 
-    def __init__(self, max_bytes: int) -> None:
+    def __init__(self, max_bytes: Callable[[], int]) -> None:
+        """No transfers yet; `max_bytes`: of one list, which may change between two links."""
         self.max_bytes = max_bytes
         self.receivers: dict[str, ListReceiver] = {}
         self.broken_off: ListReceiver | None = None
 
     def receiver_of(self, name: str) -> ListReceiver:
         """The receiver of what that controller sends."""
-        return self.receivers.setdefault(name, ListReceiver(self.max_bytes))
+        receiver = self.receivers.get(name)
+        if receiver is None:
+            receiver = ListReceiver(self.max_bytes())
+            self.receivers[name] = receiver
+        return receiver
 
     def receiver_for_start(self, name: str, announced: ListStart) -> ListReceiver:
         """The receiver of a list that is announced: one that goes on takes what broke off."""
--- a/plankroute/net/peers/shared_discovery.py
+++ b/plankroute/net/peers/shared_discovery.py
@@ -101,7 +101,7 @@
         self.server = LinkServer(self)
         self.drain_notices = DrainNoticeOverlay(self.directory, self.telemetry, self.submit)
         self.list_filter = self.drain_notices.filter_list
-        self.transfers = ListTransfers(self.limits.max_body_bytes)
+        self.transfers = ListTransfers(lambda: self.limits.max_body_bytes)
         frames = FrameHandler(self, self.transfers, self.telemetry)
         self.links = LinkPool(frames.on_frame, self.on_link_closed)
         self.full_list_from = set[str]()  # asked for the complete list, whatever is held
