--- a/plankroute/net/peers/frame_handler.py
+++ b/plankroute/net/peers/frame_handler.py
@@ -14,7 +14,7 @@
     ListPart,
     ListStart,
 )
-from plankroute.cold_start.list_receiver import ListTransferError
+from plankroute.cold_start.list_receiver import ListReceiver, ListTransferError
 from plankroute.events.events import HostState
 from plankroute.net.discovery.catalogue import STATES
 from plankroute.net.peers.link_client import LinkError
@@ -78,6 +78,8 @@
             LinkError: it is not for this side, or can't be read.
             ListTransferError: a list can't be taken.
         """
+        # Before the election hears of the frame, which may close this very link.
+        receiver = self.transfers.receiver_of(name)
         match frame:
             case ListStart():
                 try:
@@ -85,7 +87,7 @@
                 finally:
                     self.taker.deliver([FrameReceived(name)])
             case ListPart(data):
-                self.on_list_part(name, data)
+                self.on_list_part(name, receiver, data)
             case Heartbeat(revision, age_us):
                 if age_us < NEVER_HEARD_US:
                     self.taker.on_service_contact(age_us)
@@ -98,15 +100,13 @@
             case _:
                 raise LinkError("not for this side")
 
-    def on_list_part(self, name: str, data: bytes) -> None:
+    def on_list_part(self, name: str, receiver: ListReceiver, data: bytes) -> None:
         """Add a part, and hand the list on once it is complete.
 
         Raises:
             LinkError: it is no list.
             ListTransferError: it can't be taken.
         """
-        # Before the election hears of it, which may close this very link.
-        receiver = self.transfers.receiver_of(name)
         self.taker.deliver([FrameReceived(name)])
         text = receiver.add(data)
         if text is not None:
--- a/plankroute/net/peers/list_transfers.py
+++ b/plankroute/net/peers/list_transfers.py
@@ -16,7 +16,7 @@
         self.broken_off: ListReceiver | None = None
 
     def receiver_of(self, name: str) -> ListReceiver:
-        """The receiver of what that controller sends."""
+        """The receiver of what that controller sends; made with the first frame of its link."""
         receiver = self.receivers.get(name)
         if receiver is None:
             receiver = ListReceiver(self.max_bytes())
--- /dev/null
+++ b/tests/cold_start/test_list_transfers.py
@@ -0,0 +1,37 @@
+"""Lists over links: which receiver takes them, and with which bound."""
+
+from zlib import crc32
+
+import pytest
+
+from plankroute.cold_start.link_codec import ListProgress, ListStart
+from plankroute.cold_start.list_receiver import ListTransferError
+from plankroute.net.peers.list_transfers import ListTransfers
+
+LIST = b"x" * 100
+
+
+def test_a_list_that_broke_off_goes_on_over_another_link() -> None:
+    transfers = ListTransfers(lambda: len(LIST))
+    start = ListStart(7, True, len(LIST), crc32(LIST))
+    transfers.receiver_for_start("n1", start).start(start)
+    assert transfers.receiver_of("n1").add(LIST[:60]) is None and transfers.progress() is None
+    transfers.end("n1")
+    assert transfers.progress() == ListProgress(7, crc32(LIST), 60)
+    rest = ListStart(7, True, len(LIST), crc32(LIST), 60)
+    transfers.receiver_for_start("n2", rest).start(rest)
+    assert transfers.receiver_of("n2").add(LIST[60:]) == LIST
+
+
+def test_a_link_has_the_bound_of_its_first_frame() -> None:
+    """Guards against a bound that is changed while the controller runs, and never read again."""
+    bounds = [50, 200]
+    transfers = ListTransfers(lambda: bounds[0])
+    start = ListStart(7, True, len(LIST), crc32(LIST))
+    receiver = transfers.receiver_of("n1")
+    del bounds[0]
+    with pytest.raises(ListTransferError, match=r"^too large$"):
+        receiver.start(start)
+    assert transfers.receiver_for_start("n1", start) is receiver
+    transfers.receiver_for_start("n2", start).start(start)
+    assert transfers.receiver_of("n2").add(LIST) == LIST
