--- a/plankroute/cold_start/election_messages.py
+++ b/plankroute/cold_start/election_messages.py
@@ -58,7 +58,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ListUpdated:
-    """The revision that this controller holds now; `from_service`: the service's own word."""
+    """The revision that this controller holds now; `from_service`: the service said so itself."""
 
     revision: int
     from_service: bool
--- a/plankroute/cold_start/followed_links.py
+++ b/plankroute/cold_start/followed_links.py
@@ -7,7 +7,7 @@
 from enum import Enum, auto
 
 SECOND_US = 1_000_000
-# The service's word is fresh while it is no older: its signs of life come each 2 s.
+# Contact with the service is fresh while no older: the service sends something each 2 s.
 FRESH_US = 3 * SECOND_US
 NEVER_HEARD_US = 1 << 40  # the age of a contact that never was, as sent in heartbeats
 # Behind the other's contact: the controller is cut off from the service. A guess.
--- a/plankroute/cold_start/probe_sharing.py
+++ b/plankroute/cold_start/probe_sharing.py
@@ -74,7 +74,7 @@
             return is_sampled(self.name, host, self.checks_per_host, self.controllers)
         return self.name in assigned_controllers(host, zone, self.zones, self.checks_per_host)
 
-    def keep(self, host: str, result: SharedResult) -> bool:
+    def add_result(self, host: str, result: SharedResult) -> bool:
         """False where a newer one, or one of a later start of the host, is known."""
         known = self.results.get(host)
         newness = result.boot_ms, result.checked_us
--- a/plankroute/cold_start/watcher_election.py
+++ b/plankroute/cold_start/watcher_election.py
@@ -137,7 +137,7 @@
                 pass
 
     def on_service_revision(self, now_us: int, revision: int) -> None:
-        """The service's own word.
+        """What the service itself says.
 
         Guards against a peer that claims a revision which the service has not reached.
         """
--- a/plankroute/net/peers/follower_connection.py
+++ b/plankroute/net/peers/follower_connection.py
@@ -53,7 +53,7 @@
         revision: of the follower's list.
         progress: of a list that broke off before.
         notified_revision: up to which it has heard of drains, be it without the list.
-        has_news: set when there is something to send.
+        has_updates: set when there is something to send.
         results: health checks to send.
     """
 
@@ -64,19 +64,19 @@
         self.revision = hello.revision
         self.progress: ListProgress | None = hello.progress
         self.notified_revision = hello.revision
-        self.has_news = asyncio.Event()
+        self.has_updates = asyncio.Event()
         self.results: list[SharedHealthCheck] = []
 
     def add_results(self, results: list[SharedHealthCheck]) -> None:
         """Send these results soon; the oldest go where there are too many."""
         self.results = (self.results + results)[-MAX_RESULTS:]
-        self.has_news.set()
+        self.has_updates.set()
 
     async def send_updates(self, reading: asyncio.Task[None]) -> None:
         """Lists as they change, heartbeats in between, until the other end goes."""
         while not reading.done():
             held = self.owner.endpoint_list
-            self.has_news.clear()
+            self.has_updates.clear()
             await self.send_drain_notices(held)
             is_outdated = held.revision >= 0 and self.revision != held.revision
             if is_outdated and not self.hello.heartbeats_only:
@@ -88,7 +88,7 @@
             await self.send(Heartbeat(held.revision, self.owner.age_us()))
             try:
                 async with asyncio.timeout(HEARTBEAT_S):
-                    await self.has_news.wait()
+                    await self.has_updates.wait()
             except TimeoutError:
                 pass
 
--- a/plankroute/net/peers/link_server.py
+++ b/plankroute/net/peers/link_server.py
@@ -83,7 +83,7 @@
     def on_list_changed(self) -> None:
         """The list has changed: followers are served at once."""
         for follower in self.followers:
-            follower.has_news.set()
+            follower.has_updates.set()
 
     def share(
         self, results: list[SharedHealthCheck], excluded: FollowerConnection | None = None
--- a/plankroute/net/peers/shared_discovery.py
+++ b/plankroute/net/peers/shared_discovery.py
@@ -225,7 +225,7 @@
             self.deliver([ListUpdated(self.endpoint_list.revision, from_service=True)])
 
     def accept_list(self, text: bytes) -> bool:
-        """The service's own word."""
+        """What the service itself says."""
         if not super().accept_list(text):
             return False
         self.hold_list(text, from_service=True)
--- a/plankroute/net/probing/shared_prober.py
+++ b/plankroute/net/probing/shared_prober.py
@@ -140,7 +140,7 @@
         known = self.directory.hosts.get(host)
         if known is None:
             return
-        self.survey.keep(known.uid, SharedResult(elapsed_us, now_us(), known.boot_ms))
+        self.survey.add_result(known.uid, SharedResult(elapsed_us, now_us(), known.boot_ms))
         self.unsent.append(UnsentResult(known.uid, elapsed_us, now_us(), known.boot_ms))
         if self.sending is None:
             loop = asyncio.get_running_loop()
@@ -181,7 +181,7 @@
     def take_shared(self, host: int, check: SharedHealthCheck) -> None:
         """Keep the result of another controller, and submit it where it is awaited."""
         result = SharedResult(check.elapsed_us, now_us() - check.age_us, check.boot_ms)
-        if not self.survey.keep(check.host, result) or check.host not in self.awaited:
+        if not self.survey.add_result(check.host, result) or check.host not in self.awaited:
             return
         boot_ms = self.directory.hosts[host].boot_ms
         if self.survey.fresh_result(check.host, boot_ms, now_us()):
--- a/tests/cold_start/test_probe_sharing.py
+++ b/tests/cold_start/test_probe_sharing.py
@@ -34,14 +34,14 @@
 
 def test_results_count_by_their_age_and_by_the_start_of_the_host() -> None:
     survey = Survey("n0", 3, 10)
-    assert survey.keep("h", SharedResult(9000, 10 * SECOND, 5.0)) and not survey.keep(
+    assert survey.add_result("h", SharedResult(9000, 10 * SECOND, 5.0)) and not survey.add_result(
         "h", SharedResult(1, 9 * SECOND, 5.0)
     )
     assert survey.fresh_result("h", 5.0, 11 * SECOND) and not survey.fresh_result(
         "h", 5.0, 13 * SECOND
     )
     assert not survey.fresh_result("h", 6.0, 11 * SECOND)  # another start: another host
-    assert survey.keep("h", SharedResult(1, 9 * SECOND, 6.0)) and survey.fresh_result(
+    assert survey.add_result("h", SharedResult(1, 9 * SECOND, 6.0)) and survey.fresh_result(
         "h", 6.0, 10 * SECOND
     )
     assert not survey.fresh_result("x", 0.0, 0)
