--- a/plankroute/net/peers/warm_start.py
+++ b/plankroute/net/peers/warm_start.py
@@ -148,7 +148,7 @@
             case ProvidePriorKnowledge():
                 self.provide(command)
             case AnnounceWithdrawals(source, revision, withdrawn):
-                self.drain_notices.hear(source, revision, withdrawn)
+                self.drain_notices.receive(source, revision, withdrawn)
             case ReportMerge():
                 self.report(command)
 
--- a/plankroute/net/process/optional_features.py
+++ b/plankroute/net/process/optional_features.py
@@ -5,9 +5,9 @@
 from typing import TYPE_CHECKING
 
 from plankroute.cold_start.backoff import BackoffFacts
+from plankroute.cold_start.election_messages import ElectionFacts
 from plankroute.cold_start.link_codec import HealthCheckResults
 from plankroute.cold_start.probe_sharing import Survey
-from plankroute.cold_start.watcher_election import ElectionFacts
 from plankroute.config.feature_file import ColdStartSection, FeatureFile, LinksSection
 from plankroute.controller.controller import Controller
 from plankroute.events import events
@@ -134,10 +134,10 @@
         survey = Survey(self.local_member.name, section.probers, controller_count)
         zones = self.configuration.zones
         shared = self.shared_discovery
-        tell = shared.tell_results if shared else discard_results
+        tell = shared.share_health_checks if shared else discard_results
         checker.prepare_survey(survey, zones, self.reachable_controllers, tell)
         if shared:
-            shared.on_results = checker.hear
+            shared.result_listener = checker.on_results
         return checker
 
     def reachable_controllers(self) -> dict[str, str]:
@@ -162,14 +162,14 @@
         shared = self.shared_discovery
         telemetry = self.telemetry
         if shared:
-            drain_notices = shared.ahead
+            drain_notices = shared.drain_notices
             group = shared.group
             own_host = host_and_port(shared.listen)[0]
         else:
             drain_notices = DrainNoticeOverlay(directory, telemetry, self.put)
             group = ""
             own_host = ""
-        discovery.list_filter = drain_notices.over
+        discovery.list_filter = drain_notices.filter_list
         self.warm_start = WarmStartService(
             section, self.local_member.name, group, own_host, telemetry, self.put
         )
@@ -254,9 +254,9 @@
     return BackoffFacts(
         rank=rank,
         controller_count=section.stewards or configuration.facts.controller_count,
-        calls_a_second=section.calls_a_second,
-        pause_most_us=int(section.pause_most_s * 1e6),
-        retry_after_most_us=int(section.retry_after_most_s * 1e6),
+        requests_per_second=section.calls_a_second,
+        max_pause_us=int(section.pause_most_s * 1e6),
+        max_retry_after_us=int(section.retry_after_most_s * 1e6),
     )
 
 
--- a/plankroute/policy/slots.py
+++ b/plankroute/policy/slots.py
@@ -14,8 +14,8 @@
 from plankroute.state.host_statistics import NO_CAP
 from plankroute.state.published_table import PublishedTable
 
-# Slots of a usual host: steps of 3% of a usual weight; finer ones cost lines and move nothing
-# (docs/design.md).
+# Slots of a usual host (docs/design.md): steps of 3% of a usual weight; finer ones cost lines and
+# move nothing.
 SLOTS_PER_HOST = 32
 
 
--- a/plankroute/testbed/cold_start_plays.py
+++ b/plankroute/testbed/cold_start_plays.py
@@ -7,7 +7,7 @@
 import time
 from collections.abc import Awaitable, Callable
 
-from plankroute.cold_start.watcher_election import rendezvous_order
+from plankroute.cold_start.rendezvous import rendezvous_order
 from plankroute.testbed.cold_host_load import ColdHostModel
 from plankroute.testbed.cold_start import ColdStart
 from plankroute.testbed.cold_start_faults import LyingWatcher
@@ -319,6 +319,6 @@
         line
         for lines in processes.lines
         for line in lines
-        if line.get("event") in ("follow_failed", "core_failed")
+        if line.get("event") in ("election_failed", "core_failed")
     ]
     return objections + [str(line) for line in failures]
--- a/plankroute/testbed/gated_controller.py
+++ b/plankroute/testbed/gated_controller.py
@@ -12,7 +12,7 @@
 
 def main() -> int:
     """Waits at the gate, then runs the controller; returns its exit status."""
-    from plankroute.net.process.service import main as serve
+    from plankroute.net.process.service import main as run_controller
 
     if os.environ.get("PLANKROUTE_FILE"):
         import plankroute.net.process.optional_features  # noqa: F401 - a start imports it first of all
@@ -20,7 +20,7 @@
     os.write(sys.stderr.fileno(), WAITING_LINE)
     os.read(gate, 1)
     os.close(gate)
-    return serve()
+    return run_controller()
 
 
 if __name__ == "__main__":
--- a/plankroute/testbed/processes.py
+++ b/plankroute/testbed/processes.py
@@ -18,7 +18,7 @@
 import msgspec
 import orjson
 
-from plankroute.net.process.service import OWN_FILE
+from plankroute.net.process.service import FEATURE_FILE_VARIABLE
 from plankroute.testbed.faults import SECOND, Act, Script, Step
 from plankroute.testbed.history import Done, Entry, History
 from plankroute.testbed.links import Address, DatagramLinks, StreamLinks
@@ -226,7 +226,7 @@
         if self.plan.has_feature_file:
             path = self.feature_file_path(member)
             path.write_bytes(orjson.dumps(self.feature_file(member)))
-            environment[OWN_FILE] = str(path)
+            environment[FEATURE_FILE_VARIABLE] = str(path)
         return environment
 
     # Processes
--- a/plankroute/testbed/skewed_controller.py
+++ b/plankroute/testbed/skewed_controller.py
@@ -12,10 +12,9 @@
     after_s = float(sys.argv[1])
     jump_s = float(sys.argv[2])
     make_wall_clock_jump(after_s, jump_s)
-    del sys.argv[1:]
-    from plankroute.__main__ import main as serve
+    from plankroute.net.process.service import main as run_controller
 
-    return serve()
+    return run_controller()
 
 
 def make_wall_clock_jump(after_s: float, jump_s: float) -> None:
--- a/tests/cli/test_bare_start.py
+++ b/tests/cli/test_bare_start.py
@@ -20,7 +20,7 @@
 import sys
 import plankroute.__main__
 import plankroute.net.process.service as service
-service.own_file()
+service.read_features()
 print(*sorted(sys.modules))
 """
 
--- a/tests/warm_start/test_snapshot_exchange.py
+++ b/tests/warm_start/test_snapshot_exchange.py
@@ -11,7 +11,7 @@
 from support.host_snapshots import HEALTHY, UNHEALTHY, snapshot_of
 
 from plankroute.cold_start.link_codec import ListPart, ListStart, WarmStartView, encode_frame
-from plankroute.net.peers.links import view_frames
+from plankroute.net.peers.link_frames import view_frames
 from plankroute.net.peers.snapshot_exchange import Peer, SnapshotExchange
 from plankroute.net.process.telemetry import EventLog, Telemetry
 from plankroute.warm_start.codec import decode_snapshot, encode_snapshot
@@ -101,10 +101,10 @@
     exchange = new_exchange([])
     for number in range(40):
         name = f"n{number}"
-        exchange.keep(name, encode_snapshot(snapshot_of(HEALTHY, controller=name)))
-    exchange.keep("n39", encode_snapshot(snapshot_of(UNHEALTHY, controller="n39")))
-    exchange.keep("n38", encode_snapshot(snapshot_of(UNHEALTHY, controller="somebody")))
-    exchange.keep("n37", b"noise")
+        exchange.keep_handover(name, encode_snapshot(snapshot_of(HEALTHY, controller=name)))
+    exchange.keep_handover("n39", encode_snapshot(snapshot_of(UNHEALTHY, controller="n39")))
+    exchange.keep_handover("n38", encode_snapshot(snapshot_of(UNHEALTHY, controller="somebody")))
+    exchange.keep_handover("n37", b"noise")
     assert len(exchange.handovers) == 16
     newest = decode_snapshot(exchange.handovers["n39"].data)
     assert newest
