--- a/plankroute/testbed/baselines.py
+++ b/plankroute/testbed/baselines.py
@@ -1,7 +1,9 @@
-"""The plain ways of membership, to compare with: heartbeats of all to all, SWIM with suspicion, SWIM with
-Lifeguard's self-doubt. Written from their papers, on the same records and messages; they know all members
-from
-the start, and serve in the laboratory alone."""
+"""Plain failure detectors to compare with: all-to-all heartbeats, SWIM, and SWIM with Lifeguard.
+
+Written from the published papers (SWIM: Das, Gupta, Motivala 2002; Lifeguard: Dadgar, Phillips,
+Currey 2018), on the records and messages of `membership`. They know all members from the start, and
+serve in measurements alone.
+"""
 
 import math
 from dataclasses import dataclass
@@ -27,259 +29,347 @@
 )
 from plankroute.membership.records import MemberRecord, MemberState
 from plankroute.seeded_random import SeededRandom
-from plankroute.testbed.simulated_members import CODEC, WALL_US, address_of, name_of
-
-SECOND = 1_000_000
-BEAT_US = 100_000
-HEARTBEAT_US, TIMEOUT_US = SECOND, 3 * SECOND  # three beats missed: as quick as the chosen way
-PERIOD_US, DIRECT_US, HELPERS = SECOND, SECOND // 2, 3  # SWIM's usual figures
-SUSPICION_US = 3 * SECOND  # so that a kill is known about as fast as by the chosen way
-LONGEST, CONFIRMATIONS, MOST_HEALTH = (
-    6,
-    3,
-    8,
-)  # Lifeguard's usual: time-out at first, votes to the least,
-# multiplier
-RUMOUR_ROOM = 800  # bytes of a datagram
-
-
-def records(members: int) -> list[MemberRecord]:
+from plankroute.testbed.faults import SECOND
+from plankroute.testbed.simulated_members import CODEC, WALL_US, address_of, name_of, zone_of
+
+TICK_US = 100_000
+HEARTBEAT_INTERVAL_US = SECOND
+HEARTBEAT_TIMEOUT_US = 3 * SECOND  # three heartbeats missed: as quick as the chosen detector
+PROTOCOL_PERIOD_US = SECOND  # SWIM's usual figure
+ACK_TIMEOUT_US = SECOND // 2  # SWIM's usual figure
+INDIRECT_PINGS = 3  # SWIM's usual figure
+SUSPICION_US = 3 * SECOND  # so that a kill is known about as fast as by the chosen detector
+MAX_SUSPICION_MULTIPLIER = 6  # Lifeguard's usual figure: the timeout without a confirmation
+CONFIRMATIONS = 3  # Lifeguard's usual figure: those after which the timeout is shortest
+MAX_LOCAL_HEALTH = 8  # Lifeguard's usual figure
+GOSSIP_BYTES = 800  # of a datagram
+
+
+def records_of(members: int) -> list[MemberRecord]:
+    """The records of all members."""
     return [
-        MemberRecord(name_of(member), address_of(member), f"z{member % 3}", 1, WALL_US)
+        MemberRecord(name_of(member), address_of(member), zone_of(member), 1, WALL_US)
         for member in range(members)
     ]
 
 
 class Heartbeats:
-    """Everybody tells everybody each second; three seconds of silence are a verdict."""
+    """Everybody sends everybody a heartbeat each second; three seconds of silence are a verdict."""
 
     def __init__(self, member: int, members: int, life: int) -> None:
-        self.all, self.me = records(members), member
-        self.own = msgspec.structs.replace(
-            self.all[member], incarnation=WALL_US + life, instance_id=life
+        self.member = member
+        self.records = records_of(members)
+        self.own_record = msgspec.structs.replace(
+            self.records[member], incarnation=WALL_US + life, instance_id=life
         )
-        self.places = {record.name: place for place, record in enumerate(self.all)}
-        self.heard_us: list[int] | None = None
-        self.gone = set[int]()
-        self.next_us = self.look_us = 0
+        self.member_by_name = {record.name: place for place, record in enumerate(self.records)}
+        self.heard_us: list[int] | None = None  # by member; None: nothing has been delivered
+        self.failed: set[int] = set()
+        self.next_heartbeat_us = 0
+        self.next_check_us = 0
 
     def deliver(self, now_us: int, events: list[Event]) -> list[Command]:
-        out = list[Command]()
+        """Takes events in at that time; returns what is to be done."""
         if self.heard_us is None:
-            self.heard_us = [now_us] * len(self.all)
-            self.next_us = now_us + HEARTBEAT_US * self.me // len(self.all)
+            self.heard_us = [now_us] * len(self.records)
+            phase_us = HEARTBEAT_INTERVAL_US * self.member // len(self.records)
+            self.next_heartbeat_us = now_us + phase_us
+        commands: list[Command] = []
         for event in events:
             if isinstance(event, MessageReceived) and isinstance(event.message, Gossip):
-                place = self.places[event.message.records[0].name]
-                self.heard_us[place] = now_us
-                if place in self.gone:
-                    self.gone.discard(place)
-                    out.append(NotifyStatus(StatusChange.RECOVERED, self.all[place]))
-        if now_us >= self.next_us:
-            self.next_us += HEARTBEAT_US
-            out += [
-                SendMessage(record.address, Gossip((self.own,)))
-                for place, record in enumerate(self.all)
-                if place != self.me
-            ]
-        if now_us >= self.look_us:
-            self.look_us = now_us + BEAT_US
-            for place, heard in enumerate(self.heard_us):
-                if place != self.me and place not in self.gone and now_us - heard > TIMEOUT_US:
-                    self.gone.add(place)
-                    out.append(NotifyStatus(StatusChange.FAILED, self.all[place]))
-        out.append(WakeAt(min(self.next_us, self.look_us)))
-        return out
+                commands += self.hear(self.heard_us, event.message, now_us)
+        if now_us >= self.next_heartbeat_us:
+            self.next_heartbeat_us += HEARTBEAT_INTERVAL_US
+            commands += self.send_heartbeats()
+        if now_us >= self.next_check_us:
+            self.next_check_us = now_us + TICK_US
+            commands += self.check_timeouts(self.heard_us, now_us)
+        commands.append(WakeAt(min(self.next_heartbeat_us, self.next_check_us)))
+        return commands
+
+    def hear(self, heard_us: list[int], heartbeat: Gossip, now_us: int) -> list[Command]:
+        """Notes a heartbeat; a failed member recovers."""
+        member = self.member_by_name[heartbeat.records[0].name]
+        heard_us[member] = now_us
+        if member not in self.failed:
+            return []
+        self.failed.discard(member)
+        return [NotifyStatus(StatusChange.RECOVERED, self.records[member])]
+
+    def send_heartbeats(self) -> list[Command]:
+        """A heartbeat to each other member."""
+        return [
+            SendMessage(record.address, Gossip((self.own_record,)))
+            for member, record in enumerate(self.records)
+            if member != self.member
+        ]
+
+    def check_timeouts(self, heard_us: list[int], now_us: int) -> list[Command]:
+        """Verdicts on members that have been silent for too long."""
+        commands: list[Command] = []
+        for member, last_us in enumerate(heard_us):
+            if member == self.member or member in self.failed:
+                continue
+            if now_us - last_us > HEARTBEAT_TIMEOUT_US:
+                self.failed.add(member)
+                commands.append(NotifyStatus(StatusChange.FAILED, self.records[member]))
+        return commands
 
 
 @dataclass(slots=True)
-class Round:
-    """One SWIM probe; `since_us`: its period's start."""
+class Probe:
+    """The probe of one protocol period.
+
+    Attributes:
+        target: Index of the member that is probed.
+        number: Sequence number of the ping.
+        began_us: Start of the period.
+        is_acknowledged: Whether an ack has come, direct or indirect.
+        is_indirect: Whether others have been asked to ping.
+    """
 
-    place: int
+    target: int
+    number: int
+    began_us: int
+    is_acknowledged: bool = False
+    is_indirect: bool = False
+
+
+@dataclass(frozen=True, slots=True)
+class IndirectPing:
+    """A ping that was sent for another member.
+
+    Attributes:
+        address: Who asked for it.
+        number: The sequence number of the one that asked.
+    """
+
+    address: str
     number: int
-    since_us: int
-    answered: bool = False
-    sent_helpers: bool = False
 
 
 class Swim:
-    """One probe a period, three helpers, a suspicion that others may deny until its time-out."""
+    """One probe a period, three indirect pings, a suspicion that may be refuted until its timeout.
+
+    With Lifeguard, a member that misses acks doubts itself first (local health multiplier), a
+    suspicion's timeout shrinks with each confirmation, and a suspected member is told in a ping.
+    """
 
     def __init__(self, member: int, members: int, life: int, seed: int, lifeguard: bool) -> None:
-        everybody = records(members)
-        self.table = MemberTable(
-            msgspec.structs.replace(
-                everybody[member], instance_id=life, incarnation=WALL_US + life - 1
-            )
+        records = records_of(members)
+        own_record = msgspec.structs.replace(
+            records[member], instance_id=life, incarnation=WALL_US + life - 1
         )
-        for record in everybody[:member] + everybody[member + 1 :]:
+        self.table = MemberTable(own_record)
+        for record in records[:member] + records[member + 1 :]:
             self.table.merge(record, 0)
-        self.lifeguard, self.chance, self.rumours = (
-            lifeguard,
-            SeededRandom(seed * 7919 + member),
-            GossipQueue(),
-        )
-        self.mark = observer_id(name_of(member))
-        self.order: list[int] = []
-        self.round: Round | None = None
-        self.number, self.health, self.beat_us = 0, 0, 0
-        self.errands: dict[int, tuple[str, int]] = {}
-        self.since_us: dict[int, int] = {}
-        self.out: list[Command] = []
+        self.has_lifeguard = lifeguard
+        self.random = SeededRandom(seed * 7919 + member)
+        self.gossip = GossipQueue()
+        self.own_id = observer_id(name_of(member))
+        self.probe_order: list[int] = []
+        self.probe: Probe | None = None
+        self.number = 0
+        self.local_health = 0
+        self.next_tick_us = 0
+        self.indirect_pings: dict[int, IndirectPing] = {}
+        self.suspected_since_us: dict[int, int] = {}
+        self.commands: list[Command] = []
 
     def deliver(self, now_us: int, events: list[Event]) -> list[Command]:
+        """Takes events in at that time; returns what is to be done."""
         for event in events:
             if isinstance(event, MessageReceived):
-                self.hear(event.source, event.message, now_us)
-        if now_us >= self.beat_us:
-            self.beat_us = now_us + BEAT_US
-            self.beat(now_us)
-        out, self.out = [*self.out, WakeAt(self.beat_us)], []
-        return out
-
-    def send(self, address: str, said: Message) -> None:
-        self.out.append(SendMessage(address, said))
-
-    def riding(self, first: MemberRecord | None = None) -> tuple[MemberRecord, ...]:
-        more = self.rumours.take(
+                self.receive(event.source, event.message, now_us)
+        if now_us >= self.next_tick_us:
+            self.next_tick_us = now_us + TICK_US
+            self.tick(now_us)
+        commands = [*self.commands, WakeAt(self.next_tick_us)]
+        self.commands = []
+        return commands
+
+    def send(self, address: str, message: Message) -> None:
+        """Sends a datagram."""
+        self.commands.append(SendMessage(address, message))
+
+    def take_gossip(self, first: MemberRecord | None = None) -> tuple[MemberRecord, ...]:
+        """Records that ride on a datagram."""
+        records = self.gossip.take(
             len(self.table),
-            RUMOUR_ROOM,
+            GOSSIP_BYTES,
             lambda name: self.table.record_at(self.table.index_by_name[name]),
             CODEC.record_size,
         )
-        return (first, *more) if first else tuple(more)
+        return (first, *records) if first else tuple(records)
 
-    def ping(self, place: int, number: int) -> None:
-        record = self.table.record_at(place)
-        buddy = record if self.lifeguard and record.state is not MemberState.ALIVE else None
-        self.send(record.address, Ping(number, 0, self.table.own_record(), self.riding(buddy)))
+    # Messages
 
-    def hear(self, source: str, said: Message, now_us: int) -> None:
-        match said:
+    def receive(self, source: str, message: Message, now_us: int) -> None:
+        """Takes a datagram in, and answers it."""
+        match message:
             case Ping():
-                self.take_all((said.sender, *said.gossip), now_us)
-                self.send(source, Ack(said.sequence_number, self.table.own_record(), self.riding()))
+                self.merge_all((message.sender, *message.gossip), now_us)
+                ack = Ack(message.sequence_number, self.table.own_record(), self.take_gossip())
+                self.send(source, ack)
             case Ack():
-                self.take_all((said.sender, *said.gossip), now_us)
-                if errand := self.errands.pop(said.sequence_number, None):
-                    self.send(errand[0], IndirectAck(errand[1], said.sender, self.riding()))
-                self.settle(said.sequence_number)
+                self.merge_all((message.sender, *message.gossip), now_us)
+                self.pass_on(message)
+                self.acknowledge(message.sequence_number)
             case IndirectPingRequest():
-                self.take_all((said.sender, *said.gossip), now_us)
+                self.merge_all((message.sender, *message.gossip), now_us)
                 self.number += 1
-                self.errands[self.number] = source, said.sequence_number
-                self.send(
-                    said.target_address,
-                    Ping(self.number, 0, self.table.own_record(), self.riding()),
-                )
+                self.indirect_pings[self.number] = IndirectPing(source, message.sequence_number)
+                ping = Ping(self.number, 0, self.table.own_record(), self.take_gossip())
+                self.send(message.target_address, ping)
             case IndirectAck():
-                self.take_all((said.target, *said.gossip), now_us)
-                self.settle(said.sequence_number)
+                self.merge_all((message.target, *message.gossip), now_us)
+                self.acknowledge(message.sequence_number)
 
-    def settle(self, number: int) -> None:
-        if self.round and self.round.number == number and not self.round.answered:
-            self.round.answered = True
-            self.health = max(0, self.health - 1)
+    def pass_on(self, ack: Ack) -> None:
+        """Passes the ack of an indirect ping on to the member that asked for it."""
+        asked = self.indirect_pings.pop(ack.sequence_number, None)
+        if asked:
+            self.send(asked.address, IndirectAck(asked.number, ack.sender, self.take_gossip()))
 
-    def take_all(self, said: tuple[MemberRecord, ...], now_us: int) -> None:
-        for record in said:
+    def acknowledge(self, number: int) -> None:
+        """Notes an ack of the present probe."""
+        if self.probe and self.probe.number == number and not self.probe.is_acknowledged:
+            self.probe.is_acknowledged = True
+            self.local_health = max(0, self.local_health - 1)
+
+    def ping(self, target: int, number: int) -> None:
+        """Pings a member; with Lifeguard, a suspected one is told that it is."""
+        record = self.table.record_at(target)
+        is_told = self.has_lifeguard and record.state is not MemberState.ALIVE
+        gossip = self.take_gossip(record if is_told else None)
+        self.send(record.address, Ping(number, 0, self.table.own_record(), gossip))
+
+    # Records
+
+    def merge_all(self, records: tuple[MemberRecord, ...], now_us: int) -> None:
+        """Merges records; those about this member itself are refuted."""
+        for record in records:
             if record.name == self.table.own_record().name:
-                self.deny(record)
+                self.refute(record)
             else:
-                self.take(record, now_us)
+                self.merge(record, now_us)
 
-    def deny(self, record: MemberRecord) -> None:
+    def refute(self, record: MemberRecord) -> None:
+        """Answers a suspicion of this member with a higher incarnation."""
         own = self.table.own_record()
-        if record.state is not MemberState.ALIVE and record.incarnation >= own.incarnation:
-            self.health = min(MOST_HEALTH, self.health + 1)
-            self.table.store(0, msgspec.structs.replace(own, incarnation=record.incarnation + 1))
-            self.rumours.add(own.name)
+        if record.state is MemberState.ALIVE or record.incarnation < own.incarnation:
+            return
+        self.raise_local_health()
+        refutation = msgspec.structs.replace(own, incarnation=record.incarnation + 1)
+        self.table.store(0, refutation)
+        self.gossip.add(own.name)
+
+    def raise_local_health(self) -> None:
+        """Counts a sign that this member itself is slow."""
+        self.local_health = min(MAX_LOCAL_HEALTH, self.local_health + 1)
 
-    def take(self, record: MemberRecord, now_us: int) -> None:
+    def merge(self, record: MemberRecord, now_us: int) -> None:
+        """Merges a record of another member; what changes is passed on and reported."""
         merged = self.table.merge(record, now_us)
-        if merged is None or merged[1] == merged[2]:
+        if merged is None:
             return
-        place, _, after = merged
-        self.rumours.add(after.name)
+        index, before, after = merged
+        if before == after:
+            return
+        self.gossip.add(after.name)
+        has_failed = self.table.notified_states[index] is MemberState.FAILED
         match after.state:
             case MemberState.SUSPECTED:
-                self.since_us.setdefault(place, now_us)
+                self.suspected_since_us.setdefault(index, now_us)
             case MemberState.ALIVE:
-                self.since_us.pop(place, None)
-                if self.table.notified_states[place] is MemberState.FAILED:
-                    self.tell(place, StatusChange.RECOVERED, MemberState.ALIVE, now_us)
-            case MemberState.FAILED if self.table.notified_states[place] is not MemberState.FAILED:
-                self.since_us.pop(place, None)
-                self.tell(place, StatusChange.FAILED, MemberState.FAILED, now_us)
-
-    def tell(self, place: int, change: StatusChange, standing: MemberState, now_us: int) -> None:
-        self.table.set_notified_state(place, standing, now_us)
-        self.out.append(NotifyStatus(change, self.table.record_at(place)))
-
-    def beat(self, now_us: int) -> None:
-        slow = 1 + self.health if self.lifeguard else 1
-        probe = self.round
-        waited_us = now_us - probe.since_us if probe and not probe.answered else 0
-        if probe and not probe.sent_helpers and waited_us >= DIRECT_US * slow:
-            probe.sent_helpers = True
-            for place in self.drawn(HELPERS, probe.place):
-                self.send(
-                    self.table.record_at(place).address,
-                    IndirectPingRequest(
-                        probe.number,
-                        self.table.record_at(probe.place).address,
-                        self.table.own_record(),
-                        self.riding(),
-                    ),
-                )
-        if probe is None or now_us - probe.since_us >= PERIOD_US * slow:
-            if probe and not probe.answered:
-                self.suspect(probe.place, now_us)
-            self.begin(now_us)
-        for place, since in list(self.since_us.items()):
-            if now_us - since >= self.timeout_us(place):
-                del self.since_us[place]
-                gone = msgspec.structs.replace(
-                    self.table.record_at(place), state=MemberState.FAILED, confirmed_by=()
-                )
-                self.table.store(place, gone)
-                self.rumours.add(gone.name)
-                self.tell(place, StatusChange.FAILED, MemberState.FAILED, now_us)
-
-    def timeout_us(self, place: int) -> float:
-        if not self.lifeguard:
-            return SUSPICION_US
-        confirmed = max(0, len(self.table.record_at(place).confirmed_by) - 1)
-        most, shrunk = LONGEST * SUSPICION_US, math.log(confirmed + 1) / math.log(CONFIRMATIONS + 1)
-        return max(SUSPICION_US, most - (most - SUSPICION_US) * shrunk)
-
-    def suspect(self, place: int, now_us: int) -> None:
-        self.health = min(MOST_HEALTH, self.health + 1)
-        record = self.table.record_at(place)
-        if not record.is_final():
-            self.take(
-                msgspec.structs.replace(
-                    record, state=MemberState.SUSPECTED, confirmed_by=(self.mark,)
-                ),
-                now_us,
+                self.suspected_since_us.pop(index, None)
+                if has_failed:
+                    self.report(index, StatusChange.RECOVERED, MemberState.ALIVE, now_us)
+            case MemberState.FAILED if not has_failed:
+                self.suspected_since_us.pop(index, None)
+                self.report(index, StatusChange.FAILED, MemberState.FAILED, now_us)
+
+    def report(self, index: int, change: StatusChange, state: MemberState, now_us: int) -> None:
+        """Reports a change of a member's status."""
+        self.table.set_notified_state(index, state, now_us)
+        self.commands.append(NotifyStatus(change, self.table.record_at(index)))
+
+    # Time
+
+    def tick(self, now_us: int) -> None:
+        """Goes on with the present probe, begins the next one, and ends suspicions."""
+        multiplier = 1 + self.local_health if self.has_lifeguard else 1
+        probe = self.probe
+        if probe and not probe.is_acknowledged and not probe.is_indirect:
+            waited_us = now_us - probe.began_us
+            if waited_us >= ACK_TIMEOUT_US * multiplier:
+                self.ping_indirectly(probe)
+        if probe is None or now_us - probe.began_us >= PROTOCOL_PERIOD_US * multiplier:
+            if probe and not probe.is_acknowledged:
+                self.suspect(probe.target, now_us)
+            self.begin_probe(now_us)
+        for index, since_us in list(self.suspected_since_us.items()):
+            if now_us - since_us >= self.suspicion_timeout_us(index):
+                self.declare_failed(index, now_us)
+
+    def ping_indirectly(self, probe: Probe) -> None:
+        """Asks others to ping the member that is probed."""
+        probe.is_indirect = True
+        target = self.table.record_at(probe.target).address
+        for helper in self.draw_living(INDIRECT_PINGS, probe.target):
+            request = IndirectPingRequest(
+                probe.number, target, self.table.own_record(), self.take_gossip()
             )
+            self.send(self.table.record_at(helper).address, request)
+
+    def declare_failed(self, index: int, now_us: int) -> None:
+        """Ends a suspicion with a verdict."""
+        del self.suspected_since_us[index]
+        failed = msgspec.structs.replace(
+            self.table.record_at(index), state=MemberState.FAILED, confirmed_by=()
+        )
+        self.table.store(index, failed)
+        self.gossip.add(failed.name)
+        self.report(index, StatusChange.FAILED, MemberState.FAILED, now_us)
+
+    def suspicion_timeout_us(self, index: int) -> float:
+        """How long a suspicion lasts; with Lifeguard it shrinks with each confirmation."""
+        if not self.has_lifeguard:
+            return SUSPICION_US
+        confirmed = max(0, len(self.table.record_at(index).confirmed_by) - 1)
+        longest_us = MAX_SUSPICION_MULTIPLIER * SUSPICION_US
+        shrunk = math.log(confirmed + 1) / math.log(CONFIRMATIONS + 1)
+        return max(SUSPICION_US, longest_us - (longest_us - SUSPICION_US) * shrunk)
 
-    def begin(self, now_us: int) -> None:
+    def suspect(self, index: int, now_us: int) -> None:
+        """Suspects a member that did not answer."""
+        self.raise_local_health()
+        record = self.table.record_at(index)
+        if record.is_final():
+            return
+        suspicion = msgspec.structs.replace(
+            record, state=MemberState.SUSPECTED, confirmed_by=(self.own_id,)
+        )
+        self.merge(suspicion, now_us)
+
+    def begin_probe(self, now_us: int) -> None:
+        """Probes the next member of a random order, which is drawn anew when it is used up."""
         living = self.table.living_indexes()
-        if not self.order:
-            self.order = sorted(living, key=lambda _: self.chance.draw())
+        if not self.probe_order:
+            self.probe_order = sorted(living, key=lambda _: self.random.draw())
         self.number += 1
-        while self.order:
-            if (place := self.order.pop()) in self.table.living:
-                self.round = Round(place, self.number, now_us)
-                self.ping(place, self.number)
+        self.probe = None
+        while self.probe_order:
+            target = self.probe_order.pop()
+            if target in self.table.living:
+                self.probe = Probe(target, self.number, now_us)
+                self.ping(target, self.number)
                 return
-        self.round = None
 
-    def drawn(self, number: int, without: int) -> list[int]:
-        living = [place for place in self.table.living_indexes() if place != without]
-        return [
-            living.pop(int(self.chance.draw() * len(living)))
-            for _ in range(min(number, len(living)))
-        ]
+    def draw_living(self, count: int, without: int) -> list[int]:
+        """Draws living members but one."""
+        living = [index for index in self.table.living_indexes() if index != without]
+        drawn: list[int] = []
+        for _ in range(min(count, len(living))):
+            drawn.append(living.pop(int(self.random.draw() * len(living))))
+        return drawn
