--- a/plankroute/testbed/cold_start_cases.py
+++ b/plankroute/testbed/cold_start_cases.py
@@ -27,7 +27,7 @@
 LIMIT_S = 60.0
 NO_END_S = 1e6
 LIST_OLD_S = 5.0
-FAILURE_EVENTS = ("follow_failed", "core_failed", "membership_core_failed", "discovery_failed")
+FAILURE_EVENTS = ("election_failed", "core_failed", "membership_core_failed", "discovery_failed")
 MAX_FAILURES = 3  # that are reported
 
 ScriptMaker = Callable[[list[int]], Script]
--- a/plankroute/testbed/cold_start_plays.py
+++ b/plankroute/testbed/cold_start_plays.py
@@ -319,6 +319,6 @@
         line
         for lines in processes.lines
         for line in lines
-        if line.get("event") in ("follow_failed", "core_failed")
+        if line.get("event") in ("election_failed", "core_failed")
     ]
     return objections + [str(line) for line in failures]
