--- a/plankroute/policy/constants.py
+++ b/plankroute/policy/constants.py
@@ -13,6 +13,10 @@
 # Period of the turns in which weights, health and admission limits are judged: the design's value.
 TURN_US = SECOND_US
 
+# Weight of the prior, in attempts, that shrinks a host's mean latency, or weight, to that of its
+# machine type while few attempts are counted: a guess.
+PRIOR_ATTEMPTS = 3.0
+
 # The least weight of a host, relative to the mean: the design's value. A host keeps enough requests
 # to be measured by.
 WEIGHT_FLOOR = 0.05
--- a/plankroute/policy/drains.py
+++ b/plankroute/policy/drains.py
@@ -69,7 +69,8 @@
 
         Proxies that join may name hosts that were removed before. A bind settles that.
         """
-        registry, now = self.registry, self.registry.scheduler.now
+        registry = self.registry
+        now = self.registry.scheduler.now
         if not registry.unbound:
             self._uninformed_since_us = None
         if self._uninformed_since_us is None:
@@ -90,7 +91,8 @@
 
         A cold host stays withdrawn while proxies on older tables may name it too.
         """
-        registry, host_table = self.registry, self.host_table
+        registry = self.registry
+        host_table = self.host_table
         for host in sorted(self.withdrawn):
             lines = len(registry.unbound) * (registry.channel.message_overhead + 1)
             fits = lines <= self.flow.available_lines(registry, self.flow.allowance)
@@ -122,7 +124,8 @@
 
     def withdraw(self, host: int, budget: float) -> int:
         """Withdraws a host if that fits; returns the lines that it took."""
-        registry, host_table = self.registry, self.host_table
+        registry = self.registry
+        host_table = self.host_table
         tables = registry.tables_with(host)
         lines = registry.withdrawal_lines(host)
         if lines > budget:
--- a/plankroute/policy/fill.py
+++ b/plankroute/policy/fill.py
@@ -8,7 +8,7 @@
 (docs/design.md).
 """
 
-from plankroute.policy.constants import STATS_HALF_LIFE_US
+from plankroute.policy.constants import PRIOR_ATTEMPTS, STATS_HALF_LIFE_US
 from plankroute.policy.host_table import HostTable
 from plankroute.state.host_statistics import group_by
 from plankroute.state.published_table import PublishedTable
@@ -21,9 +21,6 @@
 # Requests that a usual host works on before any waits: a guess. With more in flight these show its
 # capacity.
 USUAL_CONCURRENCY = 3.0
-# Weight of the prior, in attempts, that shrinks a host's mean latency to its machine type's: a
-# guess.
-PRIOR_ATTEMPTS = 3.0
 # Least attempts, as a decayed sum, at which a machine type's latency is known: a guess.
 MIN_TYPE_ATTEMPTS = 0.5
 # Least load reports, as a decayed sum, that show the requests in flight: a guess.
--- a/plankroute/policy/first_weights.py
+++ b/plankroute/policy/first_weights.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 from statistics import median
 
-from plankroute.policy.constants import MAX_FIRST_WEIGHT, SECOND_US
+from plankroute.policy.constants import MAX_FIRST_WEIGHT, PRIOR_ATTEMPTS, SECOND_US
 from plankroute.policy.host_table import HostTable
 from plankroute.policy.prior_knowledge import PriorKnowledge
 from plankroute.state.host_statistics import group_by
@@ -22,8 +22,6 @@
 CHECKS_WAIT_US = SECOND_US // 4
 # Attempts a host that are enough to take weights over from old tables: a guess.
 ENOUGH_ATTEMPTS = 8.0
-# Weight of the prior, in attempts, that shrinks a host's weight to its machine type's: a guess.
-PRIOR_ATTEMPTS = 3.0
 # The least that a single host counts for relative to its machine type: see MAX_FIRST_WEIGHT.
 MIN_RELATIVE_SPEED = 0.7
 # Part of the mean attempts below which whoever wrote the old tables shunned a host: a guess.
--- a/plankroute/policy/health.py
+++ b/plankroute/policy/health.py
@@ -144,7 +144,7 @@
             if self.is_suspect(host_table.best_failure_ratio):
                 self.request_check()
             return False
-        if not self._may_eject_another():
+        if not host_table.may_eject_another(MAX_EJECTED_SHARE):
             return False
         # In an overload health checks get through, and a host that fails more is but fuller.
         usual = host_table.failure_ratio
@@ -160,8 +160,3 @@
     def _is_cut_off(self) -> bool:
         age_us = self.scheduler.now - self.host_table.mass_disconnect_at_us
         return self.host_table.unreachable[self.index] and age_us < PARTITION_SUSPICION_US
-
-    def _may_eject_another(self) -> bool:
-        ready = self.host_table.ready()
-        ejected = sum(self.host_table.ejected[host] for host in ready)
-        return ejected + 1 <= MAX_EJECTED_SHARE * len(ready)
--- a/plankroute/policy/host.py
+++ b/plankroute/policy/host.py
@@ -4,9 +4,13 @@
 from plankroute.events.events import HostState
 from plankroute.policy.constants import SECOND_US, STATS_HALF_LIFE_US
 from plankroute.policy.first_weights import FirstWeights
-from plankroute.policy.health import GOOD_CHECKS_TO_READMIT, MIN_FAILURES, HostHealth
+from plankroute.policy.health import GOOD_CHECKS_TO_READMIT, HostHealth
 from plankroute.policy.host_table import HostTable
-from plankroute.policy.prior_knowledge import PriorKnowledge
+from plankroute.policy.prior_knowledge import (
+    MAX_EJECTED_SHARE,
+    MIN_MEASURED_ATTEMPTS,
+    PriorKnowledge,
+)
 from plankroute.policy.warmup import Ramp
 from plankroute.state.host_statistics import NO_CAP
 from plankroute.state.scheduler import Actor, Scheduler, Tick
@@ -81,7 +85,8 @@
 
     def on_entry(self, entry: events.HostEntry) -> None:
         """Takes over the entry of the endpoint list."""
-        host_table, index = self.host_table, self.index
+        host_table = self.host_table
+        index = self.index
         if entry.state is not host_table.state[index]:
             host_table.heard_at_us[index] = self.scheduler.now
         host_table.zone[index] = entry.zone
@@ -96,7 +101,8 @@
 
     def reset(self) -> None:
         """Forgets the process before a restart: nothing of it counts for the new one."""
-        host_table, index = self.host_table, self.index
+        host_table = self.host_table
+        index = self.index
         host_table.scale_sums(index, 0.0)
         host_table.error[index] = None
         host_table.integral[index] = 0.0
@@ -115,7 +121,9 @@
         Guards against hosts that fail requests fast and so look idle: a failed attempt counts as
         one that took the latency objective.
         """
-        host_table, index, now = self.host_table, self.index, self.scheduler.now
+        host_table = self.host_table
+        index = self.index
+        now = self.scheduler.now
         failed = min(stats.failed, stats.attempts)
         host_table.note_stats_arrival(now, STATS_BURST_GAP_US)
         host_table.decay(index, now, STATS_HALF_LIFE_US)
@@ -133,7 +141,7 @@
         host_table.latency_sum_us[index] += (
             latency_sum_us + failed * host_table.latency_objective_us
         )
-        if host_table.attempts[index] >= MIN_FAILURES:
+        if host_table.attempts[index] >= MIN_MEASURED_ATTEMPTS:
             fails_most = 2 * host_table.failed[index] > host_table.attempts[index]
             self.prior.compare(host_table, index, fails_most)
         host_table.add_load_report(index, stats.report)
@@ -147,9 +155,10 @@
 
     def on_prior_knowledge(self, event: events.HostPriorKnowledge) -> None:
         """Starts from prior knowledge, as long as the controller knows nothing better itself."""
-        host_table, index = self.host_table, self.index
+        host_table = self.host_table
+        index = self.index
         is_ready = host_table.state[index] is HostState.READY
-        is_measured = host_table.attempts[index] >= MIN_FAILURES
+        is_measured = host_table.attempts[index] >= MIN_MEASURED_ATTEMPTS
         if not is_ready or is_measured or self.prior.judged:
             return
         is_unhealthy = self.prior.record(index, event)
@@ -160,14 +169,15 @@
         if (
             was_ejected
             and not host_table.ejected[index]
-            and self.prior.may_eject_another(host_table)
+            and host_table.may_eject_another(MAX_EJECTED_SHARE)
         ):
             self.health.eject_on_prior_knowledge(event.required_checks)
             self.health.request_check()
 
     def on_turn(self) -> None:
         """Goes on by one turn: decays the sums, readmits or ramps up, asks for a health check."""
-        host_table, index = self.host_table, self.index
+        host_table = self.host_table
+        index = self.index
         if host_table.state[index] is not HostState.READY:
             return
         host_table.decay(index, self.scheduler.now, STATS_HALF_LIFE_US)
--- a/plankroute/policy/host_table.py
+++ b/plankroute/policy/host_table.py
@@ -73,6 +73,12 @@
         smallest = min(self.usual_weight_by_type.values(), default=1.0)
         return self.usual_weight_by_type.get(self.machine_type[index], smallest)
 
+    def may_eject_another(self, max_share: float) -> bool:
+        """Whether one more host may be ejected, if this share of the ready ones is the most."""
+        ready = self.ready()
+        ejected = sum(self.ejected[host] for host in ready)
+        return ejected + 1 <= max_share * len(ready)
+
     def health_checks(self, hosts: Iterable[int]) -> list[commands.Command]:
         """Returns commands to check these hosts; none where the settings do not permit checks."""
         if not self.health_checks_allowed:
--- a/plankroute/policy/prior_knowledge.py
+++ b/plankroute/policy/prior_knowledge.py
@@ -18,6 +18,9 @@
 # Share of the ready hosts that prior knowledge alone may eject: a guess; beyond it the knowledge is
 # wrong.
 MAX_EJECTED_SHARE = 1 / 3
+# Attempts, as a decayed sum, from which on own statistics of a host are compared to prior knowledge
+# and stand above it: as many as make a host suspect by its failures.
+MIN_MEASURED_ATTEMPTS = 3.0
 # Contradictions from which on all prior knowledge is dropped if they outnumber the confirmations: a
 # guess; a single one may be chance.
 MIN_CONTRADICTIONS = 2
@@ -58,12 +61,6 @@
         self.weights[index] = weight**capacity_certainty
         return is_unhealthy
 
-    def may_eject_another(self, statistics: HostStatistics) -> bool:
-        """Whether prior knowledge may eject one more host."""
-        ready = statistics.ready()
-        ejected = sum(statistics.ejected[host] for host in ready)
-        return bool(ready) and ejected + 1 <= MAX_EJECTED_SHARE * len(ready)
-
     def discard(self, index: int) -> None:
         """Drops what is known of a host that has restarted."""
         self.weights.pop(index, None)
--- a/plankroute/policy/publisher.py
+++ b/plankroute/policy/publisher.py
@@ -119,7 +119,8 @@
         ready_count = len(self.host_table.ready())
         share = self.subsetting.share(ready_count, self.flow.grace_slack_us)
         slack_us = self.flow.grace_slack_us - self.subsetting.bind_us(share, ready_count)
-        now, has_old_tables = self.scheduler.now, not event.fresh
+        now = self.scheduler.now
+        has_old_tables = not event.fresh
         if self.first_weights.begin(self.host_table, now, has_old_tables, slack_us):
             self.scheduler.out += self.host_table.health_checks(self.host_table.eligible())
 
