--- a/plankroute/controller/message_builder.py
+++ b/plankroute/controller/message_builder.py
@@ -214,7 +214,7 @@
         self._recipients[command.proxy] = None
         routes = self.tables.get(command.table, {})
         new_tables = list(old_tables)
-        for request_class in self._selected(command.products):
+        for request_class in self._selected(command.request_classes):
             new_tables[request_class] = command.table
             limit = self._effective_limit(command.table, request_class)
             draft.replace_table(request_class, routes, limit)
@@ -238,7 +238,7 @@
                     self._notify_withdrawal(proxy, command.host, command.withdrawn)
 
     def _set_admission_limit(self, command: commands.SetAdmissionLimit) -> None:
-        selected = self._selected(command.products)
+        selected = self._selected(command.request_classes)
         for request_class in selected:
             limit = AdmissionLimit(command.limit, command.retry)
             self._limits[command.table, request_class] = limit
--- a/plankroute/events/commands.py
+++ b/plankroute/events/commands.py
@@ -62,12 +62,12 @@
     Attributes:
         table: The table.
         proxy: The proxy; if it has left meanwhile nothing happens.
-        products: The request classes for which it uses the table, or None for all.
+        request_classes: The request classes for which it uses the table, or None for all.
     """
 
     table: int
     proxy: int
-    products: tuple[int, ...] | None = None
+    request_classes: tuple[int, ...] | None = None
 
 
 @dataclass(frozen=True, slots=True)
@@ -76,13 +76,13 @@
 
     Attributes:
         table: Proxies that use this table, or ALL_TABLES.
-        products: The request classes, or None for all.
+        request_classes: The request classes, or None for all.
         limit: A share, or requests a second at each proxy, by `StartFacts.admission_unit`.
         retry: When a proxy tries another host.
     """
 
     table: int | None
-    products: tuple[int, ...] | None
+    request_classes: tuple[int, ...] | None
     limit: float
     retry: RetryPolicy
 
--- a/plankroute/events/events.py
+++ b/plankroute/events/events.py
@@ -152,14 +152,14 @@
 
     Attributes:
         proxy: The proxy.
-        product: The request class.
+        request_class: The request class.
         arrived: Requests that came in the span.
         failed: Requests that were admitted and not served.
         span_us: The time that the sums cover.
     """
 
     proxy: int
-    product: int
+    request_class: int
     arrived: int
     failed: int
     span_us: int
@@ -171,14 +171,14 @@
 
     Attributes:
         slice: The slice of the key space.
-        product: The request class.
+        request_class: The request class.
         arrived: Requests that came in the span.
         failed: Requests that were admitted and not served.
         span_us: The time that the sums cover.
     """
 
     slice: int
-    product: int
+    request_class: int
     arrived: int
     failed: int
     span_us: int
--- a/plankroute/policy/admission.py
+++ b/plankroute/policy/admission.py
@@ -143,7 +143,7 @@
         if stats.span_us <= 0 or not self.tables:
             return
         self.arrived += stats.arrived
-        key = (stats.proxy, stats.product)
+        key = (stats.proxy, stats.request_class)
         rate = stats.arrived * SECOND_US / stats.span_us
         self.rates[key] = (self.rates.get(key, rate) + rate) / 2
 
@@ -172,7 +172,7 @@
         for table, load in zip(self.tables, self.loads, strict=True):
             share = load.next_share(served_share)
             load.start_turn(share)
-            for request_class in table.products:
+            for request_class in table.request_classes:
                 self._set_limit(table, request_class, share)
         self.served = self.served / 2
         self.arrived = self.arrived / 2
--- a/plankroute/policy/binding.py
+++ b/plankroute/policy/binding.py
@@ -47,7 +47,7 @@
         registry = self.registry
         zone = registry.zone_of_proxy[proxy]
         tables = [table for table in registry.tables if table.serves_zone(zone)]
-        lines_of_tables = [table.lines(withdrawn) for table in tables]
+        lines_of_tables = [table.bind_lines(withdrawn) for table in tables]
         lines = sum(lines_of_tables) + registry.channel.message_overhead
         # Guards against a table longer than binds may queue, which would never go; alone it does.
         max_queued = max(max_queued, min(lines, self.flow.allowance))
@@ -56,7 +56,7 @@
         del registry.unbound[proxy]
         registry.bound.add(proxy)
         for table, table_lines in zip(tables, lines_of_tables, strict=True):
-            request_classes = tuple(table.products) if len(registry.tables) > 1 else None
+            request_classes = tuple(table.request_classes) if len(registry.tables) > 1 else None
             command = commands.BindProxy(table.number, proxy, request_classes)
             registry.command(command, [proxy], table_lines)
         return True
--- a/plankroute/policy/drains.py
+++ b/plankroute/policy/drains.py
@@ -131,7 +131,7 @@
         if len(tables) == 1:
             write_slot(registry, host_table, Change(0.0, True, tables[0], host, 0), budget)
         proxies = registry.zone_of_proxy if len(tables) > 1 else registry.unbound
-        recipients = registry.tell(host, proxies)
+        recipients = registry.mark_notified(host, proxies)
         if recipients:
             command = commands.WithdrawHost(host_table.host_ids[host], True)
             registry.command(command, recipients)
@@ -162,7 +162,7 @@
 
     def _can_bind_in_time(self, since_us: int) -> bool:
         registry = self.registry
-        table_lines = sum(table.lines(set()) for table in registry.tables)
+        table_lines = sum(table.bind_lines(set()) for table in registry.tables)
         lines_per_bind = registry.channel.message_overhead + table_lines
         lines = registry.channel.unacknowledged + len(registry.unbound) * lines_per_bind
         waited_us = registry.scheduler.now - since_us
--- a/plankroute/policy/first_weights.py
+++ b/plankroute/policy/first_weights.py
@@ -91,7 +91,7 @@
         attempts = sum(host_table.attempts[host] for host in eligible)
         if is_late and attempts < len(eligible):
             self.from_old_tables = False  # next to nothing was reported: by the health checks
-        shown = host_table.attempts if self.from_old_tables else host_table.probe_speed
+        shown = host_table.attempts if self.from_old_tables else host_table.health_check_rate
         mean = sum(shown[host] for host in eligible) / len(eligible) or 1.0
         if self.from_old_tables:
             is_known = mean >= ENOUGH_ATTEMPTS
--- a/plankroute/policy/flow_control.py
+++ b/plankroute/policy/flow_control.py
@@ -97,7 +97,7 @@
     recipients = registry.recipients(table, change.index, statistics.possibly_withdrawn)
     if len(recipients) > budget:
         return 0
-    table.set(change.index, change.count)
+    table.set_slots(change.index, change.count)
     host_id = statistics.host_ids[change.index]
     registry.command(commands.SetRoute(table.number, host_id, float(change.count)), recipients)
     return len(recipients)
--- a/plankroute/policy/health.py
+++ b/plankroute/policy/health.py
@@ -71,7 +71,7 @@
                 self.bad_checks = 0
                 host_table.unreachable[self.index] = False
                 host_table.add_load_report(self.index, result.report)
-                host_table.probe_speed[self.index] = SECOND_US / max(1, result.elapsed_us)
+                host_table.health_check_rate[self.index] = SECOND_US / max(1, result.elapsed_us)
                 return False
             case HealthCheckOutcome.REJECTED:
                 return False  # an overloaded host that sheds load may be healthy
--- a/plankroute/policy/host_table.py
+++ b/plankroute/policy/host_table.py
@@ -101,7 +101,7 @@
         warm = [host for host in ready if self.weight_cap[host] == NO_CAP]
         self.warm_count = len(warm)
         self.warming_count = len(ready) - len(warm)
-        self.most = max(self.most, self.warm_count)
+        self.max_warm_count = max(self.max_warm_count, self.warm_count)
         self.usual_weight_by_type = {
             self.machine_type[hosts[0]]: sum(self.weight[host] for host in hosts) / len(hosts)
             for hosts in group_by(warm, lambda host: self.machine_type[host])
--- a/plankroute/policy/publisher.py
+++ b/plankroute/policy/publisher.py
@@ -107,7 +107,7 @@
                 mass_disconnect.on_disconnect(self, self.host_table, event.proxy)
             case commands.SetAdmissionLimit():
                 # A newer limit replaces one that is not written yet.
-                self.pending_limits[event.table, event.products] = event
+                self.pending_limits[event.table, event.request_classes] = event
 
     def on_proxy_joined(self, event: events.ProxyJoined) -> None:
         """Takes a proxy in; the first one decides where the first weights come from."""
--- a/plankroute/policy/slot_changes.py
+++ b/plankroute/policy/slot_changes.py
@@ -101,12 +101,12 @@
     def list_changes(self, now: int) -> list[Change]:
         """Returns all changes, table by table; notes in the host table the least that pays."""
         host_table = self.host_table
-        class_count = sum(len(table.products) for table in self.tables)
+        class_count = sum(len(table.request_classes) for table in self.tables)
         urgency = self._urgency_by_latency()
         changes: list[Change] = []
         for table, slots in zip(self.tables, self.target.current(), strict=True):
             # Part of all requests that a slot moves.
-            slot_part = len(table.products) / class_count / max(1, sum(slots.values()))
+            slot_part = len(table.request_classes) / class_count / max(1, sum(slots.values()))
             least_change = self.flow.line_price / (slot_part * SLOTS_PER_HOST)
             host_table.min_slot_change = max(host_table.min_slot_change, least_change)
             has_no_warm_host = not self._keeps_warm_host(table, slots)
--- a/plankroute/policy/slots.py
+++ b/plankroute/policy/slots.py
@@ -111,7 +111,7 @@
                 tables[scope] = RoutingTable(
                     len(tables), scope.zones, scope.machine_types, scope.proxy_zone
                 )
-            tables[scope].products.append(request_class)
+            tables[scope].request_classes.append(request_class)
     return list(tables.values())
 
 
--- a/plankroute/policy/warmup.py
+++ b/plankroute/policy/warmup.py
@@ -77,7 +77,7 @@
         host_table: Statistics of all hosts.
         share: Share of its capacity that a cold host has.
     """
-    warm_half = host_table.most / 2
+    warm_half = host_table.max_warm_count / 2
     capacity_of_warming = share * host_table.warming_count
     if capacity_of_warming >= max(host_table.warm_count, warm_half):
         return False  # together the warming hosts bear what one alone would not
--- a/plankroute/simulator/command_records.py
+++ b/plankroute/simulator/command_records.py
@@ -59,7 +59,7 @@
             after_ms = command.after_us / 1000
             return SET_ALARM.pack(CommandCode.SET_ALARM, instance, after_ms, command.token)
         case commands.BindProxy():
-            classes = _class_bits(command.products)
+            classes = _class_bits(command.request_classes)
             return ATTACH_TABLE.pack(
                 CommandCode.ATTACH_TABLE, instance, command.table, command.proxy, classes
             )
@@ -73,7 +73,7 @@
             return HOLD_BACK.pack(CommandCode.HOLD_BACK, instance, command.host, command.withdrawn)
         case commands.SetAdmissionLimit():
             table = ALL_TABLES if command.table is commands.ALL_TABLES else command.table
-            classes = _class_bits(command.products)
+            classes = _class_bits(command.request_classes)
             return VALVE.pack(
                 CommandCode.VALVE, instance, table, command.retry, classes, command.limit
             )
--- a/plankroute/state/host_statistics.py
+++ b/plankroute/state/host_statistics.py
@@ -47,7 +47,7 @@
         weight_cap: The most that the weight of a host that warms up counts for, or NO_CAP.
         ejected: Taken out of use for its health.
         unreachable: The last health check did not get through.
-        probe_speed: Health checks a second, by the last one that was answered.
+        health_check_rate: Health checks a second, by the last one that was answered.
         attempts: Sum of attempts.
         failed: Sum of failed attempts.
         latency_sum_us: Sum of the attempts' latencies.
@@ -62,7 +62,7 @@
         proxies: Number of joined proxies.
         min_slot_change: What a line costs, as a share of a host's usual slots.
         channel_constrained: Writing all slots takes more than a turn's room in the channel.
-        most: The most hosts that were ready and warm at once, at any time so far.
+        max_warm_count: The most hosts that were ready and warm at once, at any time so far.
     """
 
     def __init__(self) -> None:
@@ -86,7 +86,7 @@
         self.weight_cap: list[float] = []
         self.ejected: list[bool] = []
         self.unreachable: list[bool] = []
-        self.probe_speed: list[float] = []
+        self.health_check_rate: list[float] = []
         # Decayed sums
         self.attempts: list[float] = []
         self.failed: list[float] = []
@@ -102,7 +102,7 @@
         self.proxies = 0
         self.min_slot_change = 0.0
         self.channel_constrained = False
-        self.most = 0
+        self.max_warm_count = 0
 
     def add(self, entry: HostEntry) -> int:
         """Adds a host not seen before; it counts as gone until its entry is handled.
@@ -130,7 +130,7 @@
         _store(self.weight_cap, index, NO_CAP)
         _store(self.ejected, index, False)
         _store(self.unreachable, index, False)
-        _store(self.probe_speed, index, 0.0)
+        _store(self.health_check_rate, index, 0.0)
 
         _store(self.attempts, index, 0.0)
         _store(self.failed, index, 0.0)
--- a/plankroute/state/proxy_registry.py
+++ b/plankroute/state/proxy_registry.py
@@ -139,7 +139,7 @@
         not_notified = self.unbound.keys() - self.notified.get(host, set())
         return len(not_notified) + sum(len(self.users(table)) for table in tables)
 
-    def tell(self, host: int, proxies: Iterable[int]) -> list[int]:
+    def mark_notified(self, host: int, proxies: Iterable[int]) -> list[int]:
         """Marks the proxies as notified of a host's withdrawal.
 
         Returns:
--- a/plankroute/state/published_table.py
+++ b/plankroute/state/published_table.py
@@ -16,7 +16,7 @@
         zones: Zones whose hosts it may hold, or None if it may hold those of any zone.
         machine_types: Machine types that it may hold, or None if it may hold any.
         proxy_zone: The zone whose proxies use it, or None if those of all zones do.
-        products: Indexes of the request classes that it is for.
+        request_classes: Indexes of the request classes that it is for.
         published: Slots by host, as last written to the channel; never 0.
     """
 
@@ -24,7 +24,7 @@
     zones: tuple[int, ...] | None
     machine_types: tuple[int, ...] | None
     proxy_zone: int | None
-    products: list[int] = field(default_factory=list)
+    request_classes: list[int] = field(default_factory=list)
     published: dict[int, int] = field(default_factory=dict)
 
     def admits(self, hosts: HostStatistics, index: int) -> bool:
@@ -38,7 +38,7 @@
         """Whether proxies in this zone use the table."""
         return self.proxy_zone is None or self.proxy_zone == proxy_zone
 
-    def lines(self, held: set[int]) -> int:
+    def bind_lines(self, held: set[int]) -> int:
         """Returns the most lines that the channel counts for binding a proxy to the table.
 
         Args:
@@ -46,11 +46,13 @@
                 table holds cost a line each beside their slots.
         """
         bind_line = 1
-        limit_lines = 2 * len(self.products)  # of each request class: the limit, the retry policy
+        limit_lines = 2 * len(
+            self.request_classes
+        )  # of each request class: the limit, the retry policy
         withdrawal_lines = len(self.published.keys() & held)
         return bind_line + len(self.published) + limit_lines + withdrawal_lines
 
-    def set(self, index: int, count: int) -> None:
+    def set_slots(self, index: int, count: int) -> None:
         """Notes the slots that were just published for a host; 0 removes it."""
         if count:
             self.published[index] = count
--- a/tests/policy/test_outlier_detection.py
+++ b/tests/policy/test_outlier_detection.py
@@ -116,12 +116,12 @@
 
 def test_an_old_health_check_of_another_controller_counts_for_nothing() -> None:
     bench = ready_bench()
-    speed = list(bench.controller.host_table.probe_speed)
+    speed = list(bench.controller.host_table.health_check_rate)
     bench.give(
         events.HealthCheckResult(100, HealthCheckOutcome.ANSWERED, 1000, None, age_us=60 * SECOND)
     )
-    assert bench.controller.host_table.probe_speed == speed
+    assert bench.controller.host_table.health_check_rate == speed
     bench.give(
         events.HealthCheckResult(100, HealthCheckOutcome.ANSWERED, 1000, None, age_us=SECOND)
     )
-    assert bench.controller.host_table.probe_speed != speed
+    assert bench.controller.host_table.health_check_rate != speed
--- a/tests/support/controller_model.py
+++ b/tests/support/controller_model.py
@@ -286,7 +286,7 @@
         assert not self.facts.slices
         if command.proxy not in self._zone_of_proxy:
             return set(), 0  # it left meanwhile: nothing happens
-        for place in command.products or self._request_classes:
+        for place in command.request_classes or self._request_classes:
             self.bound[command.proxy, place] = command.table
         return {command.proxy}, 1 + len(self.lines.get(command.table, {}))
 
