--- a/plankroute/controller/controller.py
+++ b/plankroute/controller/controller.py
@@ -63,8 +63,8 @@
         """Takes in a batch of events and decides.
 
         Args:
-            clock_us: The clock at which all events of the batch happen, in microseconds; it never
-                goes back.
+            clock_us: The clock at which all events of the batch happen, in microseconds; it must$
+                not go back.
             batch: The events, in their order.
 
         Returns:
