--- a/plankroute/controller/controller.py
+++ b/plankroute/controller/controller.py
@@ -63,7 +63,7 @@
         """Takes in a batch of events and decides.
 
         Args:
-            clock_us: The clock at which all events of the batch happen, in microseconds; it must$
+            clock_us: The clock at which all events of the batch happen, in microseconds; it must
                 not go back.
             batch: The events, in their order.
 
