--- a/plankroute/policy/publisher.py
+++ b/plankroute/policy/publisher.py
@@ -15,7 +15,7 @@
 from plankroute.policy.subsetting import SubsetPolicy
 from plankroute.state.channel import Channel
 from plankroute.state.host_statistics import NO_CAP
-from plankroute.state.proxy_registry import ProxyRegistry
+from plankroute.state.proxy_registry import ProxyRegistry, RegistryEvent
 from plankroute.state.published_table import Change
 from plankroute.state.scheduler import Scheduler, Tick
 
@@ -25,14 +25,6 @@
 REMOVED_SHARE_WITHOUT_ENDPOINTS = 0.1
 
 LimitKey = tuple[int | None, tuple[int, ...] | None]
-PublisherEvent = (
-    events.HostEntry
-    | events.ProxyJoined
-    | events.ProxyLeft
-    | events.Acknowledged
-    | commands.SetAdmissionLimit
-    | Tick
-)
 
 
 class Publisher(ProxyRegistry):
@@ -91,7 +83,7 @@
         self.drains.forget(index)
         self.notified.pop(index, None)
 
-    def handle(self, event: PublisherEvent) -> None:
+    def handle(self, event: RegistryEvent) -> None:
         """Takes in what concerns proxies and drains; writes on a tick."""
         match event:
             case Tick():
