--- a/plankroute/state/published_table.py
+++ b/plankroute/state/published_table.py
@@ -38,16 +38,16 @@
         """Whether proxies in this zone use the table."""
         return self.proxy_zone is None or self.proxy_zone == proxy_zone
 
-    def lines(self, held: set[int]) -> int:
+    def lines(self, withdrawn: set[int]) -> int:
         """Returns the most lines that the channel counts for binding a proxy to the table.
 
         Args:
-            held: Hosts whose withdrawal, or its end, the proxy has to be told of: those that the
+            withdrawn: Hosts whose withdrawal, or its end, the proxy has to be told of: those that the
                 table holds cost a line each beside their slots.
         """
         bind_line = 1
         limit_lines = 2 * len(self.products)  # of each request class: the limit, the retry policy
-        withdrawal_lines = len(self.published.keys() & held)
+        withdrawal_lines = len(self.published.keys() & withdrawn)
         return bind_line + len(self.published) + limit_lines + withdrawal_lines
 
     def set(self, index: int, count: int) -> None:
