--- a/plankroute/state/published_table.py
+++ b/plankroute/state/published_table.py
@@ -42,8 +42,8 @@
         """Returns the most lines that the channel counts for binding a proxy to the table.
 
         Args:
-            withdrawn: Hosts whose withdrawal, or its end, the proxy has to be told of: those that the
-                table holds cost a line each beside their slots.
+            withdrawn: Hosts whose withdrawal, or its end, the proxy has to be told of: those that
+                the table holds cost a line each beside their slots.
         """
         bind_line = 1
         limit_lines = 2 * len(self.products)  # of each request class: the limit, the retry policy
