--- a/plankroute/cli/testbed_commands.py
+++ b/plankroute/cli/testbed_commands.py
@@ -237,6 +237,7 @@
 ) -> None:
     """Measure what the restart of a controller costs, with and without prior knowledge."""
     from plankroute.testbed import warm_restart as restart
+    from plankroute.testbed import warm_restart_report as report
     from plankroute.testbed.traffic import Mix
 
     chosen_ways = tuple(ways.split(","))
@@ -254,12 +255,12 @@
             restarts_proxies=proxies_too,
         )
         rows.append(asyncio.run(restart.run_ways(chosen_ways, common)))
-    summed = restart.summed(rows)
-    click.echo(restart.table(summed))
+    summed = report.summed(rows)
+    click.echo(report.table(summed))
     if json_path:
         write_json(json_path, rows)
     if report_path:
-        report_path.write_text(restart.page(summed))
+        report_path.write_text(report.page(summed))
 
 
 @testbed.command("write-kills")
--- a/plankroute/testbed/cold_start.py
+++ b/plankroute/testbed/cold_start.py
@@ -14,7 +14,8 @@
 from plankroute.testbed.faults import SECOND, Script
 from plankroute.testbed.hosts import StubHosts, StubProxy
 from plankroute.testbed.list_service import Behaviour, Mode, Phase, StubDiscovery, target
-from plankroute.testbed.processes import STREAM_PORT, ControllerProcesses, JsonObject, LogLine, Plan
+from plankroute.testbed.plan import JsonObject, Plan
+from plankroute.testbed.processes import STREAM_PORT, ControllerProcesses, LogLine
 
 CLASSES = [{"name": "lookup", "idempotency": "retryable", "onTimeMs": 1000.0, "deadlineMs": 4000.0}]
 COUNTING_PERIOD_S = 5.0  # health checks are counted for so long, from the first one on
--- a/plankroute/testbed/membership_measurements.py
+++ b/plankroute/testbed/membership_measurements.py
@@ -24,8 +24,8 @@
 )
 from plankroute.membership.records import MemberRecord
 from plankroute.testbed import checkers
-from plankroute.testbed.baselines import Heartbeats, Swim
 from plankroute.testbed.faults import SECOND, Act, Rule, Script, Step, partition, pauses
+from plankroute.testbed.heartbeats import Heartbeats
 from plankroute.testbed.history import Entry
 from plankroute.testbed.simulated_members import (
     WALL_US,
@@ -36,6 +36,7 @@
     name_of,
     plankroute_member,
 )
+from plankroute.testbed.swim import Swim
 
 MB = 1 << 20
 CALM_S = 5.0  # before the first fault
--- a/plankroute/testbed/membership_scenarios.py
+++ b/plankroute/testbed/membership_scenarios.py
@@ -12,7 +12,8 @@
 from plankroute.testbed import checkers
 from plankroute.testbed.faults import SECOND, Act, Rule, Step, partition, pauses
 from plankroute.testbed.links import stranger_socket
-from plankroute.testbed.processes import GROUP_NAME, Plan
+from plankroute.testbed.plan import Plan
+from plankroute.testbed.processes import GROUP_NAME
 from plankroute.testbed.scenario import CUT_FROM_S, CUT_UNTIL_S, Scenario, Trial, plan_of
 
 STEP_S = 1.0  # when the only step of a script is done
--- a/plankroute/testbed/processes.py
+++ b/plankroute/testbed/processes.py
@@ -15,16 +15,15 @@
 from pathlib import Path
 from typing import Any
 
-import msgspec
 import orjson
 
 from plankroute.net.process.service import FEATURE_FILE_VARIABLE
-from plankroute.testbed.faults import SECOND, Act, Script, Step
+from plankroute.testbed.faults import SECOND, Act, Step
 from plankroute.testbed.history import Done, Entry, History
 from plankroute.testbed.links import Address, DatagramLinks, StreamLinks
+from plankroute.testbed.plan import JsonObject, Plan
 
 LogLine = dict[str, Any]  # a line of a controller's log: event, level, and more by event
-JsonObject = dict[str, Any]  # a part of a configuration or of a feature file, in their own words
 
 MEMBERSHIP_PORT = 7946  # where a controller receives datagrams
 KNOWN_MEMBERSHIP_PORT = 7947  # where others think that it does: its faulty link
@@ -61,46 +60,6 @@
     ctypes.CDLL(None).prctl(PR_SET_PDEATHSIG, signal.SIGKILL)
 
 
-class Plan(msgspec.Struct, frozen=True):
-    """A group of real controllers.
-
-    Attributes:
-        members: How many.
-        script: What befalls them.
-        net: Second byte of their loopback addresses; each group that runs has its own.
-        seeds: Members that the others ask at their start.
-        absent: Members that are not started until a step says so.
-        names: By member, a name other than its usual one.
-        clock_jumps: By member, after how many seconds its wall clock jumps, and by how many.
-        membership: More of the feature file's membership section.
-        sections: More sections of the feature file.
-        configuration: More of the configuration.
-        settings: More of the settings in it.
-        has_feature_file: Whether there is a feature file at all.
-        has_membership: Whether it has a membership section.
-        has_links: Whether it has links between controllers.
-        has_direct_links: No faulty links: for sizes at which they would be what is measured.
-        starts_at_once: All processes wait, and start at one moment.
-    """
-
-    members: int
-    script: Script
-    net: int
-    seeds: tuple[int, ...] = (0, 1, 2)
-    absent: tuple[int, ...] = ()
-    names: dict[int, str] = {}
-    clock_jumps: dict[int, tuple[float, float]] = {}
-    membership: JsonObject = {}
-    sections: JsonObject = {}
-    configuration: JsonObject = {}
-    settings: JsonObject = {}
-    has_feature_file: bool = True
-    has_membership: bool = True
-    has_links: bool = False
-    has_direct_links: bool = False
-    starts_at_once: bool = False
-
-
 class ControllerProcesses:
     """The processes of a plan.
 
--- a/plankroute/testbed/scenario.py
+++ b/plankroute/testbed/scenario.py
@@ -8,7 +8,8 @@
 
 from plankroute.testbed import checkers
 from plankroute.testbed.faults import SECOND, Rule, Script, Step
-from plankroute.testbed.processes import ControllerProcesses, JsonObject, Plan
+from plankroute.testbed.plan import JsonObject, Plan
+from plankroute.testbed.processes import ControllerProcesses
 
 CUT_FROM_S = 1.0  # when cuts and partitions begin
 CUT_UNTIL_S = 13.0  # and end: they last over four times what a verdict takes
--- a/plankroute/testbed/simulated_members.py
+++ b/plankroute/testbed/simulated_members.py
@@ -84,6 +84,14 @@
     return f"z{member % 3}"
 
 
+def records_of(members: int) -> list[MemberRecord]:
+    """The records of all members, as they are before the first process of any."""
+    return [
+        MemberRecord(name_of(member), address_of(member), zone_of(member), 1, WALL_US)
+        for member in range(members)
+    ]
+
+
 def plankroute_member(member: int, life: int, seed: int, seeds: tuple[str, ...]) -> Membership:
     """The core that controllers run; see `Maker`."""
     facts = MemberFacts(
--- /dev/null
+++ b/plankroute/testbed/warm_restart_report.py
@@ -0,0 +1,83 @@
+"""What warm restarts cost, way by way: sums over seeds, a table, and one page with curves."""
+
+import jinja2
+
+from plankroute.testbed.warm_restart import NOTHING, Outcome
+from plankroute.text_table import text_table
+
+
+def summed(rows: list[list[Outcome]]) -> list[Outcome]:
+    """Outcomes over seeds, way by way: requests are added up, the rest is a mean."""
+    return [sum_of(list(outcomes)) for outcomes in zip(*rows, strict=True)]
+
+
+def sum_of(outcomes: list[Outcome]) -> Outcome:
+    """Outcomes of one way as one."""
+    count = len(outcomes)
+    curves = zip(*(outcome.curve for outcome in outcomes), strict=False)
+    return Outcome(
+        outcomes[0].way,
+        sum(outcome.requests for outcome in outcomes),
+        sum(outcome.failures for outcome in outcomes),
+        round(sum(outcome.ready_ms for outcome in outcomes) / count),
+        round(sum(outcome.hosts_provided for outcome in outcomes) / count),
+        [round(sum(shares) / count, 3) for shares in curves],
+    )
+
+
+HEADINGS = ("way", "requests", "failed", "share", "of nothing's", "ready after", "hosts known")
+
+
+def table(outcomes: list[Outcome]) -> str:
+    """A table for people."""
+    base = next((one.failure_ratio() for one in outcomes if one.way == NOTHING), 0.0)
+    return text_table([HEADINGS, *(table_row(outcome, base) for outcome in outcomes)])
+
+
+def table_row(outcome: Outcome, base: float) -> tuple[str, ...]:
+    """One outcome under `HEADINGS`; `base`: the failure ratio with nothing known."""
+    ratio = outcome.failure_ratio()
+    return (
+        outcome.way,
+        f"{outcome.requests:.0f}",
+        f"{outcome.failures:.0f}",
+        f"{ratio:.2%}",
+        f"{ratio / base:.2f}" if base else "-",
+        f"{outcome.ready_ms} ms",
+        str(outcome.hosts_provided),
+    )
+
+
+PAGE = jinja2.Template(
+    """<!doctype html><html lang="en"><meta charset="utf-8"><title>Restart</title>
+<style>body{font:15px/1.45 system-ui,sans-serif;max-width:820px;margin:2em auto;padding:0 1em}
+svg{width:100%;height:auto;background:#fafafa}</style><h1>A controller restarts</h1>
+<pre>{{ table }}</pre>
+<h2>Share of its proxies' requests that fail, from 2 s before it is ready again</h2>
+{% for curve in curves %}<h3>{{ curve.way }}</h3>
+<svg viewBox="0 0 760 120" role="img" aria-label="{{ curve.way }}">
+<line x1="0" y1="110" x2="760" y2="110" stroke="#999"/>
+<polyline fill="none" stroke="#2f6db3" stroke-width="2" points="{{ curve.points }}"/>
+<text x="2" y="14" font-size="12">{{ most }}</text></svg>{% endfor %}</html>
+""",
+    autoescape=True,
+)
+
+
+def page(outcomes: list[Outcome]) -> str:
+    """An HTML page with the table and curves, all of one scale."""
+    most = max((max(outcome.curve, default=0.0) for outcome in outcomes), default=0.0) or 1.0
+    curves = [
+        {"way": outcome.way, "points": curve_points(outcome.curve, most)} for outcome in outcomes
+    ]
+    text: str = PAGE.render(table=table(outcomes), curves=curves, most=f"{most:.0%}")
+    return text
+
+
+def curve_points(curve: list[float], most: float) -> str:
+    """The points of a curve in the page's picture; `most` is at its upper edge."""
+    last = max(1, len(curve) - 1)
+    return " ".join(
+        f"{760 * tick / last:.1f},{110 - 100 * share / most:.1f}"
+        for tick, share in enumerate(curve)
+    )
--- a/tests/testbed/test_controller_processes.py
+++ b/tests/testbed/test_controller_processes.py
@@ -8,7 +8,8 @@
 import orjson
 
 from plankroute.testbed.faults import Script
-from plankroute.testbed.processes import GROUP_NAME, MEMBERSHIP_PORT, ControllerProcesses, Plan
+from plankroute.testbed.plan import Plan
+from plankroute.testbed.processes import GROUP_NAME, MEMBERSHIP_PORT, ControllerProcesses
 
 GROUP_NET, OTHER_GROUP_NET = 41, 42  # loopback addresses of this test
 
--- a/tests/testbed/test_scenarios.py
+++ b/tests/testbed/test_scenarios.py
@@ -7,7 +7,7 @@
 
 from plankroute.testbed.faults import Rule, Script
 from plankroute.testbed.membership_scenarios import Paused
-from plankroute.testbed.processes import Plan
+from plankroute.testbed.plan import Plan
 from plankroute.testbed.scenario import Result
 from plankroute.testbed.scenarios import SCENARIOS, run_all, run_one
 
--- a/tests/warm_start/test_warm_restart_processes.py
+++ b/tests/warm_start/test_warm_restart_processes.py
@@ -10,7 +10,8 @@
 from support.host_snapshots import HEALTHY, file_of_version, snapshot_of
 
 from plankroute.testbed.faults import Act, Script, Step
-from plankroute.testbed.processes import STREAM_PORT, ControllerProcesses, Plan
+from plankroute.testbed.plan import Plan
+from plankroute.testbed.processes import STREAM_PORT, ControllerProcesses
 from plankroute.testbed.warm_restart import Outcome, Trial, run_ways
 from plankroute.warm_start.codec import StoredSnapshot, decode_file, encode_file
 
