--- a/plankroute/net/process/configuration.py
+++ b/plankroute/net/process/configuration.py
@@ -60,7 +60,7 @@
 
 
 # JSON of any shape comes in: `parse_configuration` wraps the errors of what is not as expected.
-def _configuration_from(raw: Any) -> Configuration:  # noqa: ANN401
+def _configuration_from(raw: Any) -> Configuration:  # noqa: ANN401 - any JSON
     settings = raw["settings"]
     facts, _ = parse_settings(settings)
     return Configuration(
--- a/plankroute/simulator/command_records.py
+++ b/plankroute/simulator/command_records.py
@@ -44,7 +44,9 @@
 UPSERT = struct.Struct("<BHHIf")
 
 
-def encode_command(instance: int, command: commands.Command) -> bytes:  # noqa: C901, PLR0911, PLR0912 - one case a command
+def encode_command(  # noqa: C901, PLR0911, PLR0912 - one case a command
+    instance: int, command: commands.Command
+) -> bytes:
     """Encodes one command.
 
     Raises:
