--- a/plankroute/membership/member_table.py
+++ b/plankroute/membership/member_table.py
@@ -108,9 +108,9 @@
         """Replace the record at an index, and what follows from it for the sums."""
         bucket = bucket_of(record.name)
         known = self.records[index]
-        if known and not known.is_final():
+        if known and not known.has_failed_or_left():
             self.add_to_sums(bucket, -known.digest())
-        if not record.is_final():
+        if not record.has_failed_or_left():
             self.add_to_sums(bucket, record.digest())
         self.records[index] = record
         if index != OWN_INDEX and record.state is MemberState.SUSPECTED:
--- a/plankroute/membership/name_claim.py
+++ b/plankroute/membership/name_claim.py
@@ -54,7 +54,7 @@
             return decide_same_instance(own, heard)
         if heard.precedence() < own.precedence():
             return ClaimDecision(ClaimOutcome.STALE_INSTANCE, own)
-        if heard.is_final():
+        if heard.has_failed_or_left():
             return ClaimDecision(ClaimOutcome.REFUTED_SUSPICION, refuting_record(own, heard))
         if not self.is_claimed and now_us - self.started_us < CLAIM_WINDOW_US:
             self.is_claimed = True
@@ -72,7 +72,7 @@
         )
         return ClaimDecision(ClaimOutcome.UNCHANGED, merge_records(own, conflicting))
     outcome = ClaimOutcome.REFUTED_SUSPICION
-    if heard.is_final():
+    if heard.has_failed_or_left():
         outcome = ClaimOutcome.REFUTED_FAILURE
     return ClaimDecision(outcome, refuting_record(own, heard))
 
--- a/plankroute/membership/record_intake.py
+++ b/plankroute/membership/record_intake.py
@@ -136,7 +136,7 @@
     def suspect(self, index: int, now_us: int) -> None:
         """This member had no answer from that one for the whole time-out."""
         record = self.table.record_at(index)
-        if record.is_final():
+        if record.has_failed_or_left():
             return
         self.outbox.count(Metric.SUSPICIONS_RAISED)
         self.health.add_suspicion(index, now_us)
--- a/plankroute/membership/records.py
+++ b/plankroute/membership/records.py
@@ -49,7 +49,7 @@
         """Of two records of a name the one with the higher precedence holds."""
         return self.incarnation, self.instance_id
 
-    def is_final(self) -> bool:
+    def has_failed_or_left(self) -> bool:
         """Whether the member failed or left."""
         return self.state >= MemberState.FAILED
 
--- a/plankroute/membership/status.py
+++ b/plankroute/membership/status.py
@@ -37,7 +37,7 @@
 
     def on_added(self, index: int, record: MemberRecord, now_us: int) -> None:
         """A name not known before. One that failed or left already is not notified."""
-        if not record.is_final():
+        if not record.has_failed_or_left():
             self.notify(index, StatusChange.JOINED, MemberState.ALIVE, now_us)
             self.on_changed(index, record, record, now_us)
 
@@ -68,7 +68,7 @@
         self, index: int, before: MemberRecord, after: MemberRecord, now_us: int
     ) -> None:
         """A new instance, or a refutation by the old one."""
-        if after.is_final() and self.notified_state(index) >= MemberState.FAILED:
+        if after.has_failed_or_left() and self.notified_state(index) >= MemberState.FAILED:
             return
         if after.instance_id != before.instance_id:
             self.notify(index, StatusChange.JOINED, MemberState.ALIVE, now_us)
--- a/plankroute/testbed/swim.py
+++ b/plankroute/testbed/swim.py
@@ -271,7 +271,7 @@
         """Suspects a member that did not answer."""
         self.raise_local_health()
         record = self.table.record_at(index)
-        if record.is_final():
+        if record.has_failed_or_left():
             return
         suspicion = msgspec.structs.replace(
             record, state=MemberState.SUSPECTED, confirmed_by=(self.own_id,)
