--- a/plankroute/membership/anti_entropy.py
+++ b/plankroute/membership/anti_entropy.py
@@ -16,7 +16,7 @@
 EXCHANGES_PER_SECOND = 1.0
 EXCHANGE_BURST = 2.0
 OVERHEAD_BYTES = 96  # of a datagram: header, tags, wanted buckets
-MAX_DATAGRAMS = 160  # of one exchange: four thousand members of sixty bytes
+MAX_DATAGRAMS_PER_EXCHANGE = 160  # of one exchange: four thousand members of sixty bytes
 
 
 class AntiEntropy:
@@ -31,19 +31,19 @@
         self.compare_budget = TokenBucket(EXCHANGES_PER_SECOND, EXCHANGE_BURST)
         self.serve_budget = TokenBucket(EXCHANGES_PER_SECOND, EXCHANGE_BURST)
 
-    def sums_for(self, table_digest: int, now_us: int) -> bytes:
+    def bucket_sums_for(self, table_digest: int, now_us: int) -> bytes:
         """This table's sums for a member whose digest differs; empty where nothing is compared."""
         if table_digest != self.table.digest() and self.compare_budget.take(now_us):
             return self.table.bucket_sums()
         return b""
 
-    def on_sums(self, source: str, bucket_sums: bytes) -> None:
+    def on_bucket_sums(self, source: str, bucket_sums: bytes) -> None:
         """Send what differs, and ask for the other's records of the same buckets."""
         differing = self.table.differing_buckets(bucket_sums)
         if differing:
             self.send_records(source, set(differing), differing)
 
-    def on_wanted(self, source: str, wanted_buckets: bytes, now_us: int) -> None:
+    def on_wanted_buckets(self, source: str, wanted_buckets: bytes, now_us: int) -> None:
         """Send the records of the buckets that another member asks for."""
         if wanted_buckets and self.serve_budget.take(now_us):
             self.send_records(source, set(wanted_buckets), [])
@@ -71,7 +71,7 @@
     sent = 0
     for record in records:
         size = record_size(record)
-        if size > room_bytes and sent < MAX_DATAGRAMS:
+        if size > room_bytes and sent < MAX_DATAGRAMS_PER_EXCHANGE:
             yield ViewExchange(tuple(chunk), wanted_buckets)
             room_bytes = MAX_DATAGRAM_BYTES - OVERHEAD_BYTES
             chunk = []
@@ -79,5 +79,5 @@
             sent += 1
         chunk.append(record)
         room_bytes -= size
-    if (chunk or wanted_buckets) and sent < MAX_DATAGRAMS:
+    if (chunk or wanted_buckets) and sent < MAX_DATAGRAMS_PER_EXCHANGE:
         yield ViewExchange(tuple(chunk), wanted_buckets)
--- a/plankroute/membership/codec.py
+++ b/plankroute/membership/codec.py
@@ -45,14 +45,14 @@
     """Datagrams of one group; another group's are told from noise, and neither is read."""
 
     def __init__(self, group: str) -> None:
-        self.group = crc32(group.encode())
+        self.group_checksum = crc32(group.encode())
         self.encoder = msgspec.msgpack.Encoder()
         self.decoder = msgspec.msgpack.Decoder(Message)
 
     def encode(self, message: Message) -> bytes:
         """The datagram of a message."""
         body = self.encoder.encode(message)
-        return HEADER.pack(VERSION, self.group, crc32(body, self.group)) + body
+        return HEADER.pack(VERSION, self.group_checksum, crc32(body, self.group_checksum)) + body
 
     def decode(self, data: bytes) -> Message | Rejection:
         """The message of a datagram, or why there is none."""
@@ -62,7 +62,7 @@
         body = data[HEADER.size :]
         if version != VERSION:
             return Rejection.VERSION
-        if group != self.group:
+        if group != self.group_checksum:
             return Rejection.GROUP
         if checksum != crc32(body, group):
             return Rejection.CHECKSUM
--- a/plankroute/membership/core.py
+++ b/plankroute/membership/core.py
@@ -34,7 +34,7 @@
 from plankroute.membership.outbox import Outbox
 from plankroute.membership.ping_handler import PingHandler
 from plankroute.membership.reconnect import Reconnector
-from plankroute.membership.record_intake import RecordIntake
+from plankroute.membership.record_handler import RecordHandler
 from plankroute.membership.records import MemberRecord
 from plankroute.membership.sampling import MemberSampler
 from plankroute.membership.status import StatusTracker
@@ -95,7 +95,7 @@
             self.anti_entropy,
             self.outbox,
         )
-        self.intake = RecordIntake(
+        self.record_handler = RecordHandler(
             self.table,
             self.health,
             self.status,
@@ -129,14 +129,14 @@
             self.next_tick_us = now_us + TICK_US
             self.on_tick(clock_us)
         if not self.departure.has_lost_name:
-            self.dissemination.broadcast_fresh(clock_us)
+            self.dissemination.broadcast_changes(clock_us)
         self.clock.due_us = self.next_tick_us
         return [*self.outbox.drain(), *self.status.drain(), WakeAt(self.next_tick_us)]
 
     def start(self, now_us: int, clock_us: int) -> None:
         """Set all timers; ticks of different members are spread over the interval."""
         self.is_started = True
-        self.intake.start(clock_us)
+        self.record_handler.start(clock_us)
         self.reconnector.next_ping_us = clock_us
         self.next_clean_up_us = clock_us + CLEAN_UP_INTERVAL_US
         self.next_tick_us = now_us + int(TICK_US * self.random.draw())
@@ -168,22 +168,22 @@
         """Take the records of a message, then answer it."""
         match message:
             case Ping():
-                self.intake.take_from(message.sender, message.gossip, now_us)
+                self.record_handler.handle_message_records(message.sender, message.gossip, now_us)
                 self.ping_handler.on_ping(source, message, now_us)
             case Ack():
-                self.intake.take_from(message.sender, message.gossip, now_us)
+                self.record_handler.handle_message_records(message.sender, message.gossip, now_us)
                 self.ping_handler.on_ack(source, message)
             case IndirectPingRequest():
-                self.intake.take_from(message.sender, message.gossip, now_us)
+                self.record_handler.handle_message_records(message.sender, message.gossip, now_us)
                 self.ping_handler.on_indirect_ping_request(source, message)
             case IndirectAck():
-                self.intake.take_all((message.target, *message.gossip), now_us)
+                self.record_handler.handle_records((message.target, *message.gossip), now_us)
                 self.ping_handler.on_indirect_ack(message)
             case Gossip():
-                self.intake.take_all(message.records, now_us)
+                self.record_handler.handle_records(message.records, now_us)
             case ViewExchange():
-                self.intake.take_all(message.records, now_us, is_passed_on=False)
-                self.anti_entropy.on_wanted(source, message.wanted_buckets, now_us)
+                self.record_handler.handle_records(message.records, now_us, is_disseminated=False)
+                self.anti_entropy.on_wanted_buckets(source, message.wanted_buckets, now_us)
 
     def on_leave_requested(self) -> None:
         """Begin to leave; the first announcement goes out at once."""
@@ -206,11 +206,11 @@
 
     def probe_members(self, now_us: int) -> None:
         """Suspect members that were silent for too long, and ping those in turn."""
-        shared = self.status.shared_suspicions()
-        multiplier = self.health.timeout_multiplier(shared, now_us)
-        due = self.detector.due(now_us, self.table.living, multiplier)
+        confirmed = self.status.confirmed_suspicions()
+        multiplier = self.health.timeout_multiplier(confirmed, now_us)
+        due = self.detector.due_probes(now_us, self.table.living, multiplier)
         for index in due.timed_out:
-            self.intake.suspect(index, now_us)
+            self.record_handler.suspect(index, now_us)
         for index in self.status.on_tick(now_us):
             self.dissemination.announce(self.table.record_at(index).name)
         for task in due.pings:
@@ -227,7 +227,7 @@
 
     def check_isolation(self, now_us: int) -> None:
         """Tell the program when nobody is heard any more, and when somebody is again."""
-        is_isolated = now_us - self.intake.last_heard_us > ISOLATED_AFTER_US
+        is_isolated = now_us - self.record_handler.last_heard_us > ISOLATED_AFTER_US
         if is_isolated is self.is_isolated:
             return
         self.is_isolated = is_isolated
--- a/plankroute/membership/gossip.py
+++ b/plankroute/membership/gossip.py
@@ -8,8 +8,8 @@
 # Each record rides this often per doubling of the group; tables that differ after it are compared
 # by anti-entropy (docs/membership.md).
 TRANSMISSIONS_PER_DOUBLING = 1
-MAX_PER_DATAGRAM = 16  # what fits at the usual record size; fewer make a storm last
-MAX_QUEUED = 1024  # a larger change is left to the comparison of tables
+MAX_RECORDS_PER_DATAGRAM = 16  # what fits at the usual record size; fewer make a storm last
+MAX_QUEUED_RECORDS = 1024  # a larger change is left to the comparison of tables
 
 
 class GossipQueue:
@@ -21,7 +21,7 @@
     def add(self, name: str) -> None:
         """The record of that name is new: it goes to the end of those never sent."""
         self.transmissions.pop(name, None)
-        if len(self.transmissions) >= MAX_QUEUED:
+        if len(self.transmissions) >= MAX_QUEUED_RECORDS:
             most_sent = max(self.transmissions, key=self.transmissions.__getitem__)
             del self.transmissions[most_sent]
         self.transmissions[name] = 0
@@ -39,7 +39,7 @@
         limit = TRANSMISSIONS_PER_DOUBLING * math.ceil(math.log2(member_count + 2))
         taken = list[MemberRecord]()
         names = sorted(self.transmissions, key=self.transmissions.__getitem__)
-        for name in names[:MAX_PER_DATAGRAM]:
+        for name in names[:MAX_RECORDS_PER_DATAGRAM]:
             record = record_of(name)
             if record is None:
                 del self.transmissions[name]
--- a/plankroute/membership/local_health.py
+++ b/plankroute/membership/local_health.py
@@ -41,37 +41,37 @@
     """Suspicions that this member raised, by index in the table, and whether others share them."""
 
     def __init__(self) -> None:
-        self.raised_us: dict[int, int] = {}
-        self.suspect_heard_us = NEVER  # when a member that this one suspects was last heard
+        self.suspicion_raised_us: dict[int, int] = {}
+        self.suspect_last_heard_us = NEVER  # when a member that this one suspects was last heard
 
     def add_suspicion(self, index: int, now_us: int) -> None:
         """This member had no answer from that one for the whole time-out."""
-        self.raised_us.setdefault(index, now_us)
+        self.suspicion_raised_us.setdefault(index, now_us)
 
     def clear_suspicion(self, index: int) -> None:
         """It is answered, refuted or settled."""
-        was_raised = self.raised_us.pop(index, None) is not None
-        if was_raised and not self.raised_us:
-            self.suspect_heard_us = NEVER
+        was_raised = self.suspicion_raised_us.pop(index, None) is not None
+        if was_raised and not self.suspicion_raised_us:
+            self.suspect_last_heard_us = NEVER
 
     def on_heard(self, index: int, now_us: int) -> None:
         """A message came from that member itself."""
-        if index in self.raised_us:
-            self.suspect_heard_us = now_us
+        if index in self.suspicion_raised_us:
+            self.suspect_last_heard_us = now_us
 
-    def timeout_multiplier(self, shared: set[int], now_us: int) -> float:
+    def timeout_multiplier(self, confirmed: set[int], now_us: int) -> float:
         """1 to 2: how many times longer than usual this member waits before it suspects.
 
         Lifeguard's local health multiplier (Dadgar, Phillips and Currey 2017): a member whose
         suspicions nobody confirms is more likely slow, or cut off, itself.
 
         Args:
-            shared: indexes that others suspect too.
+            confirmed: indexes that others suspect too.
             now_us: the time of the pause-aware clock.
         """
-        unshared = sum(
+        unconfirmed = sum(
             1
-            for index, raised_us in self.raised_us.items()
-            if index not in shared and now_us - raised_us > CONFIRMATION_WINDOW_US
+            for index, suspicion_raised_us in self.suspicion_raised_us.items()
+            if index not in confirmed and now_us - suspicion_raised_us > CONFIRMATION_WINDOW_US
         )
-        return 1.0 + MULTIPLIER_STEP * min(MAX_MULTIPLIER_STEPS, unshared)
+        return 1.0 + MULTIPLIER_STEP * min(MAX_MULTIPLIER_STEPS, unconfirmed)
--- a/plankroute/membership/member_table.py
+++ b/plankroute/membership/member_table.py
@@ -11,7 +11,7 @@
 
 # Guards against a peer that invents members.
 MAX_MEMBERS = 4096
-BUCKETS = 32  # of the sums by which tables are compared: at 1,000 members one fills a datagram
+BUCKET_COUNT = 32  # of the sums by which tables are compared: at 1,000 members one fills a datagram
 SUM_BYTES = 8
 SUM_MODULUS = 1 << 8 * SUM_BYTES
 NEVER = -(1 << 60)  # a time before every other one
@@ -33,9 +33,9 @@
         index_by_name: the index of each member.
         records: by index; None where the index is free.
         notified_states: what the program was told of it, which may lag behind the record.
-        notified_us: since when.
-        suspected_us: when the suspicion that stands was first known.
-        contested_us: until when an unforeseen failure waits for its refutation.
+        notified_since_us: since when.
+        suspected_since_us: when the suspicion that stands was first known.
+        contested_until_us: until when an unforeseen failure waits for its refutation.
         living: indexes notified as alive or suspected, the controller itself left out.
         failed: indexes notified as failed; they may come back.
         suspected: indexes whose record is suspected.
@@ -47,11 +47,11 @@
         self.free_indexes: list[int] = []
         self.records: list[MemberRecord | None] = []
         self.notified_states: list[MemberState] = []
-        self.notified_us: list[int] = []
-        self.suspected_us: list[int] = []
-        self.contested_us: list[int] = []
-        self.sums = [0] * BUCKETS  # of the digests of records, by bucket
-        self.total = 0  # of all of them
+        self.notified_since_us: list[int] = []
+        self.suspected_since_us: list[int] = []
+        self.contested_until_us: list[int] = []
+        self.sum_by_bucket = [0] * BUCKET_COUNT  # of the digests of records, by bucket
+        self.total_sum = 0  # of all of them
         self.living = set[int]()
         self.failed = set[int]()
         self.suspected = set[int]()
@@ -95,13 +95,13 @@
         if not self.free_indexes:
             self.records.append(None)
             self.notified_states.append(MemberState.ALIVE)
-            self.notified_us.append(now_us)
-            self.suspected_us.append(now_us)
-            self.contested_us.append(NEVER)
+            self.notified_since_us.append(now_us)
+            self.suspected_since_us.append(now_us)
+            self.contested_until_us.append(NEVER)
             return len(self.records) - 1
         index = self.free_indexes.pop()
         self.records[index] = None
-        self.suspected_us[index] = now_us
+        self.suspected_since_us[index] = now_us
         return index
 
     def store(self, index: int, record: MemberRecord) -> None:
@@ -120,14 +120,14 @@
 
     def add_to_sums(self, bucket: int, digest: int) -> None:
         """Add the digest of a record, or take it away where it is negative."""
-        self.sums[bucket] = (self.sums[bucket] + digest) % SUM_MODULUS
-        self.total = (self.total + digest) % SUM_MODULUS
+        self.sum_by_bucket[bucket] = (self.sum_by_bucket[bucket] + digest) % SUM_MODULUS
+        self.total_sum = (self.total_sum + digest) % SUM_MODULUS
 
     def set_notified_state(self, index: int, state: MemberState, now_us: int) -> None:
         """The program is told that the member is in that state."""
         self.notified_states[index] = state
-        self.notified_us[index] = now_us
-        self.contested_us[index] = NEVER
+        self.notified_since_us[index] = now_us
+        self.contested_until_us[index] = NEVER
         if state is MemberState.FAILED:
             self.failed.add(index)
         else:
@@ -178,25 +178,25 @@
             for index in self.index_by_name.values()
             if index != OWN_INDEX
             and self.notified_states[index] >= MemberState.FAILED
-            and self.notified_us[index] < before_us
+            and self.notified_since_us[index] < before_us
         ]
 
     def digest(self) -> int:
         """Of all members that have not failed or left; equal tables have equal ones."""
-        return self.total
+        return self.total_sum
 
     def bucket_sums(self) -> bytes:
         """The sums of all buckets, as they go on the wire."""
-        return b"".join(value.to_bytes(SUM_BYTES) for value in self.sums)
+        return b"".join(value.to_bytes(SUM_BYTES) for value in self.sum_by_bucket)
 
-    def differing_buckets(self, sums: bytes) -> list[int]:
+    def differing_buckets(self, other_sums: bytes) -> list[int]:
         """Buckets in which another's table is not this one; none where the sums can't be read."""
-        if len(sums) != BUCKETS * SUM_BYTES:
+        if len(other_sums) != BUCKET_COUNT * SUM_BYTES:
             return []
         return [
             bucket
-            for bucket, own_sum in enumerate(self.sums)
-            if own_sum != int.from_bytes(sums[bucket * SUM_BYTES : (bucket + 1) * SUM_BYTES])
+            for bucket, own_sum in enumerate(self.sum_by_bucket)
+            if own_sum != int.from_bytes(other_sums[bucket * SUM_BYTES : (bucket + 1) * SUM_BYTES])
         ]
 
     def records_in_buckets(self, buckets: set[int]) -> Iterator[MemberRecord]:
@@ -214,7 +214,7 @@
 
 def bucket_of(name: str) -> int:
     """The bucket of the sums that a name belongs to."""
-    return crc32(name.encode()) % BUCKETS
+    return crc32(name.encode()) % BUCKET_COUNT
 
 
 def observer_id(name: str) -> int:
--- a/plankroute/membership/name_claim.py
+++ b/plankroute/membership/name_claim.py
@@ -44,7 +44,7 @@
 
     def __init__(self, started_us: int) -> None:
         self.started_us = started_us
-        self.is_claimed = False
+        self.has_claimed = False
 
     def on_record(self, own: MemberRecord, heard: MemberRecord, now_us: int) -> ClaimDecision:
         """Decide about a record of this member's name that was heard."""
@@ -56,8 +56,8 @@
             return ClaimDecision(ClaimOutcome.STALE_INSTANCE, own)
         if heard.has_failed_or_left():
             return ClaimDecision(ClaimOutcome.REFUTED_SUSPICION, refuting_record(own, heard))
-        if not self.is_claimed and now_us - self.started_us < CLAIM_WINDOW_US:
-            self.is_claimed = True
+        if not self.has_claimed and now_us - self.started_us < CLAIM_WINDOW_US:
+            self.has_claimed = True
             return ClaimDecision(ClaimOutcome.CLAIMED, refuting_record(own, heard))
         return ClaimDecision(ClaimOutcome.LOST, own)
 
--- a/plankroute/membership/ping_handler.py
+++ b/plankroute/membership/ping_handler.py
@@ -37,11 +37,11 @@
         self.anti_entropy = anti_entropy
         self.outbox = outbox
         # By own sequence number: the request that the ping is relayed for, and its source.
-        self.relayed: dict[int, tuple[str, IndirectPingRequest]] = {}
+        self.relayed_pings: dict[int, tuple[str, IndirectPingRequest]] = {}
 
     def on_ping(self, source: str, ping: Ping, now_us: int) -> None:
         """Ack it, with the sums where the tables differ."""
-        bucket_sums = self.anti_entropy.sums_for(ping.table_digest, now_us)
+        bucket_sums = self.anti_entropy.bucket_sums_for(ping.table_digest, now_us)
         correction = self.correction_for(ping.sender)
         gossip = self.dissemination.piggyback(correction, len(bucket_sums))
         ack = Ack(ping.sequence_number, self.table.own_record(), gossip, bucket_sums)
@@ -54,14 +54,14 @@
 
     def on_ack(self, source: str, ack: Ack) -> None:
         """Relay it, end the probe that it answers, and compare tables."""
-        relayed = self.relayed.pop(ack.sequence_number, None)
-        if relayed is not None:
-            requester, request = relayed
+        relayed_ping = self.relayed_pings.pop(ack.sequence_number, None)
+        if relayed_ping is not None:
+            requester, request = relayed_ping
             gossip = self.dissemination.piggyback()
             indirect = IndirectAck(request.sequence_number, ack.sender, gossip)
             self.outbox.send(requester, indirect)
         self.end_probe(ack.sequence_number)
-        self.anti_entropy.on_sums(source, ack.bucket_sums)
+        self.anti_entropy.on_bucket_sums(source, ack.bucket_sums)
 
     def on_indirect_ack(self, ack: IndirectAck) -> None:
         """End the probe that it answers."""
@@ -76,24 +76,24 @@
     def on_indirect_ping_request(self, source: str, request: IndirectPingRequest) -> None:
         """Ping the target for another member; its ack is relayed."""
         sequence_number = self.detector.next_sequence_number()
-        if len(self.relayed) >= MAX_RELAYED_PINGS:
-            del self.relayed[next(iter(self.relayed))]
-        self.relayed[sequence_number] = source, request
+        if len(self.relayed_pings) >= MAX_RELAYED_PINGS:
+            del self.relayed_pings[next(iter(self.relayed_pings))]
+        self.relayed_pings[sequence_number] = source, request
         self.send_ping(request.target_address, sequence_number)
 
     def send_ping(
-        self, address: str, sequence_number: int, about: MemberRecord | None = None
+        self, address: str, sequence_number: int, priority_record: MemberRecord | None = None
     ) -> None:
         """Send a ping; `about`: a record that the target has to know."""
-        gossip = self.dissemination.piggyback(about)
+        gossip = self.dissemination.piggyback(priority_record)
         ping = Ping(sequence_number, self.table.digest(), self.table.own_record(), gossip)
         self.outbox.send(address, ping)
 
     def carry_out(self, task: PingTask) -> None:
         """Send the pings of a task. A suspect is told of the suspicion with each of them."""
         record = self.table.record_at(task.index)
-        about = None if record.state is MemberState.ALIVE else record
-        self.send_ping(record.address, task.sequence_number, about)
+        priority_record = None if record.state is MemberState.ALIVE else record
+        self.send_ping(record.address, task.sequence_number, priority_record)
         for index in self.sampler.sample(task.indirect_pings, task.index):
             gossip = self.dissemination.piggyback(reserved_bytes=len(record.address))
             request = IndirectPingRequest(
--- a/plankroute/membership/reconnect.py
+++ b/plankroute/membership/reconnect.py
@@ -7,8 +7,8 @@
 from plankroute.seeded_random import SeededRandom
 
 # Between pings to a seed, or to a failed member: a cut heals without anybody's help.
-INTERVAL_US = 1_000_000
-SEED_SHARE = 0.3  # of these pings go to seeds, where there are both.
+RECONNECT_INTERVAL_US = 1_000_000
+SEED_PING_SHARE = 0.3  # of these pings go to seeds, where there are both.
 
 
 class Reconnector:
@@ -27,7 +27,7 @@
         self.ping_handler = ping_handler
         self.random = random
         self.next_ping_us = 0
-        self.index_of_seed: dict[str, int] = {}  # the member that had the address last
+        self.last_index_by_seed: dict[str, int] = {}  # the member that had the address last
 
     def change_seeds(self, seeds: tuple[str, ...], now_us: int) -> None:
         """Take another list of seeds; the next ping is due at once."""
@@ -38,10 +38,10 @@
         """Ping one seed that is not living, or one failed member, if it is time."""
         if now_us < self.next_ping_us:
             return
-        self.next_ping_us = now_us + INTERVAL_US
+        self.next_ping_us = now_us + RECONNECT_INTERVAL_US
         seeds = [seed for seed in self.seeds if not self.is_living_seed(seed)]
         failed = sorted(self.table.failed)
-        if seeds and (not failed or self.random.draw() < SEED_SHARE):
+        if seeds and (not failed or self.random.draw() < SEED_PING_SHARE):
             seed = seeds[draw_below(self.random, len(seeds))]
             self.ping_handler.send_ping(seed, UNTRACKED_SEQUENCE_NUMBER)
         elif failed:
@@ -56,12 +56,12 @@
         """
         if seed == self.own_address:
             return True
-        known = self.index_of_seed.get(seed, OWN_INDEX)
+        known = self.last_index_by_seed.get(seed, OWN_INDEX)
         if known in self.table.living and self.table.record_at(known).address == seed:
             return True
         found = next(
             (index for index in self.table.living if self.table.record_at(index).address == seed),
             None,
         )
-        self.index_of_seed[seed] = OWN_INDEX if found is None else found
+        self.last_index_by_seed[seed] = OWN_INDEX if found is None else found
         return found is not None
--- a/plankroute/membership/record_intake.py
+++ b/plankroute/membership/record_handler.py
@@ -13,7 +13,7 @@
 from plankroute.membership.records import MemberRecord, MemberState
 from plankroute.membership.status import StatusTracker
 
-METRICS = {
+METRIC_BY_OUTCOME = {
     ClaimOutcome.STALE_INSTANCE: Metric.DROPPED_STALE_INSTANCE,
     ClaimOutcome.REFUTED_SUSPICION: Metric.SUSPICIONS_REFUTED,
     ClaimOutcome.REFUTED_FAILURE: Metric.FAILURES_REFUTED,
@@ -23,7 +23,7 @@
 }
 
 
-class RecordIntake:
+class RecordHandler:
     """Takes records of others and of this member itself.
 
     Attributes:
@@ -48,19 +48,19 @@
         self.departure = departure
         self.outbox = outbox
         self.own_name = table.own_record().name
-        self.claim = NameClaim(0)
+        self.name_claim = NameClaim(0)
         self.last_heard_us = NEVER
 
     def start(self, now_us: int) -> None:
         """The time from which this process may claim its name, and waits for others."""
-        self.claim = NameClaim(now_us)
+        self.name_claim = NameClaim(now_us)
         self.last_heard_us = now_us
 
-    def take_from(
+    def handle_message_records(
         self, sender: MemberRecord, gossip: tuple[MemberRecord, ...], now_us: int
     ) -> None:
         """Take a message of another member; it counts as heard whatever its record says."""
-        self.take_all((sender, *gossip), now_us)
+        self.handle_records((sender, *gossip), now_us)
         if sender.name == self.own_name:
             return
         index = self.table.index_by_name.get(sender.name)
@@ -68,24 +68,26 @@
             self.last_heard_us = now_us
             self.health.on_heard(index, now_us)
 
-    def take_all(
-        self, records: tuple[MemberRecord, ...], now_us: int, is_passed_on: bool = True
+    def handle_records(
+        self, records: tuple[MemberRecord, ...], now_us: int, is_disseminated: bool = True
     ) -> None:
         """Take records.
 
         Args:
             records: as they were heard.
             now_us: the time of the pause-aware clock.
-            is_passed_on: what is new is passed on; what came by anti-entropy reaches others by
+            is_disseminated: what is new is passed on; what came by anti-entropy reaches others by
                 theirs.
         """
         for record in records:
             if record.name == self.own_name:
-                self.take_own(record, now_us)
+                self.handle_own_record(record, now_us)
             else:
-                self.take(record, now_us, is_passed_on)
+                self.handle_record(record, now_us, is_disseminated)
 
-    def take(self, record: MemberRecord, now_us: int, is_passed_on: bool = True) -> None:
+    def handle_record(
+        self, record: MemberRecord, now_us: int, is_disseminated: bool = True
+    ) -> None:
         """Merge the record of another member, and act on what has changed."""
         merged = self.table.merge(record, now_us)
         if merged is None:
@@ -98,7 +100,7 @@
             self.on_changed(index, before, after, now_us)
         else:
             return
-        if is_passed_on:
+        if is_disseminated:
             self.dissemination.announce(after.name)
 
     def on_changed(
@@ -115,14 +117,14 @@
         if is_suspected and before.state is not MemberState.SUSPECTED:
             self.detector.on_suspected(index, len(self.table.living))
 
-    def take_own(self, record: MemberRecord, now_us: int) -> None:
+    def handle_own_record(self, record: MemberRecord, now_us: int) -> None:
         """A record of this member's own name: refute it, claim the name, or give it up."""
         own = self.table.own_record()
         if record == own or self.departure.is_leaving():
             return
-        decision = self.claim.on_record(own, record, now_us)
+        decision = self.name_claim.on_record(own, record, now_us)
         if decision.outcome is not ClaimOutcome.UNCHANGED:
-            self.outbox.count(METRICS[decision.outcome])
+            self.outbox.count(METRIC_BY_OUTCOME[decision.outcome])
         if decision.outcome is ClaimOutcome.LOST:
             self.departure.yield_name(record)
         elif decision.own != own:
@@ -145,4 +147,4 @@
             state=MemberState.SUSPECTED,
             confirmed_by=(self.status.own_observer_id,),
         )
-        self.take(suspicion, now_us)
+        self.handle_record(suspicion, now_us)
--- a/plankroute/membership/status.py
+++ b/plankroute/membership/status.py
@@ -81,7 +81,7 @@
         """A suspicion, or a further confirmation of one that stands."""
         is_same_incarnation = after is not before and after.precedence() == before.precedence()
         if not is_same_incarnation or before.state is not MemberState.SUSPECTED:
-            self.table.suspected_us[index] = now_us
+            self.table.suspected_since_us[index] = now_us
         self.evaluate_suspicion(index, now_us)
 
     def on_reported_failed(self, index: int, before: MemberRecord, now_us: int) -> None:
@@ -98,8 +98,8 @@
             self.notify(index, StatusChange.FAILED, MemberState.FAILED, now_us)
             return
         self.contested.add(index)
-        wait_us = int(suspicion.CONTEST_PART * self.probe_timeout_us)
-        self.table.contested_us[index] = now_us + wait_us
+        wait_us = int(suspicion.CONTEST_TIMEOUT_SHARE * self.probe_timeout_us)
+        self.table.contested_until_us[index] = now_us + wait_us
 
     def unsuspected_count(self) -> int:
         """Members that nobody suspects, this one among them."""
@@ -122,7 +122,7 @@
             is_own_confirmation=self.own_observer_id in record.confirmed_by,
             hears_suspect=self.hears_suspect(now_us),
             needed=needed,
-            age_us=now_us - table.suspected_us[index],
+            age_us=now_us - table.suspected_since_us[index],
             timeout_us=suspicion.suspicion_timeout_us(
                 needed, unsuspected, members, self.probe_timeout_us
             ),
@@ -133,13 +133,13 @@
 
     def hears_suspect(self, now_us: int) -> bool:
         """Whether a member that this one suspects was heard lately."""
-        return now_us - self.health.suspect_heard_us < self.probe_timeout_us
+        return now_us - self.health.suspect_last_heard_us < self.probe_timeout_us
 
-    def shared_suspicions(self) -> set[int]:
+    def confirmed_suspicions(self) -> set[int]:
         """Indexes that this member suspects, and others too."""
         return {
             index
-            for index in self.health.raised_us
+            for index in self.health.suspicion_raised_us
             if any(
                 observer != self.own_observer_id
                 for observer in self.table.record_at(index).confirmed_by
@@ -148,8 +148,8 @@
 
     def on_tick(self, now_us: int) -> list[int]:
         """Look at all that waits for time to pass; indexes whose record became a failure here."""
-        contested_us = self.table.contested_us
-        for index in [index for index in self.contested if now_us >= contested_us[index]]:
+        contested_until_us = self.table.contested_until_us
+        for index in [index for index in self.contested if now_us >= contested_until_us[index]]:
             self.contested.discard(index)
             if self.table.record_at(index).state is MemberState.FAILED:
                 self.notify(index, StatusChange.FAILED, MemberState.FAILED, now_us)
--- a/plankroute/membership/suspicion.py
+++ b/plankroute/membership/suspicion.py
@@ -5,13 +5,13 @@
 
 # Confirmations that always suffice: four members that err at once were not seen in 3.6 million
 # member seconds of the membership benchmark.
-ALWAYS_ENOUGH = 4
+MAX_CONFIRMATIONS_NEEDED = 4
 # Confirmations from which on the program is told: one member alone is most often wrong.
-NOTIFIED_FROM = 2
+CONFIRMATIONS_TO_NOTIFY = 2
 # Of the group: half of it, less a few that are suspected wrongly, must not wait.
-MINORITY_PART = 0.4
+MINORITY_SHARE = 0.4
 # Of the probe time-out: a failure that nobody here suspected waits that long to be refuted.
-CONTEST_PART = 0.7
+CONTEST_TIMEOUT_SHARE = 0.7
 
 
 def confirmations_needed(unsuspected: int) -> int:
@@ -21,12 +21,12 @@
     because those who would confirm it have failed too: half of a group killed at once, a small part
     behind a cut.
     """
-    return max(1, min(ALWAYS_ENOUGH, (unsuspected + 1) // 2))
+    return max(1, min(MAX_CONFIRMATIONS_NEEDED, (unsuspected + 1) // 2))
 
 
 def confirmations_to_notify(needed: int) -> int:
     """How many observers must agree before the program is told of the suspicion."""
-    return min(NOTIFIED_FROM, needed)
+    return min(CONFIRMATIONS_TO_NOTIFY, needed)
 
 
 def suspicion_timeout_us(needed: int, unsuspected: int, members: int, probe_timeout_us: int) -> int:
@@ -36,8 +36,10 @@
     probe time-out for one alone. A small part of the group waits the time-out once more: most
     likely it is itself what is cut off.
     """
-    timeout_us = probe_timeout_us * (ALWAYS_ENOUGH - needed) // (ALWAYS_ENOUGH - 1)
-    if unsuspected < MINORITY_PART * members:
+    timeout_us = (
+        probe_timeout_us * (MAX_CONFIRMATIONS_NEEDED - needed) // (MAX_CONFIRMATIONS_NEEDED - 1)
+    )
+    if unsuspected < MINORITY_SHARE * members:
         timeout_us += probe_timeout_us
     return timeout_us
 
--- a/plankroute/membership/view_report.py
+++ b/plankroute/membership/view_report.py
@@ -8,7 +8,7 @@
 from plankroute.membership.messages import ViewLine, ViewResponse
 from plankroute.membership.records import MemberRecord
 
-LINE_BYTES = 12  # of a line, beside its record
+LINE_OVERHEAD_BYTES = 12  # of a line, beside its record
 
 
 def view_response(
@@ -26,9 +26,9 @@
     lines = list[ViewLine]()
     for index in indexes[first_line:]:
         record = table.record_at(index)
-        room_bytes -= record_size(record) + LINE_BYTES
+        room_bytes -= record_size(record) + LINE_OVERHEAD_BYTES
         if room_bytes < 0:
             break
-        duration_us = now_us - table.notified_us[index]
+        duration_us = now_us - table.notified_since_us[index]
         lines.append(ViewLine(record, table.notified_states[index], duration_us))
     return ViewResponse(len(indexes), first_line, tuple(lines))
