--- a/plankroute/membership/codec.py
+++ b/plankroute/membership/codec.py
@@ -1,4 +1,4 @@
-"""The codec of datagrams: a header, then MessagePack. Only here: how messages look on the wire."""
+"""Encodes and decodes datagrams: a header with a checksum, then the message in MessagePack."""
 
 import struct
 from enum import Enum
@@ -20,19 +20,21 @@
 )
 from plankroute.membership.records import MemberRecord
 
-VERSION = 1  # of the protocol
-HEADER = struct.Struct("!BII")  # version, group, checksum of what follows
+VERSION = 1  # protocol version
+HEADER = struct.Struct("!BII")  # version, group checksum, checksum of the body
 
-# Characters: a record stays far below a datagram (settings are checked against the same limits).
+# Limits in characters. They keep a record far smaller than a datagram; settings are validated
+# against the same limits.
 MAX_NAME = 64
 MAX_ADDRESS = 64
 MAX_ZONE = 64
-NUMBER_LIMIT = 1 << 63  # of instance ids and incarnations: MessagePack holds no more
-OBSERVER_ID_LIMIT = 1 << 32  # observer ids are CRC-32
+# Instance ids and incarnations are below this limit, to fit a signed 64-bit MessagePack integer.
+NUMBER_LIMIT = 1 << 63
+OBSERVER_ID_LIMIT = 1 << 32  # observer ids are CRC-32 checksums
 
 
 class Rejection(Enum):
-    """Why a datagram is dropped; the values are part of counter names."""
+    """Why a datagram is dropped. The values are part of counter names."""
 
     SIZE = "size"
     VERSION = "version"
@@ -42,7 +44,10 @@
 
 
 class Codec:
-    """Datagrams of one group; another group's are told from noise, and neither is read."""
+    """Encodes and decodes the datagrams of one group.
+
+    Datagrams of another group are rejected like corrupt ones, but with a reason of their own.
+    """
 
     def __init__(self, group: str) -> None:
         self.group_checksum = crc32(group.encode())
@@ -50,12 +55,12 @@
         self.decoder = msgspec.msgpack.Decoder(Message)
 
     def encode(self, message: Message) -> bytes:
-        """The datagram of a message."""
+        """Return the datagram that carries the message."""
         body = self.encoder.encode(message)
         return HEADER.pack(VERSION, self.group_checksum, crc32(body, self.group_checksum)) + body
 
     def decode(self, data: bytes) -> Message | Rejection:
-        """The message of a datagram, or why there is none."""
+        """Return the message of a datagram, or the reason to drop the datagram."""
         if not HEADER.size < len(data) <= MAX_DATAGRAM_BYTES:
             return Rejection.SIZE
         version, group, checksum = HEADER.unpack_from(data)
@@ -69,7 +74,7 @@
         return self.decode_body(body)
 
     def decode_body(self, body: bytes) -> Message | Rejection:
-        """The message behind a header that was checked."""
+        """Return the message in a body whose header was valid, or `MALFORMED`."""
         try:
             message: Message = self.decoder.decode(body)
         except (msgspec.MsgspecError, RecursionError):
@@ -79,12 +84,12 @@
         return Rejection.MALFORMED
 
     def record_size(self, record: MemberRecord) -> int:
-        """Bytes that the record takes within a datagram."""
+        """Return the bytes that the record takes up in a datagram."""
         return len(self.encoder.encode(record))
 
 
 def records_of(message: Message) -> tuple[MemberRecord, ...]:
-    """All records that a message carries."""
+    """Return all records that a message carries."""
     match message:
         case Ping() | Ack() | IndirectPingRequest():
             return (message.sender, *message.gossip)
@@ -99,7 +104,10 @@
 
 
 def is_plausible(record: MemberRecord) -> bool:
-    """Guards against records that nobody writes: they would hold for good, or fill the table."""
+    """Return whether every field of the record is within the limits that real members keep.
+
+    A forged record beyond these limits could never be overruled, or would fill the table.
+    """
     texts = (record.name, MAX_NAME), (record.address, MAX_ADDRESS), (record.zone, MAX_ZONE)
     numbers = record.instance_id, record.incarnation, record.conflicting_instance_id
     return (
--- a/plankroute/membership/core.py
+++ b/plankroute/membership/core.py
@@ -1,6 +1,7 @@
-"""The entry point of membership: events and the time in, commands out.
+"""The entry point of membership: takes events and the time, returns commands.
 
-What the program is told of other members leaves here; no rule of the controller may rest on it.
+The program is notified of status changes by commands of this core. No rule of the controller may
+depend on these notifications.
 """
 
 from collections.abc import Callable
@@ -41,16 +42,17 @@
 from plankroute.membership.view_report import view_response
 from plankroute.seeded_random import SeededRandom
 
-# Time-outs are counted in tenths of a second; ten wake-ups a second cost next to nothing.
+# Resolution of all timeouts. Ten wake-ups per second cost almost no CPU time.
 TICK_US = 100_000
-# Without a message from anybody: the program is told. Two probe time-outs.
+# Time without a message from any member after which this one counts as isolated; about two probe
+# timeouts.
 ISOLATED_AFTER_US = 5_000_000
-# Between looks for members that failed or left long ago.
+# Between removals of members that failed or left longer ago than the retention time.
 CLEAN_UP_INTERVAL_US = 10_000_000
 
 
 class Membership:
-    """One member of the group."""
+    """The failure detection of one member of the group."""
 
     def __init__(
         self,
@@ -60,15 +62,15 @@
         wall_us: int,
         record_size: Callable[[MemberRecord], int],
     ) -> None:
-        """A member that has not started yet; the first step starts it.
+        """Create a member that has not started; the first call of `deliver` starts it.
 
         Args:
-            facts: its settings.
-            seed: of all its random draws.
-            instance_id: drawn anew at each start of a process.
-            wall_us: Unix time, from which the incarnation counts up, so that a new instance most
-                often overrules an old one at once; nothing rests on it.
-            record_size: bytes of a record within a datagram.
+            facts: The member's settings.
+            seed: Seed of all its random draws.
+            instance_id: Drawn at random at each start of a process.
+            wall_us: Unix time in microseconds, the first incarnation. A new instance therefore
+                usually overrules an old one at once; correctness does not depend on it.
+            record_size: Returns the encoded size of a record in bytes.
         """
         self.facts = facts
         self.record_size = record_size
@@ -111,14 +113,15 @@
         self.next_clean_up_us = 0
 
     def deliver(self, now_us: int, events: list[Event]) -> list[Command]:
-        """One step.
+        """Handle the events, then do the periodic work that is due.
 
         Args:
-            now_us: steady time.
-            events: what has happened, in order.
+            now_us: Monotonic time in microseconds.
+            events: What has happened since the last call, in order.
 
         Returns:
-            What is to be done. The last command says when to come back though nothing happened.
+            Commands to carry out. The last one is a `WakeAt`: the time of the next call if no event
+            occurs before it.
         """
         clock_us = self.clock.read(now_us)
         if not self.is_started:
@@ -134,7 +137,7 @@
         return [*self.outbox.drain(), *self.status.drain(), WakeAt(self.next_tick_us)]
 
     def start(self, now_us: int, clock_us: int) -> None:
-        """Set all timers; ticks of different members are spread over the interval."""
+        """Set all timers. A random delay of the first tick spreads the ticks of the members."""
         self.is_started = True
         self.record_handler.start(clock_us)
         self.reconnector.next_ping_us = clock_us
@@ -155,7 +158,7 @@
                 pass
 
     def on_message(self, source: str, message: Message, now_us: int) -> None:
-        """Answer an operator; take no other message where the name is lost."""
+        """Answer an operator's request; drop all other messages after the name is lost."""
         if isinstance(message, ViewRequest):
             response = view_response(self.table, message.first_line, now_us, self.record_size)
             self.outbox.send(source, response)
@@ -165,7 +168,7 @@
             self.on_member_message(source, message, now_us)
 
     def on_member_message(self, source: str, message: Message, now_us: int) -> None:
-        """Take the records of a message, then answer it."""
+        """Merge the records of a message, then answer it."""
         match message:
             case Ping():
                 self.record_handler.handle_message_records(message.sender, message.gossip, now_us)
@@ -186,14 +189,14 @@
                 self.anti_entropy.on_wanted_buckets(source, message.wanted_buckets, now_us)
 
     def on_leave_requested(self) -> None:
-        """Begin to leave; the first announcement goes out at once."""
+        """Start to leave the group; the next tick is due at once and sends an announcement."""
         is_in_group = not self.departure.has_lost_name
         self.departure.leave()
         if is_in_group:
             self.next_tick_us = 0
 
     def on_tick(self, now_us: int) -> None:
-        """Do what time brings."""
+        """Announce the departure if there is one; otherwise probe, reconnect and clean up."""
         if self.departure.is_leaving():
             self.departure.on_leave_tick()
         elif self.departure.has_lost_name:
@@ -205,7 +208,7 @@
             self.check_isolation(now_us)
 
     def probe_members(self, now_us: int) -> None:
-        """Suspect members that were silent for too long, and ping those in turn."""
+        """Suspect members whose probe timed out, evaluate suspicions, and send due pings."""
         confirmed = self.status.confirmed_suspicions()
         multiplier = self.health.timeout_multiplier(confirmed, now_us)
         due = self.detector.due_probes(now_us, self.table.living, multiplier)
@@ -218,7 +221,7 @@
                 self.ping_handler.carry_out(task)
 
     def clean_up(self, now_us: int) -> None:
-        """Forget members that failed or left long ago."""
+        """Remove members that failed or left longer ago than the retention time."""
         if now_us < self.next_clean_up_us:
             return
         self.next_clean_up_us = now_us + CLEAN_UP_INTERVAL_US
@@ -226,7 +229,7 @@
             self.table.remove(index)
 
     def check_isolation(self, now_us: int) -> None:
-        """Tell the program when nobody is heard any more, and when somebody is again."""
+        """Notify the program when this member becomes isolated, and when it is reconnected."""
         is_isolated = now_us - self.record_handler.last_heard_us > ISOLATED_AFTER_US
         if is_isolated is self.is_isolated:
             return
--- a/plankroute/membership/departure.py
+++ b/plankroute/membership/departure.py
@@ -1,4 +1,4 @@
-"""How this member leaves the group, and how it yields its name to another process."""
+"""Announces that this member leaves the group, or that it yields its name to another process."""
 
 import msgspec
 
@@ -8,22 +8,25 @@
 from plankroute.membership.outbox import Outbox
 from plankroute.membership.records import MemberRecord, MemberState
 
-# A leave is announced to that many members at once, on so many ticks; 0.2 s in all.
+# A leave is announced on each of this many ticks to this many members, within 0.2 s in all.
 LEAVE_TICKS = 3
 LEAVE_FANOUT = 32
-# A process that lost its name says so on so many ticks, then is silent.
+# A process that lost its name announces this on each of so many ticks, then sends nothing more.
 YIELD_TICKS = 5
 YIELD_FANOUT = 8
 NOT_STARTED = -1
 
 
 class Departure:
-    """Announces the end of this member's part in the group.
+    """Announces that this member no longer takes part in the group.
 
     Attributes:
-        leave_ticks: ticks left to announce the leave.
-        yield_ticks: ticks left to announce the lost name.
-        has_lost_name: another process has the name; nothing else is sent any more.
+        leave_ticks: Number of ticks on which the leave is still to be announced; negative before a
+            leave and after its end.
+        yield_ticks: Number of ticks on which the lost name is still to be announced; negative
+            before the name is lost and after the announcements.
+        has_lost_name: Another process keeps the name; only these announcements, and answers to
+            operators, are still sent.
     """
 
     def __init__(self, table: MemberTable, dissemination: Dissemination, outbox: Outbox) -> None:
@@ -35,11 +38,14 @@
         self.has_lost_name = False
 
     def is_leaving(self) -> bool:
-        """Whether the leave is being announced."""
+        """Return whether the leave is being announced."""
         return self.leave_ticks >= 0
 
     def leave(self) -> None:
-        """Begin to announce the leave."""
+        """Start to announce the leave.
+
+        If the name is lost, there is nothing to announce and the leave completes at once.
+        """
         if self.has_lost_name:
             self.outbox.add(LeaveCompleted())
             return
@@ -49,7 +55,7 @@
         self.table.store(OWN_INDEX, left)
 
     def on_leave_tick(self) -> None:
-        """Announce the leave once more."""
+        """Announce the leave again; after the last announcement the leave is completed."""
         self.leave_ticks -= 1
         if self.leave_ticks < 0:
             return
@@ -58,7 +64,11 @@
             self.outbox.add(LeaveCompleted())
 
     def yield_name(self, winner: MemberRecord) -> None:
-        """The other process keeps the name; that there were two is announced to all."""
+        """Give up the name to the process of the record `winner`.
+
+        The record that is announced from then on carries the winner's data and this instance as the
+        conflicting one, so that all members learn that two processes had the name.
+        """
         own_instance = self.table.own_record().instance_id
         conflicting = max(winner.conflicting_instance_id, own_instance)
         record = msgspec.structs.replace(winner, conflicting_instance_id=conflicting)
@@ -68,7 +78,7 @@
         self.has_lost_name = True
 
     def on_yield_tick(self) -> None:
-        """Announce the lost name once more, also to the process that has it."""
+        """Announce the lost name again, to random members and to the process that keeps it."""
         self.yield_ticks -= 1
         if self.yield_ticks < 0:
             return
--- a/plankroute/membership/dissemination.py
+++ b/plankroute/membership/dissemination.py
@@ -1,6 +1,6 @@
-"""How new records spread: piggybacked on other messages, and at once to a few members.
+"""Disseminates changed records: by broadcasts to a few members and piggybacked on other messages.
 
-Bounded in size, number and rate.
+Size, number and rate of the datagrams are bounded.
 """
 
 from collections.abc import Callable
@@ -14,19 +14,19 @@
 from plankroute.membership.sampling import MemberSampler
 from plankroute.token_bucket import TokenBucket
 
-OVERHEAD_BYTES = 48  # of a datagram, beside its records
-# Members that hear of a change at once: it doubles and more at each hop, with a third of datagrams
-# lost.
+OVERHEAD_BYTES = 48  # of a datagram without its records
+# Members that a change is sent to at once. Even with a third of the datagrams lost, the number of
+# members that know of the change more than doubles at each hop.
 BROADCAST_FANOUT = 3
-# Datagrams with new records a second, and at once: beyond, records are piggybacked.
+# Rate and burst of broadcast datagrams. Records beyond them are only piggybacked.
 BROADCASTS_PER_SECOND = 20
 BROADCAST_BURST = 30
-# Between two broadcasts: the records of a storm are gathered, so that each datagram is full.
+# Between two broadcasts. Many changes in a short time are collected, so that datagrams are full.
 MIN_BROADCAST_INTERVAL_US = 50_000
 
 
 class Dissemination:
-    """Spreads records of the table."""
+    """Sends records of the table to other members."""
 
     def __init__(
         self,
@@ -41,22 +41,26 @@
         self.outbox = outbox
         self.queue = GossipQueue()
         self.broadcast_budget = TokenBucket(BROADCASTS_PER_SECOND, BROADCAST_BURST)
-        self.changed_names: dict[str, None] = {}  # names, in order, for the next broadcast
+        self.changed_names: dict[str, None] = {}  # ordered set of names for the next broadcast
         self.last_broadcast_us = NEVER
 
     def announce(self, name: str) -> None:
-        """The record of that name has changed: pass it on."""
+        """Queue the changed record of that name for the next broadcast and for piggybacking."""
         self.queue.add(name)
         self.changed_names[name] = None
 
     def piggyback(
         self, priority_record: MemberRecord | None = None, reserved_bytes: int = 0
     ) -> tuple[MemberRecord, ...]:
-        """Records for one datagram, led by the one that its reader has to know.
+        """Take records to piggyback on one datagram, leaving room for this member's own record.
 
         Args:
-            priority_record: goes before all others, whether or not it is queued.
-            reserved_bytes: of the datagram, for what else it carries.
+            priority_record: A record that the receiver has to know; it comes first, whether or not
+                it is queued.
+            reserved_bytes: Bytes of the datagram for its other contents.
+
+        Returns:
+            The priority record, if any, and as many queued records as fit.
         """
         own_size = self.record_size(self.table.own_record())
         room_bytes = MAX_DATAGRAM_BYTES - OVERHEAD_BYTES - reserved_bytes - own_size
@@ -68,7 +72,10 @@
         return (priority_record, *queued) if priority_record else tuple(queued)
 
     def broadcast_changes(self, now_us: int) -> None:
-        """Send what is new to a few members at once, as many records as fit; the rest rides."""
+        """Send changed records to a few random members, at most once per minimum interval.
+
+        One datagram's worth of records is sent; the others are only piggybacked.
+        """
         if not self.changed_names or now_us - self.last_broadcast_us < MIN_BROADCAST_INTERVAL_US:
             return
         self.last_broadcast_us = now_us
@@ -79,7 +86,7 @@
             self.outbox.send(self.table.record_at(index).address, gossip)
 
     def records_that_fit(self, names: list[str]) -> tuple[MemberRecord, ...]:
-        """Records of these names that fit a datagram; one that does not takes up room too."""
+        """Return the records of these names, up to the first that does not fit in the datagram."""
         room_bytes = MAX_DATAGRAM_BYTES - OVERHEAD_BYTES
         records = list[MemberRecord]()
         for name in names:
@@ -92,7 +99,7 @@
         return tuple(records)
 
     def send_own_record(self, member_count: int) -> None:
-        """Send this member's own record to that many others."""
+        """Send this member's own record to `member_count` random living members."""
         for index in self.sampler.sample(member_count):
             gossip = Gossip((self.table.own_record(),))
             self.outbox.send(self.table.record_at(index).address, gossip)
--- a/plankroute/membership/facts.py
+++ b/plankroute/membership/facts.py
@@ -1,25 +1,27 @@
-"""What a member is told at its start, and the limit of a datagram; plain data."""
+"""Settings of a member, and the size limit of a datagram."""
 
 from dataclasses import dataclass, replace
 
-# Bytes: below the usual limit of every path (1,280 for IPv6), so that no datagram is fragmented on
-# its way.
+# Below the MTU that every path has to support (1,280 bytes for IPv6), so that datagrams are not
+# fragmented.
 MAX_DATAGRAM_BYTES = 1200
 
 
 @dataclass(frozen=True, slots=True)
 class MemberFacts:
-    """Settings of one member. Times are microseconds.
+    """Settings of one member. Times are in microseconds.
 
     Attributes:
-        name: the controller's name, unique within the group.
-        address: "host:port" at which others reach it.
-        zone: its zone.
-        group: datagrams of another group are not read.
-        seeds: addresses pinged until somebody answers, and now and then later.
-        probe_timeout_us: silence after which a member is suspected (setting `patience_ms`).
-        probe_interval_us: between probes, in a group that is not small (setting `probe_ms`).
-        retention_us: how long members that failed or left are remembered (setting `forget_s`).
+        name: The controller's name, unique within the group.
+        address: "host:port" at which other members reach it.
+        zone: The controller's zone.
+        group: Name of the group; datagrams of other groups are dropped.
+        seeds: Addresses that are pinged while no living member has them.
+        probe_timeout_us: Time without an ack after which a member is suspected (setting
+            `patience_ms`).
+        probe_interval_us: Time between the starts of two probes, except in small groups (setting
+            `probe_ms`).
+        retention_us: How long members that failed or left stay in the table (setting `forget_s`).
     """
 
     name: str
@@ -32,5 +34,5 @@
     retention_us: int
 
     def with_seeds(self, seeds: tuple[str, ...]) -> "MemberFacts":
-        """The same settings with another list of seeds."""
+        """Return the same settings with another list of seeds."""
         return replace(self, seeds=seeds)
--- a/plankroute/membership/gossip.py
+++ b/plankroute/membership/gossip.py
@@ -1,25 +1,33 @@
-"""The queue of records that ride on other messages (SWIM's piggybacking), of bounded length."""
+"""The bounded queue of records that are piggybacked on other messages (SWIM)."""
 
 import math
 from collections.abc import Callable
 
 from plankroute.membership.records import MemberRecord
 
-# Each record rides this often per doubling of the group; tables that differ after it are compared
-# by anti-entropy (docs/membership.md).
+# Each record is sent this many times per doubling of the group size. Anti-entropy repairs tables
+# that still differ afterwards (docs/membership.md).
 TRANSMISSIONS_PER_DOUBLING = 1
-MAX_RECORDS_PER_DATAGRAM = 16  # what fits at the usual record size; fewer make a storm last
-MAX_QUEUED_RECORDS = 1024  # a larger change is left to the comparison of tables
+# What fits at the usual record size. With fewer records, many changes at once take long to spread.
+MAX_RECORDS_PER_DATAGRAM = 16
+MAX_QUEUED_RECORDS = 1024  # changes of more members are left to anti-entropy
 
 
 class GossipQueue:
-    """By name, how often its newest record was sent; those sent least go first."""
+    """Names of the records to send; those sent least often come first.
+
+    Attributes:
+        transmissions: By name, how often the newest record was sent.
+    """
 
     def __init__(self) -> None:
         self.transmissions: dict[str, int] = {}
 
     def add(self, name: str) -> None:
-        """The record of that name is new: it goes to the end of those never sent."""
+        """Queue the record of that name as not yet sent, behind the other unsent ones.
+
+        If the queue is full, the record that was sent most often is dropped.
+        """
         self.transmissions.pop(name, None)
         if len(self.transmissions) >= MAX_QUEUED_RECORDS:
             most_sent = max(self.transmissions, key=self.transmissions.__getitem__)
@@ -33,7 +41,16 @@
         record_of: Callable[[str], MemberRecord | None],
         record_size: Callable[[MemberRecord], int],
     ) -> list[MemberRecord]:
-        """Records that fit into `room_bytes`; each leaves the queue when it was sent often."""
+        """Return the next records to send, and count them as sent.
+
+        A record leaves the queue once it was sent often enough for the size of the group.
+
+        Args:
+            member_count: Number of members in the table.
+            room_bytes: Limit of the records' total size.
+            record_of: Returns the record of a name; None if the name is no longer known.
+            record_size: Returns the encoded size of a record in bytes.
+        """
         if not self.transmissions:
             return []
         limit = TRANSMISSIONS_PER_DOUBLING * math.ceil(math.log2(member_count + 2))
--- a/plankroute/membership/member_table.py
+++ b/plankroute/membership/member_table.py
@@ -1,6 +1,6 @@
-"""One controller's table of all members: records and times in parallel arrays under a dense index.
+"""The table of all members that one controller knows, in parallel arrays by a dense index.
 
-Keeps, sums up and finds; decides nothing.
+The table stores records, keeps sums of their digests and looks members up. It makes no decisions.
 """
 
 from collections.abc import Iterator
@@ -9,17 +9,18 @@
 
 from plankroute.membership.records import MemberRecord, MemberState, canonical, merge_records
 
-# Guards against a peer that invents members.
+# Limits the memory that a peer can use up with forged members.
 MAX_MEMBERS = 4096
-BUCKET_COUNT = 32  # of the sums by which tables are compared: at 1,000 members one fills a datagram
+# Buckets of names for comparing tables: with 1,000 members, the records of one fill a datagram.
+BUCKET_COUNT = 32
 SUM_BYTES = 8
 SUM_MODULUS = 1 << 8 * SUM_BYTES
-NEVER = -(1 << 60)  # a time before every other one
-OWN_INDEX = 0  # of the controller itself
+NEVER = -(1 << 60)  # earlier than any other time
+OWN_INDEX = 0  # index of the controller itself
 
 
 class MergeResult(NamedTuple):
-    """What a merge has done; `before` is None where the name is new."""
+    """The record before and after a merge; `before` is None if the name is new."""
 
     member_index: int
     before: MemberRecord | None
@@ -30,16 +31,21 @@
     """All members by index; index 0 is the controller itself.
 
     Attributes:
-        index_by_name: the index of each member.
-        records: by index; None where the index is free.
-        notified_states: what the program was told of it, which may lag behind the record.
-        notified_since_us: since when.
-        suspected_since_us: when the suspicion that stands was first known.
-        contested_until_us: until when an unforeseen failure waits for its refutation.
-        living: indexes notified as alive or suspected, the controller itself left out.
-        failed: indexes notified as failed; they may come back.
-        suspected: indexes whose record is suspected.
-        version: rises when a member comes or goes.
+        index_by_name: The index of each member.
+        free_indexes: Indexes of removed members, to be reused.
+        records: By index, the record; None if the index is free.
+        notified_states: By index, the state that the program was last notified of. It may lag
+            behind the state in the record.
+        notified_since_us: By index, when the notified state was set.
+        suspected_since_us: By index, when the current suspicion became known.
+        contested_until_us: By index, until when a contested failure waits for a refutation.
+        sum_by_bucket: Sums of the record digests of each bucket, for comparing tables.
+        total_sum: Sum of the record digests of all buckets.
+        living: Indexes notified as alive or suspected, without the controller itself.
+        failed: Indexes notified as failed; these members may recover.
+        suspected: Indexes whose record is suspected, without the controller itself.
+        sorted_living: The sorted `living`, cached until it changes; None if it is not cached.
+        version: Incremented whenever `living` changes.
     """
 
     def __init__(self, own: MemberRecord) -> None:
@@ -50,40 +56,40 @@
         self.notified_since_us: list[int] = []
         self.suspected_since_us: list[int] = []
         self.contested_until_us: list[int] = []
-        self.sum_by_bucket = [0] * BUCKET_COUNT  # of the digests of records, by bucket
-        self.total_sum = 0  # of all of them
+        self.sum_by_bucket = [0] * BUCKET_COUNT
+        self.total_sum = 0
         self.living = set[int]()
         self.failed = set[int]()
         self.suspected = set[int]()
-        self.sorted_living: list[int] | None = None  # cached until a member comes or goes
+        self.sorted_living: list[int] | None = None
         self.version = 0
         self.add(own, 0)
 
     def __len__(self) -> int:
-        """All members that are known, failed ones and the controller itself among them."""
+        """Return the number of known members, including failed ones and the controller itself."""
         return len(self.index_by_name)
 
     def own_record(self) -> MemberRecord:
-        """The controller's own record."""
+        """Return the controller's own record."""
         return self.record_at(OWN_INDEX)
 
     def record_at(self, index: int) -> MemberRecord:
-        """The record at an index that is in use."""
+        """Return the record at an index that is in use."""
         record = self.records[index]
-        assert record is not None, "an index that no member has"
+        assert record is not None, "no member has this index"
         return record
 
     def record_of(self, name: str) -> MemberRecord | None:
-        """The record of a name; None where it is not known."""
+        """Return the record of a name; None if the name is not known."""
         index = self.index_by_name.get(name)
         return None if index is None else self.record_at(index)
 
     def is_full(self) -> bool:
-        """Whether no name can be added."""
+        """Return whether the table has no room for another name."""
         return len(self.index_by_name) >= MAX_MEMBERS
 
     def add(self, record: MemberRecord, now_us: int) -> int:
-        """Add a name not known before, notified as what its record says; its index."""
+        """Add a new name, set its notified state to that of its record, and return its index."""
         index = self.allocate(now_us)
         self.index_by_name[record.name] = index
         self.store(index, record)
@@ -91,7 +97,7 @@
         return index
 
     def allocate(self, now_us: int) -> int:
-        """An index that is free, with its columns cleared."""
+        """Return a free index whose array elements are reset."""
         if not self.free_indexes:
             self.records.append(None)
             self.notified_states.append(MemberState.ALIVE)
@@ -105,7 +111,10 @@
         return index
 
     def store(self, index: int, record: MemberRecord) -> None:
-        """Replace the record at an index, and what follows from it for the sums."""
+        """Replace the record at an index, and update the sums and `suspected`.
+
+        The sums leave out members that failed or left.
+        """
         bucket = bucket_of(record.name)
         known = self.records[index]
         if known and not known.has_failed_or_left():
@@ -119,12 +128,12 @@
             self.suspected.discard(index)
 
     def add_to_sums(self, bucket: int, digest: int) -> None:
-        """Add the digest of a record, or take it away where it is negative."""
+        """Add the digest of a record to the sums; a negated digest removes the record."""
         self.sum_by_bucket[bucket] = (self.sum_by_bucket[bucket] + digest) % SUM_MODULUS
         self.total_sum = (self.total_sum + digest) % SUM_MODULUS
 
     def set_notified_state(self, index: int, state: MemberState, now_us: int) -> None:
-        """The program is told that the member is in that state."""
+        """Set the state that the program is notified of, and update `living` and `failed`."""
         self.notified_states[index] = state
         self.notified_since_us[index] = now_us
         self.contested_until_us[index] = NEVER
@@ -143,13 +152,13 @@
             self.living.discard(index)
 
     def living_indexes(self) -> list[int]:
-        """Living members in the order of their indexes. The list must not be changed."""
+        """Return the living members in the order of their indexes; do not modify the list."""
         if self.sorted_living is None:
             self.sorted_living = sorted(self.living)
         return self.sorted_living
 
     def merge(self, record: MemberRecord, now_us: int) -> MergeResult | None:
-        """Merge a record that was heard; None where there is no room for one more name."""
+        """Merge a received record; return None if its name is new and the table is full."""
         record = canonical(record)
         index = self.index_by_name.get(record.name)
         if index is None:
@@ -163,7 +172,7 @@
         return MergeResult(index, before, after)
 
     def remove(self, index: int) -> None:
-        """Forget a member that failed or left; its index is used again."""
+        """Remove a member that failed or left; its index will be reused."""
         name = self.record_at(index).name
         self.set_notified_state(index, MemberState.LEFT, 0)
         self.suspected.discard(index)
@@ -172,7 +181,7 @@
         del self.index_by_name[name]
 
     def failed_or_left_before(self, before_us: int) -> list[int]:
-        """Indexes of those notified as failed or left since before that time."""
+        """Return the indexes of members notified as failed or left before `before_us`."""
         return [
             index
             for index in self.index_by_name.values()
@@ -182,15 +191,18 @@
         ]
 
     def digest(self) -> int:
-        """Of all members that have not failed or left; equal tables have equal ones."""
+        """Return the sum of the digests of all members that have not failed or left.
+
+        Tables that agree on these members have equal digests.
+        """
         return self.total_sum
 
     def bucket_sums(self) -> bytes:
-        """The sums of all buckets, as they go on the wire."""
+        """Return the sums of all buckets, as encoded on the wire."""
         return b"".join(value.to_bytes(SUM_BYTES) for value in self.sum_by_bucket)
 
     def differing_buckets(self, other_sums: bytes) -> list[int]:
-        """Buckets in which another's table is not this one; none where the sums can't be read."""
+        """Return the buckets whose sums differ; none if `other_sums` has the wrong length."""
         if len(other_sums) != BUCKET_COUNT * SUM_BYTES:
             return []
         return [
@@ -200,10 +212,10 @@
         ]
 
     def records_in_buckets(self, buckets: set[int]) -> Iterator[MemberRecord]:
-        """Records of these buckets.
+        """Return the records of these buckets.
 
-        Those of members that failed or left come too: they keep old gossip from bringing a member
-        back.
+        They include members that failed or left, so that older gossip does not make the receiver
+        take such a member for alive again.
         """
         return (
             self.record_at(index)
@@ -213,13 +225,14 @@
 
 
 def bucket_of(name: str) -> int:
-    """The bucket of the sums that a name belongs to."""
+    """Return the bucket that a name belongs to."""
     return crc32(name.encode()) % BUCKET_COUNT
 
 
 def observer_id(name: str) -> int:
-    """A member's id in the confirmations of a suspicion.
+    """Return a member's id in the confirmations of a suspicion.
 
-    Names that share one count as one observer, which makes a failure later, never sooner.
+    Two names with the same id count as one observer. That can delay a confirmed failure, but never
+    cause one too early.
     """
     return crc32(name.encode())
--- a/plankroute/membership/messages.py
+++ b/plankroute/membership/messages.py
@@ -1,7 +1,7 @@
-"""Messages between members, events into the core and commands out of it: types only.
+"""Types of the messages between members, of the core's events and of its commands.
 
-Messages are arrays with a numeric tag on the wire: the order, the types and the defaults of their
-fields are the protocol, their names are not.
+Messages are encoded as arrays with a numeric tag. The order, types and defaults of their fields are
+part of the protocol; the field names are not.
 """
 
 from dataclasses import dataclass
@@ -11,11 +11,11 @@
 
 from plankroute.membership.records import MemberRecord
 
-# Between members. `gossip`: records that ride along.
+# Messages between members. `gossip` holds piggybacked records.
 
 
 class Ping(msgspec.Struct, frozen=True, array_like=True, tag=1):
-    """Asks for an ack; carries the digest of the sender's table and the sender's own record."""
+    """Requests an ack; carries the digest of the sender's table and the sender's own record."""
 
     sequence_number: int
     table_digest: int
@@ -24,7 +24,10 @@
 
 
 class Ack(msgspec.Struct, frozen=True, array_like=True, tag=2):
-    """Answers a ping; `bucket_sums` where the tables differ and may be compared now, else empty."""
+    """Answers a ping.
+
+    `bucket_sums` is set if the tables differ and the rate limit allows a comparison, else empty.
+    """
 
     sequence_number: int
     sender: MemberRecord
@@ -33,7 +36,7 @@
 
 
 class IndirectPingRequest(msgspec.Struct, frozen=True, array_like=True, tag=3):
-    """Asks a third member to ping the target and to relay its ack (SWIM's ping-req)."""
+    """Asks the receiver to ping the target and to relay the target's ack (SWIM's ping-req)."""
 
     sequence_number: int
     target_address: str
@@ -50,26 +53,26 @@
 
 
 class Gossip(msgspec.Struct, frozen=True, array_like=True, tag=5):
-    """Records that are new, sent without being asked for."""
+    """Changed records, sent unrequested."""
 
     records: tuple[MemberRecord, ...]
 
 
 class ViewExchange(msgspec.Struct, frozen=True, array_like=True, tag=6):
-    """A part of a table (anti-entropy); `wanted_buckets`: numbers of those wanted in return."""
+    """Part of a table (anti-entropy); `wanted_buckets`: one byte per bucket wanted in return."""
 
     records: tuple[MemberRecord, ...]
     wanted_buckets: bytes = b""
 
 
 class ViewRequest(msgspec.Struct, frozen=True, array_like=True, tag=7):
-    """An operator's question: who is there, from that line on?"""
+    """An operator's request for the table of members, starting at a line number from 0."""
 
     first_line: int
 
 
 class ViewLine(msgspec.Struct, frozen=True, array_like=True):
-    """One member as the program was notified; `duration_us`: how long it has been in that state."""
+    """One member: its record, the state last notified, and for how long it has had this state."""
 
     record: MemberRecord
     state: int
@@ -77,7 +80,7 @@
 
 
 class ViewResponse(msgspec.Struct, frozen=True, array_like=True, tag=8):
-    """A part of the answer; the controller's own line is the first of all."""
+    """Part of the answer to a `ViewRequest`; line 0 is the controller's own."""
 
     total_lines: int
     first_line: int
@@ -96,12 +99,12 @@
 )
 
 
-# Events, into the core.
+# Events that the core takes.
 
 
 @dataclass(frozen=True, slots=True)
 class MessageReceived:
-    """A message came from that address ("host:port")."""
+    """A message arrived from the address `source` ("host:port")."""
 
     source: str
     message: Message
@@ -109,12 +112,12 @@
 
 @dataclass(frozen=True, slots=True)
 class TickDue:
-    """The time that the last `WakeAt` named has come."""
+    """The time of the last `WakeAt` has come."""
 
 
 @dataclass(frozen=True, slots=True)
 class SeedsChanged:
-    """The list of seeds was configured anew."""
+    """The configured list of seeds changed."""
 
     seeds: tuple[str, ...]
 
@@ -127,27 +130,27 @@
 Event = MessageReceived | TickDue | SeedsChanged | LeaveRequested
 
 
-# Commands, out of the core.
+# Commands that the core returns.
 
 
 class StatusChange(Enum):
-    """What the rest of the program is notified of; the values are part of log event names."""
+    """Changes that the program is notified of. The values are part of log event names."""
 
     JOINED = "joined"
     SUSPECTED = "suspected"
     FAILED = "failed"
     LEFT = "left"
     RECOVERED = "recovered"
-    DUPLICATE_NAME = "duplicate_name"  # two live processes under its name
-    # Of this member itself:
+    DUPLICATE_NAME = "duplicate_name"  # two live processes have the member's name
+    # Changes of this member itself:
     REPORTED_FAILED = "reported_failed"
-    NAME_LOST = "name_lost"  # another process has its name: it takes no part any more
+    NAME_LOST = "name_lost"  # another process keeps the name; this one stops taking part
     ISOLATED = "isolated"
     RECONNECTED = "reconnected"
 
 
 class Metric(Enum):
-    """Counters of the core; the values are part of their names."""
+    """Counters of the core. The values are part of the counters' names."""
 
     SUSPICIONS_RAISED = "suspicions_raised"
     ANTI_ENTROPY_EXCHANGES = "anti_entropy_exchanges"
@@ -163,9 +166,10 @@
 
 @dataclass(frozen=True, slots=True)
 class NotifyStatus:
-    """For the rest of the program.
+    """Notify the program of a change.
 
-    `confirmations`: how many members had no answer, where that was the reason.
+    `confirmations`: number of members without an answer, if that is the reason for the change, else
+    0.
     """
 
     change: StatusChange
@@ -175,7 +179,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SendMessage:
-    """Send the message to that address ("host:port")."""
+    """Send the message to `address` ("host:port")."""
 
     address: str
     message: Message
@@ -183,7 +187,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WakeAt:
-    """Nothing is due before that steady time."""
+    """Nothing is due before this monotonic time in microseconds; deliver a `TickDue` then."""
 
     due_us: int
 
@@ -198,7 +202,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaveCompleted:
-    """The leave is announced; the socket may be closed."""
+    """The leave has been announced; the socket may be closed."""
 
 
 Command = NotifyStatus | SendMessage | WakeAt | CountMetric | LeaveCompleted
--- a/plankroute/membership/name_claim.py
+++ b/plankroute/membership/name_claim.py
@@ -1,6 +1,6 @@
-"""What this member does about records of its own name: refute, claim the name, or give it up.
+"""Decides about received records of this member's own name: refute, claim, or give up the name.
 
-Decides for its own process alone; at most one of two processes under a name goes on.
+Each process decides for itself. Of two processes with one name, at most one keeps it.
 """
 
 from dataclasses import dataclass
@@ -10,19 +10,19 @@
 
 from plankroute.membership.records import MemberRecord, MemberState, merge_records
 
-# After its start a process may claim a name that another instance still seems to hold. Longer than
-# a group takes to come together.
+# How long after its start a process may claim a name that another instance seems to hold. It is
+# longer than a group takes to form.
 CLAIM_WINDOW_US = 10_000_000
-MAX_INCARNATION = (1 << 62) - 1  # what lies beyond was never counted up to
+MAX_INCARNATION = (1 << 62) - 1  # no member reaches a higher one by counting up
 
 
 class ClaimOutcome(Enum):
-    """What a record of this member's own name means."""
+    """What a received record of this member's own name leads to."""
 
     UNCHANGED = auto()
-    STALE_INSTANCE = auto()  # of an instance that this one has overruled
-    REFUTED_SUSPICION = auto()  # this one's record is raised above what was heard
-    REFUTED_FAILURE = auto()  # the same, and what was heard is that it failed
+    STALE_INSTANCE = auto()  # the record is of an instance that this one has overruled
+    REFUTED_SUSPICION = auto()  # the own incarnation is raised above the one received
+    REFUTED_FAILURE = auto()  # the same, for a report that this instance failed
     CLAIMED = auto()
     LOST = auto()
     INCARNATION_TOO_HIGH = auto()  # it can't be overruled, and this instance never sent it
@@ -30,16 +30,17 @@
 
 @dataclass(frozen=True, slots=True)
 class ClaimDecision:
-    """The outcome, and the own record as it stands from now on."""
+    """The outcome, and the own record from now on."""
 
     outcome: ClaimOutcome
     own: MemberRecord
 
 
 class NameClaim:
-    """One claim a process, soon after its start.
+    """Decides about the name; a process claims its name at most once, soon after its start.
 
-    Two that start together raise each other's incarnation once, then one yields.
+    Two processes that start together each claim the name once with a higher incarnation. At the
+    next conflict one of them loses the name, so it does not change hands forever.
     """
 
     def __init__(self, started_us: int) -> None:
@@ -47,7 +48,7 @@
         self.has_claimed = False
 
     def on_record(self, own: MemberRecord, heard: MemberRecord, now_us: int) -> ClaimDecision:
-        """Decide about a record of this member's name that was heard."""
+        """Decide about `heard`, a received record of this member's name."""
         if heard.incarnation > MAX_INCARNATION:
             return ClaimDecision(ClaimOutcome.INCARNATION_TOO_HIGH, own)
         if heard.instance_id == own.instance_id:
@@ -63,7 +64,7 @@
 
 
 def decide_same_instance(own: MemberRecord, heard: MemberRecord) -> ClaimDecision:
-    """Decide about a record of this very process."""
+    """Decide about a received record of this process itself, with the same instance id."""
     if heard.incarnation < own.incarnation:
         return ClaimDecision(ClaimOutcome.UNCHANGED, own)
     if heard.state is MemberState.ALIVE and heard.incarnation == own.incarnation:
@@ -78,7 +79,7 @@
 
 
 def refuting_record(own: MemberRecord, heard: MemberRecord) -> MemberRecord:
-    """The own record, alive, with an incarnation above the one that was heard (SWIM)."""
+    """Return the own record as alive, with an incarnation one above that of `heard` (SWIM)."""
     return msgspec.structs.replace(
         own, incarnation=heard.incarnation + 1, state=MemberState.ALIVE, confirmed_by=()
     )
