--- a/plankroute/membership/outbox.py
+++ b/plankroute/membership/outbox.py
@@ -1,4 +1,4 @@
-"""Commands that one step of the core collects, in the order in which they are to be carried out."""
+"""Collects the commands of one step of the core, in the order in which to carry them out."""
 
 from plankroute.membership.messages import (
     Command,
@@ -13,29 +13,29 @@
 
 
 class Outbox:
-    """Shared by all parts of the core; emptied at the end of each step."""
+    """The list of commands that all parts of the core append to; emptied after each step."""
 
     def __init__(self) -> None:
         self.commands: list[Command] = []
 
     def add(self, command: Command) -> None:
-        """Append a command."""
+        """Append a command of any kind."""
         self.commands.append(command)
 
     def send(self, address: str, message: Message) -> None:
-        """Send a message."""
+        """Append a command that sends a message to `address` ("host:port")."""
         self.commands.append(SendMessage(address, message))
 
     def count(self, metric: Metric) -> None:
-        """Add one to a counter."""
+        """Append a command that adds one to a counter."""
         self.commands.append(CountMetric(metric))
 
     def notify(self, change: StatusChange, record: MemberRecord) -> None:
-        """Notify the program of a change."""
+        """Append a command that notifies the program of a change."""
         self.commands.append(NotifyStatus(change, record))
 
     def drain(self) -> list[Command]:
-        """All commands; the outbox is empty afterwards."""
+        """Return all commands and empty the outbox."""
         commands = self.commands
         self.commands = []
         return commands
--- a/plankroute/membership/ping_handler.py
+++ b/plankroute/membership/ping_handler.py
@@ -1,4 +1,4 @@
-"""Pings, acks and indirect pings: ordered by the failure detector, or asked for by others."""
+"""Sends the pings that the failure detector schedules, and answers or relays those of others."""
 
 from plankroute.membership.anti_entropy import AntiEntropy
 from plankroute.membership.detector import FailureDetector, PingTask
@@ -10,14 +10,19 @@
 from plankroute.membership.records import MemberRecord, MemberState
 from plankroute.membership.sampling import MemberSampler
 
-# Indirect pings under way for others: more than all members of a large group send one in a probe
-# time-out.
+# Limit of the indirect pings in progress for others. It is more than all members of a large group
+# request from one member within a probe timeout.
 MAX_RELAYED_PINGS = 256
-UNTRACKED_SEQUENCE_NUMBER = 0  # of pings that no probe waits for
+UNTRACKED_SEQUENCE_NUMBER = 0  # of pings that belong to no probe
 
 
 class PingHandler:
-    """Sends pings and answers those of others."""
+    """Sends pings, and answers and relays those of others.
+
+    Attributes:
+        relayed_pings: By own sequence number of a ping sent for another member, the address of that
+            member and its request.
+    """
 
     def __init__(
         self,
@@ -36,11 +41,10 @@
         self.dissemination = dissemination
         self.anti_entropy = anti_entropy
         self.outbox = outbox
-        # By own sequence number: the request that the ping is relayed for, and its source.
         self.relayed_pings: dict[int, tuple[str, IndirectPingRequest]] = {}
 
     def on_ping(self, source: str, ping: Ping, now_us: int) -> None:
-        """Ack it, with the sums where the tables differ."""
+        """Answer a ping with an ack, including the bucket sums if the tables differ."""
         bucket_sums = self.anti_entropy.bucket_sums_for(ping.table_digest, now_us)
         correction = self.correction_for(ping.sender)
         gossip = self.dissemination.piggyback(correction, len(bucket_sums))
@@ -48,12 +52,12 @@
         self.outbox.send(source, ack)
 
     def correction_for(self, sender: MemberRecord) -> MemberRecord | None:
-        """What is known of the sender, where that is not what it says of itself."""
+        """Return the known record of the sender if it differs from the one it sent, else None."""
         known = self.table.record_of(sender.name)
         return None if known == sender else known
 
     def on_ack(self, source: str, ack: Ack) -> None:
-        """Relay it, end the probe that it answers, and compare tables."""
+        """Relay an ack whose ping was sent for another member, end its probe, compare tables."""
         relayed_ping = self.relayed_pings.pop(ack.sequence_number, None)
         if relayed_ping is not None:
             requester, request = relayed_ping
@@ -64,17 +68,23 @@
         self.anti_entropy.on_bucket_sums(source, ack.bucket_sums)
 
     def on_indirect_ack(self, ack: IndirectAck) -> None:
-        """End the probe that it answers."""
+        """End the probe that a relayed ack answers."""
         self.end_probe(ack.sequence_number)
 
     def end_probe(self, sequence_number: int) -> None:
-        """Whoever answers is alive; a suspicion that stands is its own to refute."""
+        """End the probe with that sequence number, and forget this member's own suspicion.
+
+        The state in the record stays: if it is suspected, the member itself has to refute that.
+        """
         index = self.detector.on_ack(sequence_number)
         if index is not None:
             self.health.clear_suspicion(index)
 
     def on_indirect_ping_request(self, source: str, request: IndirectPingRequest) -> None:
-        """Ping the target for another member; its ack is relayed."""
+        """Ping the target for another member, to relay the target's ack.
+
+        If too many relayed pings are in progress, the oldest one is dropped.
+        """
         sequence_number = self.detector.next_sequence_number()
         if len(self.relayed_pings) >= MAX_RELAYED_PINGS:
             del self.relayed_pings[next(iter(self.relayed_pings))]
@@ -84,13 +94,13 @@
     def send_ping(
         self, address: str, sequence_number: int, priority_record: MemberRecord | None = None
     ) -> None:
-        """Send a ping; `about`: a record that the target has to know."""
+        """Send a ping; `priority_record` is a record that the target has to know, if any."""
         gossip = self.dissemination.piggyback(priority_record)
         ping = Ping(sequence_number, self.table.digest(), self.table.own_record(), gossip)
         self.outbox.send(address, ping)
 
     def carry_out(self, task: PingTask) -> None:
-        """Send the pings of a task. A suspect is told of the suspicion with each of them."""
+        """Send the pings of a task. The direct ping tells a suspect of the suspicion."""
         record = self.table.record_at(task.index)
         priority_record = None if record.state is MemberState.ALIVE else record
         self.send_ping(record.address, task.sequence_number, priority_record)
--- a/plankroute/membership/reconnect.py
+++ b/plankroute/membership/reconnect.py
@@ -1,4 +1,4 @@
-"""Pings to seeds and to failed members: nobody is given up for good."""
+"""Pings seeds and failed members periodically, so that separated members find each other again."""
 
 from plankroute.membership.facts import MemberFacts
 from plankroute.membership.member_table import OWN_INDEX, MemberTable
@@ -6,13 +6,22 @@
 from plankroute.membership.sampling import draw_below
 from plankroute.seeded_random import SeededRandom
 
-# Between pings to a seed, or to a failed member: a cut heals without anybody's help.
+# Between pings to a seed or to a failed member. Because of them a partition heals without an
+# operator.
 RECONNECT_INTERVAL_US = 1_000_000
-SEED_PING_SHARE = 0.3  # of these pings go to seeds, where there are both.
+SEED_PING_SHARE = 0.3  # of these pings that go to seeds if there are failed members too
 
 
 class Reconnector:
-    """Guards against a cut that never heals, and against a start before all seeds."""
+    """Pings seeds that are not living and members that failed, one per interval.
+
+    Without it, a partition would never heal, and a member that starts before all seeds would stay
+    alone.
+
+    Attributes:
+        last_index_by_seed: By seed address, the index of the living member that last had it;
+            `OWN_INDEX` if none had.
+    """
 
     def __init__(
         self,
@@ -27,15 +36,15 @@
         self.ping_handler = ping_handler
         self.random = random
         self.next_ping_us = 0
-        self.last_index_by_seed: dict[str, int] = {}  # the member that had the address last
+        self.last_index_by_seed: dict[str, int] = {}
 
     def change_seeds(self, seeds: tuple[str, ...], now_us: int) -> None:
-        """Take another list of seeds; the next ping is due at once."""
+        """Replace the list of seeds; the next ping is due at once."""
         self.seeds = seeds
         self.next_ping_us = now_us
 
     def on_tick(self, now_us: int) -> None:
-        """Ping one seed that is not living, or one failed member, if it is time."""
+        """If a ping is due, ping one seed that is not living or one failed member, at random."""
         if now_us < self.next_ping_us:
             return
         self.next_ping_us = now_us + RECONNECT_INTERVAL_US
@@ -49,10 +58,10 @@
             self.ping_handler.send_ping(record.address, UNTRACKED_SEQUENCE_NUMBER, record)
 
     def is_living_seed(self, seed: str) -> bool:
-        """Whether a living member has that address.
+        """Return whether this member or a living one has that address.
 
-        The member that had it last is looked at first: a search each time would cost the whole
-        table.
+        The member that last had the address is checked first, because a search goes through all
+        living members.
         """
         if seed == self.own_address:
             return True
--- a/plankroute/membership/record_handler.py
+++ b/plankroute/membership/record_handler.py
@@ -1,4 +1,4 @@
-"""What becomes of records that are heard: merged into the table, passed on, or refuted."""
+"""Handles received records: merges and disseminates them, and refutes those of this member."""
 
 import msgspec
 
@@ -24,10 +24,10 @@
 
 
 class RecordHandler:
-    """Takes records of others and of this member itself.
+    """Handles received records of other members and of this member itself.
 
     Attributes:
-        last_heard_us: when any other member was last heard.
+        last_heard_us: When a message of any other member last arrived.
     """
 
     def __init__(
@@ -52,14 +52,14 @@
         self.last_heard_us = NEVER
 
     def start(self, now_us: int) -> None:
-        """The time from which this process may claim its name, and waits for others."""
+        """Start the time in which this process may claim its name, and the time to isolation."""
         self.name_claim = NameClaim(now_us)
         self.last_heard_us = now_us
 
     def handle_message_records(
         self, sender: MemberRecord, gossip: tuple[MemberRecord, ...], now_us: int
     ) -> None:
-        """Take a message of another member; it counts as heard whatever its record says."""
+        """Handle the records of a message; its sender counts as heard whatever its record says."""
         self.handle_records((sender, *gossip), now_us)
         if sender.name == self.own_name:
             return
@@ -71,13 +71,13 @@
     def handle_records(
         self, records: tuple[MemberRecord, ...], now_us: int, is_disseminated: bool = True
     ) -> None:
-        """Take records.
+        """Handle received records of any members.
 
         Args:
-            records: as they were heard.
-            now_us: the time of the pause-aware clock.
-            is_disseminated: what is new is passed on; what came by anti-entropy reaches others by
-                theirs.
+            records: The records as received.
+            now_us: The time of the pause-aware clock.
+            is_disseminated: Whether changed records are disseminated. Those received by
+                anti-entropy are not, since other members receive them by their own anti-entropy.
         """
         for record in records:
             if record.name == self.own_name:
@@ -88,7 +88,7 @@
     def handle_record(
         self, record: MemberRecord, now_us: int, is_disseminated: bool = True
     ) -> None:
-        """Merge the record of another member, and act on what has changed."""
+        """Merge the record of another member, and act on a change of its known record."""
         merged = self.table.merge(record, now_us)
         if merged is None:
             self.outbox.count(Metric.DROPPED_TABLE_FULL)
@@ -106,19 +106,19 @@
     def on_changed(
         self, index: int, before: MemberRecord, after: MemberRecord, now_us: int
     ) -> None:
-        """The record of a member that was known has changed."""
+        """Act on a change in the record of a member that was already known."""
         if after.precedence() != before.precedence():
             self.detector.cancel(index)
         self.status.on_changed(index, before, after, now_us)
         if index in self.status.contested:
-            # The member itself shall hear of the report, and refute it.
+            # Lets the member know that it was reported as failed, so that it can refute the report.
             self.outbox.send(after.address, Gossip((after,)))
         is_suspected = after.state is MemberState.SUSPECTED
         if is_suspected and before.state is not MemberState.SUSPECTED:
             self.detector.on_suspected(index, len(self.table.living))
 
     def handle_own_record(self, record: MemberRecord, now_us: int) -> None:
-        """A record of this member's own name: refute it, claim the name, or give it up."""
+        """Handle a record of this member's own name: refute it, claim the name, or give it up."""
         own = self.table.own_record()
         if record == own or self.departure.is_leaving():
             return
@@ -136,7 +136,7 @@
             self.outbox.notify(StatusChange.REPORTED_FAILED, decision.own)
 
     def suspect(self, index: int, now_us: int) -> None:
-        """This member had no answer from that one for the whole time-out."""
+        """Suspect a member that did not answer for the whole probe timeout."""
         record = self.table.record_at(index)
         if record.has_failed_or_left():
             return
--- a/plankroute/membership/records.py
+++ b/plankroute/membership/records.py
@@ -1,6 +1,6 @@
-"""What is known of one member, and the rule by which two such records are merged.
+"""The record of one member, and the rule for merging two records of a member.
 
-Decides which record holds; never who is alive.
+Decides which record is kept; never decides whether a member is alive.
 """
 
 from enum import IntEnum
@@ -8,11 +8,11 @@
 
 import msgspec
 
-MAX_CONFIRMATIONS = 4  # kept of a suspicion: as many as a failure ever needs (`suspicion.py`)
+MAX_CONFIRMATIONS = 4  # kept per suspicion; a failure never needs more (`suspicion.py`)
 
 
 class MemberState(IntEnum):
-    """States of a member; a later one overrules an earlier one of the same incarnation."""
+    """States of a member; within one incarnation a higher value overrules a lower one."""
 
     ALIVE = 0
     SUSPECTED = 1
@@ -21,19 +21,19 @@
 
 
 class MemberRecord(msgspec.Struct, frozen=True, array_like=True):
-    """One member as somebody knows it. Field order and types are those of the wire.
+    """What one member knows of another. Field order and types are the wire format.
 
     Attributes:
-        name: the controller's name.
-        address: "host:port" at which it takes datagrams.
-        zone: its zone.
-        instance_id: drawn by each process at its start.
-        incarnation: raised by that process alone, to refute what is said of it (SWIM).
-        state: alive, suspected, failed or left.
-        confirmed_by: the smallest observer ids of those that had no answer from it, while it is
-            suspected (Lifeguard's independent confirmations).
-        conflicting_instance_id: the instance of another live process under the same name; 0 if
-            none has shown itself.
+        name: The controller's name.
+        address: "host:port" at which the member receives datagrams.
+        zone: The controller's zone.
+        instance_id: Drawn at random by each process at its start.
+        incarnation: Raised only by that process, to refute reports of others about it (SWIM).
+        state: Alive, suspected, failed or left.
+        confirmed_by: Observer ids of members that had no answer from a suspected member; the
+            smallest ones are kept (Lifeguard's independent confirmations). Empty in other states.
+        conflicting_instance_id: Instance id of another live process with the same name; 0 if none
+            is known.
     """
 
     name: str
@@ -46,15 +46,18 @@
     conflicting_instance_id: int = 0
 
     def precedence(self) -> tuple[int, int]:
-        """Of two records of a name the one with the higher precedence holds."""
+        """Return the precedence: of two records of a name, the one with the higher is kept."""
         return self.incarnation, self.instance_id
 
     def has_failed_or_left(self) -> bool:
-        """Whether the member failed or left."""
+        """Return whether the state is failed or left. A failed member may still refute this."""
         return self.state >= MemberState.FAILED
 
     def digest(self) -> int:
-        """64 bits that tell this record from any other one of the name."""
+        """Return a 64-bit hash by which two records of a name are told apart.
+
+        It does not cover the address and the zone.
+        """
         text = (
             f"{self.name}\0{self.instance_id}\0{self.incarnation}\0{self.state}"
             f"\0{self.confirmed_by}\0{self.conflicting_instance_id}"
@@ -63,7 +66,10 @@
 
 
 def canonical(record: MemberRecord) -> MemberRecord:
-    """Confirmations belong to a suspicion alone: sorted, each once, no more than are kept."""
+    """Return the record with its confirmations in canonical form.
+
+    They are sorted, unique and at most `MAX_CONFIRMATIONS`; only a suspected member has any.
+    """
     confirmed_by: tuple[int, ...] = ()
     if record.state is MemberState.SUSPECTED:
         confirmed_by = tuple(sorted(set(record.confirmed_by))[:MAX_CONFIRMATIONS])
@@ -73,10 +79,11 @@
 
 
 def merge_records(one: MemberRecord, other: MemberRecord) -> MemberRecord:
-    """The record that holds when both are known of a name: commutative, associative, idempotent.
+    """Return the merge of two canonical records of a name: commutative, associative, idempotent.
 
-    The higher incarnation (then instance) holds alone; within one incarnation each field takes its
-    own upper bound, so the order and number of merges do not matter. Both have to be canonical.
+    The record with the higher incarnation, then instance id, is kept as it is. If both are equal,
+    each field takes the higher of its two values, so that the order and number of merges do not
+    matter.
     """
     if one.precedence() != other.precedence():
         return one if one.precedence() > other.precedence() else other
--- a/plankroute/membership/sampling.py
+++ b/plankroute/membership/sampling.py
@@ -1,29 +1,36 @@
-"""Random choice of members: all draws of the core go through one seeded counter."""
+"""Random choice of members; all draws of the core come from one seeded generator."""
 
 from plankroute.membership.member_table import OWN_INDEX, MemberTable
 from plankroute.seeded_random import SeededRandom
 
-# Draws for each member wanted: three quarters of the group may be suspected.
+# Draws per member wanted. With 4, the draws find enough members on average even if three quarters
+# of the group are suspected.
 DRAWS_PER_MEMBER = 4
 
 
 def draw_below(random: SeededRandom, limit: int) -> int:
-    """An integer from 0 to below the limit."""
+    """Return a random integer from 0 to `limit` - 1."""
     return int(random.draw() * limit)
 
 
 class MemberSampler:
-    """Draws living members of a table."""
+    """Draws random living members of a table."""
 
     def __init__(self, table: MemberTable, random: SeededRandom) -> None:
         self.table = table
         self.random = random
 
     def sample(self, count: int, excluded: int = OWN_INDEX) -> list[int]:
-        """Indexes of different living members that nobody suspects, without the excluded one.
+        """Return the indexes of random living members that are not suspected.
 
-        Fewer where there are no more, or the draws hit too many that do not count. Suspected ones
-        are taken too where all living members are wanted.
+        Args:
+            count: How many members are wanted.
+            excluded: Index of a member that is never chosen.
+
+        Returns:
+            Distinct indexes; fewer than `count` if the limited number of draws finds no more. If
+            `count` is at least the number of living members, all of them but the excluded one,
+            including suspected ones.
         """
         living = self.table.living_indexes()
         if count >= len(living):
--- a/plankroute/membership/status.py
+++ b/plankroute/membership/status.py
@@ -1,6 +1,6 @@
-"""What the program is told of each member, and when a suspicion becomes a failure.
+"""Decides what the program is notified of, and when a suspicion becomes a failure.
 
-Decides on what is known; never asks anybody.
+The decisions use only what is in the table. This module sends no messages.
 """
 
 import msgspec
@@ -13,12 +13,13 @@
 
 
 class StatusTracker:
-    """Turns changes of records into notifications.
+    """Turns changes of records into notifications of the program.
 
     Attributes:
-        own_observer_id: this member's id in confirmations.
-        contested: indexes of members that others call failed, though nobody here suspected them.
-        notifications: collected for the end of the step.
+        own_observer_id: This member's id in confirmations.
+        contested: Indexes of members with a contested failure: others report the failure, but no
+            suspicion was known here before.
+        notifications: Notifications collected in the current step.
     """
 
     def __init__(self, table: MemberTable, health: LocalHealth, probe_timeout_us: int) -> None:
@@ -30,13 +31,13 @@
         self.notifications: list[NotifyStatus] = []
 
     def drain(self) -> list[NotifyStatus]:
-        """All notifications since the last call."""
+        """Return the notifications since the last call, and clear them."""
         notifications = self.notifications
         self.notifications = []
         return notifications
 
     def on_added(self, index: int, record: MemberRecord, now_us: int) -> None:
-        """A name not known before. One that failed or left already is not notified."""
+        """Handle a new name. If the member has already failed or left, nothing is notified."""
         if not record.has_failed_or_left():
             self.notify(index, StatusChange.JOINED, MemberState.ALIVE, now_us)
             self.on_changed(index, record, record, now_us)
@@ -44,7 +45,7 @@
     def on_changed(
         self, index: int, before: MemberRecord, after: MemberRecord, now_us: int
     ) -> None:
-        """The record of a member has changed; both are the same one where it is new."""
+        """Handle a change of a member's record; for a new name, both are the same record."""
         conflicting = after.conflicting_instance_id
         if conflicting and conflicting != before.conflicting_instance_id:
             self.notifications.append(NotifyStatus(StatusChange.DUPLICATE_NAME, after))
@@ -61,13 +62,13 @@
                 self.notify(index, StatusChange.LEFT, MemberState.LEFT, now_us)
 
     def notified_state(self, index: int) -> MemberState:
-        """What the program was last told of a member."""
+        """Return the state of a member that the program was last notified of."""
         return self.table.notified_states[index]
 
     def on_new_incarnation(
         self, index: int, before: MemberRecord, after: MemberRecord, now_us: int
     ) -> None:
-        """A new instance, or a refutation by the old one."""
+        """Handle a new instance, or a refutation by the known instance."""
         if after.has_failed_or_left() and self.notified_state(index) >= MemberState.FAILED:
             return
         if after.instance_id != before.instance_id:
@@ -78,17 +79,18 @@
     def on_suspected(
         self, index: int, before: MemberRecord, after: MemberRecord, now_us: int
     ) -> None:
-        """A suspicion, or a further confirmation of one that stands."""
+        """Handle a new suspicion, or further confirmations of the current one."""
         is_same_incarnation = after is not before and after.precedence() == before.precedence()
         if not is_same_incarnation or before.state is not MemberState.SUSPECTED:
             self.table.suspected_since_us[index] = now_us
         self.evaluate_suspicion(index, now_us)
 
     def on_reported_failed(self, index: int, before: MemberRecord, now_us: int) -> None:
-        """Others call the member failed.
+        """Handle a failure that others report.
 
-        Guards against failures of the other side of a healed cut: where nobody here had suspected
-        anything, the report waits to be refuted.
+        If no suspicion was known here, the failure is contested: it is notified only if it is not
+        refuted in time. Otherwise, after a partition heals, failures that the other side detected
+        during the partition would be notified here.
         """
         if self.notified_state(index) >= MemberState.FAILED:
             return
@@ -102,12 +104,12 @@
         self.table.contested_until_us[index] = now_us + wait_us
 
     def unsuspected_count(self) -> int:
-        """Members that nobody suspects, this one among them."""
+        """Return the number of living members that are not suspected, including this one."""
         living = self.table.living
         return 1 + len(living) - len(self.table.suspected & living)
 
     def evaluate_suspicion(self, index: int, now_us: int) -> None:
-        """Decide whether a suspicion that stands is to be notified, and whether it is a failure."""
+        """Notify the program of a suspicion or failure if there are enough confirmations for it."""
         table = self.table
         record = table.record_at(index)
         confirmations = len(record.confirmed_by)
@@ -132,11 +134,11 @@
             self.notify(index, StatusChange.FAILED, MemberState.FAILED, now_us, confirmations)
 
     def hears_suspect(self, now_us: int) -> bool:
-        """Whether a member that this one suspects was heard lately."""
+        """Return whether a member suspected by this one was heard within the probe timeout."""
         return now_us - self.health.suspect_last_heard_us < self.probe_timeout_us
 
     def confirmed_suspicions(self) -> set[int]:
-        """Indexes that this member suspects, and others too."""
+        """Return the indexes of members that this member and at least one other suspect."""
         return {
             index
             for index in self.health.suspicion_raised_us
@@ -147,7 +149,11 @@
         }
 
     def on_tick(self, now_us: int) -> list[int]:
-        """Look at all that waits for time to pass; indexes whose record became a failure here."""
+        """Evaluate all contested failures and suspicions, since they also depend on time.
+
+        Returns:
+            Indexes of members whose record was changed from suspected to failed here.
+        """
         contested_until_us = self.table.contested_until_us
         for index in [index for index in self.contested if now_us >= contested_until_us[index]]:
             self.contested.discard(index)
@@ -168,7 +174,7 @@
         now_us: int,
         confirmations: int = 0,
     ) -> None:
-        """Tell the program; without a number of confirmations the record's own count holds."""
+        """Notify the program; if `confirmations` is 0, the record's confirmations are counted."""
         self.table.set_notified_state(index, state, now_us)
         if state >= MemberState.FAILED:
             self.health.clear_suspicion(index)
--- a/plankroute/membership/view_report.py
+++ b/plankroute/membership/view_report.py
@@ -1,4 +1,4 @@
-"""The answer to an operator's question for the table of members."""
+"""Builds the answer to an operator's request for the table of members."""
 
 from collections.abc import Callable
 
@@ -8,7 +8,7 @@
 from plankroute.membership.messages import ViewLine, ViewResponse
 from plankroute.membership.records import MemberRecord
 
-LINE_OVERHEAD_BYTES = 12  # of a line, beside its record
+LINE_OVERHEAD_BYTES = 12  # of a line without its record
 
 
 def view_response(
@@ -17,7 +17,16 @@
     now_us: int,
     record_size: Callable[[MemberRecord], int],
 ) -> ViewResponse:
-    """As many lines as fit a datagram, by name, the controller's own first of all."""
+    """Return the lines from `first_line` on that fit in a datagram.
+
+    Args:
+        table: The table of members. Its line 0 is the controller's own; the others are sorted by
+            name.
+        first_line: Number of the first line wanted. If the table has no such line, the answer has
+            no lines.
+        now_us: The time of the pause-aware clock.
+        record_size: Returns the encoded size of a record in bytes.
+    """
     others = sorted(
         (name, index) for name, index in table.index_by_name.items() if index != OWN_INDEX
     )
