--- a/tests/membership/test_group_under_faults.py
+++ b/tests/membership/test_group_under_faults.py
@@ -1,4 +1,4 @@
-"""Groups of members in simulated time under faults: kills, pauses, cuts, loss, restarts."""
+"""Groups of members in simulated time: kills, pauses, partitions, datagram loss and restarts."""
 
 import msgspec
 import pytest
@@ -15,7 +15,7 @@
 )
 
 
-def group(
+def make_group(
     members: int,
     *rules: Rule,
     steps: tuple[Step, ...] = (),
@@ -27,34 +27,37 @@
     return Group(members, script, make=make, seed=seed, start_s=start_s)
 
 
-def detected(run: Group, member: int, at_s: float, survivors: range) -> list[int]:
+def detection_times_us(run: Group, member: int, at_s: float, survivors: range) -> list[int]:
     times = checkers.detection_us(run.history, member, int(at_s * SECOND), survivors).values()
-    assert None not in times, "a survivor never knew"
+    assert None not in times, "a survivor never reported the failure"
     return sorted(time for time in times if time is not None)
 
 
 @pytest.mark.parametrize("loss", [0.0, 0.3])
-def test_a_killed_member_is_found_by_all_and_nobody_else(loss: float) -> None:
-    run = group(12, Rule(loss=loss, twice=0.1, spread_ms=20), steps=(Step(30, Act.KILL, 11),)).run(
-        45
-    )
-    times = detected(run, 11, 30, range(11))
+def test_only_a_killed_member_is_reported_failed_and_by_all(loss: float) -> None:
+    run = make_group(
+        12, Rule(loss=loss, twice=0.1, spread_ms=20), steps=(Step(30, Act.KILL, 11),)
+    ).run(45)
+    times = detection_times_us(run, 11, 30, range(11))
     assert times[5] < 4 * SECOND and times[-1] < 8 * SECOND
     assert {entry.subject for entry in run.history.of("failed")} == {11}
 
 
-def test_half_of_a_group_killed_at_once_is_found() -> None:
-    """Guards against a verdict that waits for votes of the dead."""
-    run = group(12, steps=tuple(Step(20, Act.KILL, member) for member in range(6, 12))).run(40)
-    assert max(detected(run, member, 20, range(6))[-1] for member in range(6, 12)) < 8 * SECOND
+def test_half_of_a_group_killed_at_once_is_detected() -> None:
+    """Guards against failures that would need confirmations from members killed as well."""
+    run = make_group(12, steps=tuple(Step(20, Act.KILL, member) for member in range(6, 12))).run(40)
+    assert (
+        max(detection_times_us(run, member, 20, range(6))[-1] for member in range(6, 12))
+        < 8 * SECOND
+    )
     assert not checkers.wrongly_gone(run.history)
 
 
-def test_pauses_of_seven_in_eight_members_fail_nobody() -> None:
-    """Guards against time that passes for a member while it stands still itself."""
+def test_pauses_of_most_members_cause_no_false_failure() -> None:
+    """Guards against a member that counts a pause of its own process as the silence of others."""
     steps = *pauses(tuple(range(2, 15)), 15, 54, seed=3), Step(35, Act.KILL, 15)
-    run = group(16, steps=steps, seed=3).run(70)
-    assert not checkers.wrongly_gone(run.history) and detected(run, 15, 35, range(15))
+    run = make_group(16, steps=steps, seed=3).run(70)
+    assert not checkers.wrongly_gone(run.history) and detection_times_us(run, 15, 35, range(15))
 
 
 @pytest.mark.parametrize(
@@ -65,31 +68,41 @@
         Rule(20, 40, (3,), (4, 5, 6, 7), cut=True),
         Rule(20, 40, (4, 5, 6, 7), (3,), cut=True),
     ],
-    ids=["not heard", "hears not", "not heard by a third", "hears not a third"],
+    ids=[
+        "outgoing_lost",
+        "incoming_lost",
+        "outgoing_to_a_third_lost",
+        "incoming_from_a_third_lost",
+    ],
 )
-def test_a_one_sided_cut_has_one_verdict_that_does_not_flap(rule: Rule) -> None:
-    run = group(12, rule).run(60)
+def test_all_members_agree_on_a_stable_status_in_a_one_way_partition(rule: Rule) -> None:
+    run = make_group(12, rule).run(60)
     changes = checkers.verdict_changes(run.history, 20 * SECOND, 40 * SECOND)
     assert max(changes.values(), default=0) <= 1
     others = [member for member in range(12) if member != 3]
     assert not checkers.disagreeing(run.history, 39 * SECOND, others, range(12))
     assert {entry.subject for entry in run.history.of("failed") if entry.observer != 3} <= {3}
-    assert (agreed := checkers.agreed_after_us(run.history, 40 * SECOND, range(12))) is not None
-    assert agreed < 5 * SECOND
+    assert (
+        agreement_us := checkers.agreed_after_us(run.history, 40 * SECOND, range(12))
+    ) is not None
+    assert agreement_us < 5 * SECOND
 
 
 @pytest.mark.parametrize(
     "parts", [(tuple(range(6)), tuple(range(6, 12))), (tuple(range(7)), tuple(range(7, 11)), (11,))]
 )
-def test_a_partition_heals_and_old_failure_reports_fail_nobody(
+def test_failure_reports_of_a_healed_partition_cause_no_failure(
     parts: tuple[tuple[int, ...], ...],
 ) -> None:
-    """Guards against verdicts of the other side: nobody here had suspected those that they name."""
-    run = group(12, *partition(parts, 20, 40)).run(60)
-    held = checkers.standing_at(run.history, 39 * SECOND)
+    """Guards against failure reports from the other side of a partition, after it heals.
+
+    They name members that this side never suspected, and that can refute the reports.
+    """
+    run = make_group(12, *partition(parts, 20, 40)).run(60)
+    verdicts = checkers.standing_at(run.history, 39 * SECOND)
     for part in parts:
         assert all(
-            held[one, other] == ("joined" if other in part else "failed")
+            verdicts[one, other] == ("joined" if other in part else "failed")
             for one in part
             for other in range(12)
             if one != other
@@ -99,47 +112,51 @@
     assert not checkers.resurrected(run.history)
 
 
-def test_slow_links_fail_nobody() -> None:
-    run = group(
+def test_slow_links_cause_no_false_failure() -> None:
+    run = make_group(
         12, Rule(delay_ms=300, late_share=0.1, late_ms=2000), steps=(Step(40, Act.KILL, 11),)
     ).run(55)
     assert (
-        not checkers.wrongly_gone(run.history) and detected(run, 11, 40, range(11))[-1] < 8 * SECOND
+        not checkers.wrongly_gone(run.history)
+        and detection_times_us(run, 11, 40, range(11))[-1] < 8 * SECOND
     )
 
 
-def test_a_restart_is_a_new_instance_and_a_leave_no_failure() -> None:
+def test_a_restart_is_a_new_instance_and_a_leave_is_no_failure() -> None:
     steps = (Step(20, Act.KILL, 5), Step(20.4, Act.START, 5), Step(30, Act.LEAVE, 6))
-    run = group(8, steps=steps).run(45)
-    lives = {entry.life for entry in run.history.of("joined") if entry.subject == 5}
-    assert len(lives) == 2 and not run.history.of("failed")
+    run = make_group(8, steps=steps).run(45)
+    instance_ids = {entry.life for entry in run.history.of("joined") if entry.subject == 5}
+    assert len(instance_ids) == 2 and not run.history.of("failed")
     assert (
-        max(detected_left := [entry.at_us - 30 * SECOND for entry in run.history.of("left")])
+        max(leave_times_us := [entry.at_us - 30 * SECOND for entry in run.history.of("left")])
         < SECOND
     )
-    assert len(detected_left) == 7
+    assert len(leave_times_us) == 7
 
 
-def test_seeds_that_are_all_down_are_joined_when_one_comes() -> None:
+def test_a_member_joins_once_one_of_its_failed_seeds_starts() -> None:
     kills = [Step(0.5, Act.KILL, member) for member in range(3)]
     steps = *kills, Step(20, Act.START, 1)
-    run = group(4, steps=steps, start_s=2).run(30)
+    run = make_group(4, steps=steps, start_s=2).run(30)
     assert checkers.agreed_after_us(run.history, 20 * SECOND, (1, 3)) < 2 * SECOND
 
 
-def test_two_processes_under_one_name_are_reported_and_one_yields() -> None:
-    """The second has an address of its own; a claim each, so the name does not go to and fro."""
+def test_two_processes_with_one_name_are_reported_and_one_yields() -> None:
+    """Guards against a name that changes hands forever between two processes.
+
+    The second process has its own address. Each process claims the name at most once.
+    """
 
     def make(member: int, life: int, seed: int, seeds: tuple[str, ...]) -> Membership:
         core = plankroute_member(member, life, seed, seeds)
-        if member == 5:  # under the name of member 4
+        if member == 5:  # has the name of member 4
             core = plankroute_member(4, 99, seed + 7, seeds)
             core.table.store(
                 0, msgspec.structs.replace(core.table.own_record(), address=address_of(5))
             )
         return core
 
-    run = group(6, make=make, start_s=12).run(40)
+    run = make_group(6, make=make, start_s=12).run(40)
     assert {entry.observer for entry in run.history.of("duplicate_name")} == {0, 1, 2, 3, 5}
     assert [entry.observer for entry in run.history.of("name_lost")] == [4]
     assert {
--- a/tests/membership/test_member_table.py
+++ b/tests/membership/test_member_table.py
@@ -1,4 +1,4 @@
-"""Merging of member records, and the sums by which tables are compared."""
+"""Merging of member records, and the bucket sums for comparing tables."""
 
 import random
 
@@ -23,7 +23,7 @@
 
 
 @given(RECORDS, RECORDS, RECORDS)
-def test_records_merge_the_same_way_in_any_order_and_number(
+def test_merge_is_commutative_associative_and_idempotent(
     one: MemberRecord, other: MemberRecord, third: MemberRecord
 ) -> None:
     assert merge_records(one, other) == merge_records(other, one)
@@ -45,21 +45,24 @@
     st.lists(st.tuples(st.integers(0, 5), RECORDS), max_size=30), st.randoms(use_true_random=False)
 )
 def test_tables_that_merged_the_same_records_have_equal_sums(
-    said: list[tuple[int, MemberRecord]], chance: random.Random
+    numbered_records: list[tuple[int, MemberRecord]], rng: random.Random
 ) -> None:
-    """Guards against sums, which are kept by difference, that drift from their records."""
-    named = [msgspec.structs.replace(record, name=f"m{number}") for number, record in said]
-    shuffled = named + named[:5]
-    chance.shuffle(shuffled)
-    views = [MemberTable(MemberRecord("own", "a:1", "z", 1, 1)) for _ in range(2)]
-    for table, records in zip(views, (named, shuffled), strict=True):
+    """Guards against sums that differ from the records, since they are updated incrementally."""
+    named_records = [
+        msgspec.structs.replace(record, name=f"m{number}") for number, record in numbered_records
+    ]
+    shuffled = named_records + named_records[:5]
+    rng.shuffle(shuffled)
+    tables = [MemberTable(MemberRecord("own", "a:1", "z", 1, 1)) for _ in range(2)]
+    for table, records in zip(tables, (named_records, shuffled), strict=True):
         for record in records:
             table.merge(record, 0)
-    assert all_records(views[0]) == all_records(views[1])
+    assert all_records(tables[0]) == all_records(tables[1])
     assert (
-        views[0].bucket_sums() == views[1].bucket_sums() and views[0].digest() == views[1].digest()
+        tables[0].bucket_sums() == tables[1].bucket_sums()
+        and tables[0].digest() == tables[1].digest()
     )
-    fresh = MemberTable(MemberRecord("own", "a:1", "z", 1, 1))
-    for place in views[0].index_by_name.values():
-        fresh.merge(views[0].record_at(place), 0)
-    assert fresh.bucket_sums() == views[0].bucket_sums()
+    rebuilt = MemberTable(MemberRecord("own", "a:1", "z", 1, 1))
+    for index in tables[0].index_by_name.values():
+        rebuilt.merge(tables[0].record_at(index), 0)
+    assert rebuilt.bucket_sums() == tables[0].bucket_sums()
--- a/tests/membership/test_membership_bounds.py
+++ b/tests/membership/test_membership_bounds.py
@@ -18,7 +18,7 @@
 from plankroute.testbed.simulated_members import CODEC, plankroute_member
 
 
-def test_invented_members_fill_no_more_than_the_table() -> None:
+def test_forged_members_exceed_neither_table_nor_gossip_queue() -> None:
     core = plankroute_member(0, 1, 1, ())
     for start in range(0, 2 * MAX_MEMBERS, 10):
         records = tuple(
@@ -29,8 +29,8 @@
     assert len(core.table) == MAX_MEMBERS and len(core.dissemination.queue.transmissions) <= 1024
 
 
-def test_every_datagram_fits_and_messages_at_once_are_bounded() -> None:
-    """Also after an exchange of whole views with an operator's question beside it."""
+def test_datagram_sizes_and_number_of_messages_are_bounded() -> None:
+    """The bound includes an anti-entropy exchange of all buckets and an operator's request."""
     core = plankroute_member(0, 1, 1, ())
     records = tuple(
         MemberRecord(
@@ -45,12 +45,12 @@
         )
         for n in range(60)
     )
-    out = []
-    for at in range(0, 60, 5):
-        out += core.deliver(
-            SECOND + at, [MessageReceived("127.0.0.9:1", Gossip(records[at : at + 5]))]
+    commands = []
+    for start in range(0, 60, 5):
+        commands += core.deliver(
+            SECOND + start, [MessageReceived("127.0.0.9:1", Gossip(records[start : start + 5]))]
         )
-    out += core.deliver(
+    commands += core.deliver(
         2 * SECOND,
         [
             MessageReceived("127.0.0.9:1", Ping(7, 1, records[0], records[1:4])),
@@ -58,10 +58,18 @@
             MessageReceived("127.0.0.9:1", ViewRequest(0)),
         ],
     )
-    sent = [action for action in out if isinstance(action, SendMessage)]
-    assert sent and all(len(CODEC.encode(action.message)) <= MAX_DATAGRAM_BYTES for action in sent)
-    assert len(sent) < 80 and isinstance(out[-1], WakeAt)
+    sent = [command for command in commands if isinstance(command, SendMessage)]
+    assert sent and all(
+        len(CODEC.encode(command.message)) <= MAX_DATAGRAM_BYTES for command in sent
+    )
+    assert len(sent) < 80 and isinstance(commands[-1], WakeAt)
     assert (
-        len([a for a in out if isinstance(a, NotifyStatus) and a.change is StatusChange.JOINED])
+        len(
+            [
+                command
+                for command in commands
+                if isinstance(command, NotifyStatus) and command.change is StatusChange.JOINED
+            ]
+        )
         == 60
     )
--- a/tests/membership/test_membership_codec.py
+++ b/tests/membership/test_membership_codec.py
@@ -1,24 +1,27 @@
-"""Datagrams that are noise go no further."""
+"""Invalid datagrams are rejected with the reason."""
 
 from plankroute.membership.codec import HEADER, Codec, Rejection
 from plankroute.membership.messages import Gossip
 from plankroute.membership.records import MemberRecord
 
 
-def test_noise_is_rejected_by_its_kind() -> None:
-    codec, other = Codec("g"), Codec("h")
-    good = codec.encode(Gossip((MemberRecord("n", "a:1", "z", 1, 1),)))
-    forged = codec.encode(Gossip((MemberRecord("n" * 65, "a:1", "z", 1, 1),)))
-    assert codec.decode(good) == Gossip((MemberRecord("n", "a:1", "z", 1, 1),))
-    assert codec.decode(other.encode(Gossip(()))) is Rejection.GROUP
-    assert codec.decode(bytes([2]) + good[1:]) is Rejection.VERSION
+def test_invalid_datagrams_are_rejected_with_the_reason() -> None:
+    codec, other_codec = Codec("g"), Codec("h")
+    datagram = codec.encode(Gossip((MemberRecord("n", "a:1", "z", 1, 1),)))
+    oversized_name = codec.encode(Gossip((MemberRecord("n" * 65, "a:1", "z", 1, 1),)))
+    assert codec.decode(datagram) == Gossip((MemberRecord("n", "a:1", "z", 1, 1),))
+    assert codec.decode(other_codec.encode(Gossip(()))) is Rejection.GROUP
+    assert codec.decode(bytes([2]) + datagram[1:]) is Rejection.VERSION
     assert (
-        codec.decode(good[:-1]) is Rejection.CHECKSUM
-        and codec.decode(good[: HEADER.size]) is Rejection.SIZE
+        codec.decode(datagram[:-1]) is Rejection.CHECKSUM
+        and codec.decode(datagram[: HEADER.size]) is Rejection.SIZE
     )
     assert codec.decode(b"\0" * 65507) is Rejection.SIZE and codec.decode(b"") is Rejection.SIZE
-    assert codec.decode(forged) is Rejection.MALFORMED
-    for at in range(len(good)):
+    assert codec.decode(oversized_name) is Rejection.MALFORMED
+    for position in range(len(datagram)):
         assert isinstance(
-            codec.decode(good[:at] + bytes([good[at] ^ 1]) + good[at + 1 :]), Rejection
+            codec.decode(
+                datagram[:position] + bytes([datagram[position] ^ 1]) + datagram[position + 1 :]
+            ),
+            Rejection,
         )
--- a/tests/membership/test_membership_golden.py
+++ b/tests/membership/test_membership_golden.py
@@ -1,7 +1,7 @@
-"""Bytes of each membership message, and the actions of whole groups, as recorded from version 1.
+"""Encodings of all messages, and commands of whole groups, as recorded from version 1.
 
-Guards against a rename that moves a field on the wire, and against a change of order in draws or
-iteration.
+Guards against a rename that changes the wire format, and against a changed order of random draws or
+of iteration.
 """
 
 from hashlib import blake2b
@@ -40,8 +40,8 @@
     plankroute_member,
 )
 
-# Digests were recorded when these changes had other names.
-RECORDED_AS = {
+# The digests were recorded when these status changes had other names.
+RECORDED_CHANGES = {
     StatusChange.FAILED: "gone",
     StatusChange.RECOVERED: "back",
     StatusChange.DUPLICATE_NAME: "doubled",
@@ -74,7 +74,7 @@
         Gossip((ALIVE, SUSPECTED)),
         "016dc044c5a308ab9892059298a26e31ae3132372e302e302e313a37393436a27a3107cd03e800900098a26e32ae3132372e302e302e323a37393436a27a3208cd07d00192030509",
     ),
-    "view chunk": (
+    "view exchange": (
         ViewExchange((ALIVE,), b"\x01\x1f"),
         "016dc044c571eb229a93069198a26e31ae3132372e302e302e313a37393436a27a3107cd03e8009000c402011f",
     ),
@@ -87,7 +87,7 @@
 
 
 @pytest.mark.parametrize("kind", MESSAGES)
-def test_bytes_of_each_message_stay(kind: str) -> None:
+def test_encoding_of_each_message_is_unchanged(kind: str) -> None:
     message, recorded = MESSAGES[kind]
     codec = Codec("group")
     assert codec.encode(message).hex() == recorded
@@ -95,35 +95,37 @@
 
 
 class DigestingGroup(Group):
-    """Digests each action of each member with its time."""
+    """Hashes each command of each member with its time."""
 
     def __init__(self, *arguments: object, **options: object) -> None:
         self.digest = blake2b(digest_size=16)
         super().__init__(*arguments, **options)  # type: ignore[arg-type]
 
-    def carry_out(self, member: int, action: Command) -> None:
-        match action:
+    def carry_out(self, member: int, command: Command) -> None:
+        match command:
             case SendMessage(address, message):
-                words: tuple[object, ...] = ("send", address, CODEC.encode(message))
+                fields: tuple[object, ...] = ("send", address, CODEC.encode(message))
             case NotifyStatus(change, record, confirmations):
-                words = (
+                fields = (
                     "told",
-                    RECORDED_AS.get(change, change.value),
+                    RECORDED_CHANGES.get(change, change.value),
                     msgspec.msgpack.encode(record),
                     confirmations,
                 )
-            case WakeAt(until_us):
-                words = "rest", until_us
+            case WakeAt(due_us):
+                fields = "rest", due_us
             case CountMetric(_, amount):
-                words = "counted", amount
+                fields = "counted", amount
             case LeaveCompleted():
-                words = ("finished",)
-        self.digest.update(repr((self.now, member, *words)).encode())
-        super().carry_out(member, action)
+                fields = ("finished",)
+        self.digest.update(repr((self.now, member, *fields)).encode())
+        super().carry_out(member, command)
 
 
-def one_name_twice(member: int, life: int, seed: int, seeds: tuple[str, ...]) -> Core:
-    """Member 5 starts under the name of member 4, at an address of its own."""
+def make_member_with_duplicate_name(
+    member: int, life: int, seed: int, seeds: tuple[str, ...]
+) -> Core:
+    """Member 5 starts with the name of member 4, but at its own address."""
     core = plankroute_member(member, life, seed, seeds)
     if member == 5:
         core = plankroute_member(4, 99, seed + 7, seeds)
@@ -143,7 +145,7 @@
     return DigestingGroup(16, script, seed=3).run(60)
 
 
-def operators_question(group: DigestingGroup) -> None:
+def request_view(group: DigestingGroup) -> None:
     group.deliver(0, MessageReceived("127.0.0.1:1", ViewRequest(0)))
 
 
@@ -155,13 +157,13 @@
         ).run(40),
         "0e5357725c7b3f5b8480f4e85f41f999",
     ),
-    "one name twice": (
-        lambda: DigestingGroup(6, Script(1, (), ()), make=one_name_twice, seed=1, start_s=12).run(
-            40
-        ),
+    "duplicate name": (
+        lambda: DigestingGroup(
+            6, Script(1, (), ()), make=make_member_with_duplicate_name, seed=1, start_s=12
+        ).run(40),
         "045b3b0ecfaac1aff749148bdf78dc4b",
     ),
-    "known from the start": (
+    "all members known at the start": (
         lambda: DigestingGroup(
             80, Script(5, (Rule(loss=0.3),), (Step(5, Act.KILL, 79),)), seed=5, known=True
         ).run(12),
@@ -171,9 +173,9 @@
 
 
 @pytest.mark.parametrize("name", GROUPS)
-def test_the_same_seed_gives_the_same_actions(name: str) -> None:
+def test_the_same_seed_gives_the_same_commands(name: str) -> None:
     make, recorded = GROUPS[name]
     group = make()
-    operators_question(group)
+    request_view(group)
     assert group.now % SECOND == 0
     assert group.digest.hexdigest() == recorded
--- a/tests/membership/test_name_claim.py
+++ b/tests/membership/test_name_claim.py
@@ -1,4 +1,4 @@
-"""The claim of a name by a new instance."""
+"""A new instance claims the name of an old one."""
 
 import msgspec
 
@@ -7,8 +7,11 @@
 from plankroute.testbed.faults import SECOND
 
 
-def test_the_wall_clock_of_a_new_instance_does_not_matter() -> None:
-    """An hour back at a restart: its first record is below the old one's, and is raised."""
+def test_a_new_instance_claims_the_name_despite_an_earlier_wall_clock() -> None:
+    """Guards against a restart with a wall clock that is one hour behind.
+
+    The first incarnation is then lower than that of the old instance, and has to be raised.
+    """
     claim = NameClaim(0)
     own, old = MemberRecord("n", "a:1", "z", 7, 1000), MemberRecord("n", "a:1", "z", 3, 4600)
     decision = claim.on_record(own, old, SECOND)
--- a/tests/membership/test_suspicion.py
+++ b/tests/membership/test_suspicion.py
@@ -1,11 +1,13 @@
-"""How many confirmations a failure needs, and how long a suspicion stands."""
+"""The confirmations that a failure needs, and the suspicion timeout."""
 
 from plankroute.membership import suspicion
 from plankroute.testbed.faults import SECOND
 
 
-def test_fewer_confirmations_are_needed_where_fewer_can_confirm_and_they_take_longer() -> None:
-    assert [suspicion.confirmations_needed(left) for left in (1, 2, 3, 5, 7, 300)] == [
+def test_smaller_groups_need_fewer_confirmations_and_wait_longer() -> None:
+    assert [
+        suspicion.confirmations_needed(unsuspected) for unsuspected in (1, 2, 3, 5, 7, 300)
+    ] == [
         1,
         1,
         2,
@@ -13,9 +15,12 @@
         4,
         4,
     ]
-    waits = [suspicion.suspicion_timeout_us(needed, 10, 12, 3 * SECOND) for needed in (4, 3, 2, 1)]
-    assert waits == [0, SECOND, 2 * SECOND, 3 * SECOND]
-    assert suspicion.suspicion_timeout_us(4, 4, 12, 3 * SECOND) == 3 * SECOND  # a small part
+    timeouts_us = [
+        suspicion.suspicion_timeout_us(needed, 10, 12, 3 * SECOND) for needed in (4, 3, 2, 1)
+    ]
+    assert timeouts_us == [0, SECOND, 2 * SECOND, 3 * SECOND]
+    # A minority of the group waits longer.
+    assert suspicion.suspicion_timeout_us(4, 4, 12, 3 * SECOND) == 3 * SECOND
     assert not suspicion.is_confirmed_failure(
         4, True, True, 4, SECOND, 0
     ) and suspicion.is_confirmed_failure(5, True, True, 4, SECOND, 0)
