--- a/plankroute/membership/departure.py
+++ b/plankroute/membership/departure.py
@@ -66,8 +66,8 @@
     def yield_name(self, winner: MemberRecord) -> None:
         """Give up the name to the process of the record `winner`.
 
-        The record that is announced from then on carries the winner's data and this instance as the
-        conflicting one, so that all members learn that two processes had the name.
+        From then on the winner's record is announced, with a conflicting instance id, so that all
+        members learn that two processes had the name.
         """
         own_instance = self.table.own_record().instance_id
         conflicting = max(winner.conflicting_instance_id, own_instance)
--- a/plankroute/membership/detector.py
+++ b/plankroute/membership/detector.py
@@ -151,10 +151,10 @@
                 index = self.probe_order.pop()
                 if index in living and index not in self.probe_by_index:
                     return index
-            self.probe_order = self.shuffled(sorted(living))
+            self.probe_order = self.shuffle(sorted(living))
         return None
 
-    def shuffled(self, indexes: list[int]) -> list[int]:
+    def shuffle(self, indexes: list[int]) -> list[int]:
         """Shuffle the list in place (Fisher-Yates), and return it."""
         for last in range(len(indexes) - 1, 0, -1):
             other = draw_below(self.random, last + 1)
