--- a/plankroute/membership/codec.py
+++ b/plankroute/membership/codec.py
@@ -25,9 +25,9 @@
 
 # Limits in characters. They keep a record far smaller than a datagram; settings are validated
 # against the same limits.
-MAX_NAME = 64
-MAX_ADDRESS = 64
-MAX_ZONE = 64
+MAX_NAME_LENGTH = 64
+MAX_ADDRESS_LENGTH = 64
+MAX_ZONE_LENGTH = 64
 # Instance ids and incarnations are below this limit, to fit a signed 64-bit MessagePack integer.
 NUMBER_LIMIT = 1 << 63
 OBSERVER_ID_LIMIT = 1 << 32  # observer ids are CRC-32 checksums
@@ -108,7 +108,11 @@
 
     A forged record beyond these limits could never be overruled, or would fill the table.
     """
-    texts = (record.name, MAX_NAME), (record.address, MAX_ADDRESS), (record.zone, MAX_ZONE)
+    texts = (
+        (record.name, MAX_NAME_LENGTH),
+        (record.address, MAX_ADDRESS_LENGTH),
+        (record.zone, MAX_ZONE_LENGTH),
+    )
     numbers = record.instance_id, record.incarnation, record.conflicting_instance_id
     return (
         record.name != ""
--- a/plankroute/membership/core.py
+++ b/plankroute/membership/core.py
@@ -189,7 +189,7 @@
                 self.anti_entropy.on_wanted_buckets(source, message.wanted_buckets, now_us)
 
     def on_leave_requested(self) -> None:
-        """Start to leave the group; the next tick is due at once and sends an announcement."""
+        """Start to leave the group; unless the name is lost, the next tick is due at once."""
         is_in_group = not self.departure.has_lost_name
         self.departure.leave()
         if is_in_group:
--- a/plankroute/membership/messages.py
+++ b/plankroute/membership/messages.py
@@ -59,7 +59,10 @@
 
 
 class ViewExchange(msgspec.Struct, frozen=True, array_like=True, tag=6):
-    """Part of a table (anti-entropy); `wanted_buckets`: one byte per bucket wanted in return."""
+    """Part of a table, for anti-entropy.
+
+    `wanted_buckets` holds the numbers, one byte each, of the buckets wanted in return.
+    """
 
     records: tuple[MemberRecord, ...]
     wanted_buckets: bytes = b""
--- a/plankroute/membership/name_claim.py
+++ b/plankroute/membership/name_claim.py
@@ -37,7 +37,7 @@
 
 
 class NameClaim:
-    """Decides about the name; a process claims its name at most once, soon after its start.
+    """Decides whether this process keeps its name; it claims it at most once, soon after its start.
 
     Two processes that start together each claim the name once with a higher incarnation. At the
     next conflict one of them loses the name, so it does not change hands forever.
--- a/plankroute/membership/record_handler.py
+++ b/plankroute/membership/record_handler.py
@@ -88,7 +88,7 @@
     def handle_record(
         self, record: MemberRecord, now_us: int, is_disseminated: bool = True
     ) -> None:
-        """Merge the record of another member, and act on a change of its known record."""
+        """Merge the record of another member; on a change, update its status and disseminate it."""
         merged = self.table.merge(record, now_us)
         if merged is None:
             self.outbox.count(Metric.DROPPED_TABLE_FULL)
