--- a/plankroute/membership/record_intake.py
+++ b/plankroute/membership/record_handler.py
@@ -1,4 +1,4 @@
-"""What becomes of records that are heard: merged into the table, passed on, or refuted."""
+"""Handles received records: merges and disseminates them, and refutes those of this member."""
 
 import msgspec
 
@@ -13,7 +13,7 @@
 from plankroute.membership.records import MemberRecord, MemberState
 from plankroute.membership.status import StatusTracker
 
-METRICS = {
+METRIC_BY_OUTCOME = {
     ClaimOutcome.STALE_INSTANCE: Metric.DROPPED_STALE_INSTANCE,
     ClaimOutcome.REFUTED_SUSPICION: Metric.SUSPICIONS_REFUTED,
     ClaimOutcome.REFUTED_FAILURE: Metric.FAILURES_REFUTED,
@@ -23,11 +23,11 @@
 }
 
 
-class RecordIntake:
-    """Takes records of others and of this member itself.
+class RecordHandler:
+    """Handles received records of other members and of this member itself.
 
     Attributes:
-        last_heard_us: when any other member was last heard.
+        last_heard_us: When a message of any other member last arrived.
     """
 
     def __init__(
@@ -48,19 +48,19 @@
         self.departure = departure
         self.outbox = outbox
         self.own_name = table.own_record().name
-        self.claim = NameClaim(0)
+        self.name_claim = NameClaim(0)
         self.last_heard_us = NEVER
 
     def start(self, now_us: int) -> None:
-        """The time from which this process may claim its name, and waits for others."""
-        self.claim = NameClaim(now_us)
+        """Start the time in which this process may claim its name, and the time to isolation."""
+        self.name_claim = NameClaim(now_us)
         self.last_heard_us = now_us
 
-    def take_from(
+    def handle_message_records(
         self, sender: MemberRecord, gossip: tuple[MemberRecord, ...], now_us: int
     ) -> None:
-        """Take a message of another member; it counts as heard whatever its record says."""
-        self.take_all((sender, *gossip), now_us)
+        """Handle the records of a message; its sender counts as heard whatever its record says."""
+        self.handle_records((sender, *gossip), now_us)
         if sender.name == self.own_name:
             return
         index = self.table.index_by_name.get(sender.name)
@@ -68,25 +68,27 @@
             self.last_heard_us = now_us
             self.health.on_heard(index, now_us)
 
-    def take_all(
-        self, records: tuple[MemberRecord, ...], now_us: int, is_passed_on: bool = True
+    def handle_records(
+        self, records: tuple[MemberRecord, ...], now_us: int, is_disseminated: bool = True
     ) -> None:
-        """Take records.
+        """Handle received records of any members.
 
         Args:
-            records: as they were heard.
-            now_us: the time of the pause-aware clock.
-            is_passed_on: what is new is passed on; what came by anti-entropy reaches others by
-                theirs.
+            records: The records as received.
+            now_us: The time of the pause-aware clock.
+            is_disseminated: Whether changed records are disseminated. Those received by
+                anti-entropy are not, since other members receive them by their own anti-entropy.
         """
         for record in records:
             if record.name == self.own_name:
-                self.take_own(record, now_us)
+                self.handle_own_record(record, now_us)
             else:
-                self.take(record, now_us, is_passed_on)
+                self.handle_record(record, now_us, is_disseminated)
 
-    def take(self, record: MemberRecord, now_us: int, is_passed_on: bool = True) -> None:
-        """Merge the record of another member, and act on what has changed."""
+    def handle_record(
+        self, record: MemberRecord, now_us: int, is_disseminated: bool = True
+    ) -> None:
+        """Merge the record of another member; on a change, update its status and disseminate it."""
         merged = self.table.merge(record, now_us)
         if merged is None:
             self.outbox.count(Metric.DROPPED_TABLE_FULL)
@@ -98,31 +100,31 @@
             self.on_changed(index, before, after, now_us)
         else:
             return
-        if is_passed_on:
+        if is_disseminated:
             self.dissemination.announce(after.name)
 
     def on_changed(
         self, index: int, before: MemberRecord, after: MemberRecord, now_us: int
     ) -> None:
-        """The record of a member that was known has changed."""
+        """Act on a change in the record of a member that was already known."""
         if after.precedence() != before.precedence():
             self.detector.cancel(index)
         self.status.on_changed(index, before, after, now_us)
         if index in self.status.contested:
-            # The member itself shall hear of the report, and refute it.
+            # Lets the member know that it was reported as failed, so that it can refute the report.
             self.outbox.send(after.address, Gossip((after,)))
         is_suspected = after.state is MemberState.SUSPECTED
         if is_suspected and before.state is not MemberState.SUSPECTED:
             self.detector.on_suspected(index, len(self.table.living))
 
-    def take_own(self, record: MemberRecord, now_us: int) -> None:
-        """A record of this member's own name: refute it, claim the name, or give it up."""
+    def handle_own_record(self, record: MemberRecord, now_us: int) -> None:
+        """Handle a record of this member's own name: refute it, claim the name, or give it up."""
         own = self.table.own_record()
         if record == own or self.departure.is_leaving():
             return
-        decision = self.claim.on_record(own, record, now_us)
+        decision = self.name_claim.on_record(own, record, now_us)
         if decision.outcome is not ClaimOutcome.UNCHANGED:
-            self.outbox.count(METRICS[decision.outcome])
+            self.outbox.count(METRIC_BY_OUTCOME[decision.outcome])
         if decision.outcome is ClaimOutcome.LOST:
             self.departure.yield_name(record)
         elif decision.own != own:
@@ -134,9 +136,9 @@
             self.outbox.notify(StatusChange.REPORTED_FAILED, decision.own)
 
     def suspect(self, index: int, now_us: int) -> None:
-        """This member had no answer from that one for the whole time-out."""
+        """Suspect a member that did not answer for the whole probe timeout."""
         record = self.table.record_at(index)
-        if record.is_final():
+        if record.has_failed_or_left():
             return
         self.outbox.count(Metric.SUSPICIONS_RAISED)
         self.health.add_suspicion(index, now_us)
@@ -145,4 +147,4 @@
             state=MemberState.SUSPECTED,
             confirmed_by=(self.status.own_observer_id,),
         )
-        self.take(suspicion, now_us)
+        self.handle_record(suspicion, now_us)
