--- a/plankroute/cold_start/followed_links.py
+++ b/plankroute/cold_start/followed_links.py
@@ -10,7 +10,7 @@
 
 # Contact with the service is fresh while no older: the service sends something each 2 s.
 FRESH_US = 3 * SECOND_US
-NEVER_HEARD_US = 1 << 40  # the age of a contact that never was, as sent in heartbeats
+NO_CONTACT_AGE_US = 1 << 40  # the age of a contact that never was, as sent in heartbeats
 # Behind the other's contact: the controller is cut off from the service.
 OLD_US = 5 * SECOND_US
 # All that are followed may be cut off from the service: it is asked then.
@@ -61,7 +61,7 @@
 
     def has_no_contact(self) -> bool:
         """It has no list, or but the one that it was handed at its start."""
-        return self.revision == -1 or self.age_us >= NEVER_HEARD_US
+        return self.revision == -1 or self.age_us >= NO_CONTACT_AGE_US
 
     def is_older_than(self, other: "FollowedLink", now_us: int) -> bool:
         """Whether its contact with the service is much older than the other's.
--- a/plankroute/net/peers/frame_handler.py
+++ b/plankroute/net/peers/frame_handler.py
@@ -5,7 +5,7 @@
 import msgspec
 
 from plankroute.cold_start.election_messages import Event, FrameReceived, HeartbeatReceived
-from plankroute.cold_start.followed_links import NEVER_HEARD_US
+from plankroute.cold_start.followed_links import NO_CONTACT_AGE_US
 from plankroute.cold_start.link_codec import (
     DrainNoticeFrame,
     Frame,
@@ -89,7 +89,7 @@
             case ListPart(data):
                 self.on_list_part(name, receiver, data)
             case Heartbeat(revision, age_us):
-                if age_us < NEVER_HEARD_US:
+                if age_us < NO_CONTACT_AGE_US:
                     self.taker.on_service_contact(age_us)
                 self.taker.deliver([HeartbeatReceived(name, revision, age_us)])
             case HealthCheckResults():
