--- a/plankroute/cold_start/__init__.py
+++ b/plankroute/cold_start/__init__.py
@@ -1,4 +1,5 @@
-"""A start of many controllers at once that spares the list service and the hosts.
+"""Limits the load on the list service and the hosts when many controllers start at once.
 
-Cores without I/O, clocks or random module: events and the time in, commands out.
+The modules are cores without I/O, clocks or the random module: they take events and the current
+time, and return commands.
 """
--- a/plankroute/cold_start/backoff.py
+++ b/plankroute/cold_start/backoff.py
@@ -1,8 +1,8 @@
-"""When this controller requests the list: first, again after a failure, and when a watch has ended.
+"""Schedules requests to the list service: the first one, retries, and requests after a watch ends.
 
 Backoff with jitter (AWS Builders' Library, "Timeouts, retries, and backoff with jitter") within
-time slots by rank. Decides for this controller alone, by what is configured and what it met; never
-by what others are believed to do.
+time slots by rank. The schedule depends only on the settings and on the outcomes of this
+controller's own requests, never on assumptions about what other controllers do.
 """
 
 from dataclasses import dataclass
@@ -11,29 +11,32 @@
 from plankroute.token_bucket import TokenBucket
 from plankroute.units import SECOND_US
 
-# Of a round: requests come a little slower than the service can answer.
+# Lengthens each round by 5%, so that all controllers together request less often than the service
+# can answer.
 ROUND_SLACK = 1.05
-# The shortest round, of a small group: between requests to a service in trouble.
+# Shortest round: keeps a small group from requesting too often from a service that fails.
 MIN_ROUND_US = SECOND_US // 2
-# Rounds of the same length come first: most outages are over by then.
-STEADY_ROUNDS = 3
+# Number of consecutive failures from which on rounds grow; most outages end sooner.
+FAILURES_UNTIL_GROWTH = 3
 ROUND_GROWTH = 1.5
-# Rounds grow up to that many base lengths, as far as the configured longest pause allows.
+# Longest round as a multiple of the base round; `max_pause_us` may limit it further.
 MAX_GROWTH = 4
-# Retries beyond one a round: watches that end soon after they came up.
+# Capacity of the retry budget, which refills by one retry per base round. It limits the requests
+# after watches that end soon after they were opened.
 RETRY_BURST = 3
 
 
 @dataclass(frozen=True, slots=True)
 class BackoffFacts:
-    """Settings; times are microseconds.
+    """Settings of the backoff; times are in microseconds.
 
     Attributes:
-        rank: this controller's place among all, from 0.
-        controller_count: how many there are at most.
-        requests_per_second: what the list service answers, of all controllers together.
-        max_pause_us: longest round of requests to a service that fails.
-        max_retry_after_us: what a Retry-After may ask for at most.
+        rank: Index of this controller among all controllers, from 0.
+        controller_count: Maximum number of controllers.
+        requests_per_second: Requests that the list service answers per second, summed over all
+            controllers.
+        max_pause_us: Longest round while requests fail.
+        max_retry_after_us: Upper bound of the wait that a Retry-After field can ask for.
     """
 
     rank: int
@@ -43,7 +46,7 @@
     max_retry_after_us: int
 
     def base_round_us(self) -> int:
-        """The time in which the service answers one request of each controller."""
+        """Return the time in which the service can answer one request of each controller."""
         seconds = self.controller_count / self.requests_per_second * ROUND_SLACK
         return max(MIN_ROUND_US, int(seconds * SECOND_US))
 
@@ -55,9 +58,10 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestFailed:
-    """A request brought no list: refused, broken, cut short or silent.
+    """A request returned no list: it was refused, broken, truncated or not answered.
 
-    `retry_after_us`: how long the service asks to wait.
+    Attributes:
+        retry_after_us: How long the service asked to wait; None if it did not ask.
     """
 
     retry_after_us: int | None = None
@@ -65,7 +69,11 @@
 
 @dataclass(frozen=True, slots=True)
 class WatchEnded:
-    """A watch that had brought a list has ended after that long."""
+    """A watch that had returned a list has ended.
+
+    Attributes:
+        lasted_us: Microseconds from the request to the end of the watch.
+    """
 
     lasted_us: int
 
@@ -75,18 +83,18 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestAt:
-    """Send the next request at that steady time."""
+    """Command: send the next request at monotonic time `due_us`."""
 
     due_us: int
 
 
 class RequestScheduler:
-    """Time is cut into rounds; this controller has one slot in each by its rank, with jitter.
+    """Schedules requests in rounds, in which each controller has one slot by rank, with jitter.
 
-    Guards against hundreds of requests at once, at the start and again when the service is back:
-    each controller has a moment of its own in each round, and all together send no faster than the
-    service is configured to answer. Harm: a watch that ends for one controller alone is renewed up
-    to a round later.
+    Guards against hundreds of simultaneous requests at the start and when the service recovers:
+    each controller has its own slot in each round, so that all controllers together stay within
+    the configured request rate. The cost: a watch that ends for one controller alone is renewed up
+    to one round later.
     """
 
     def __init__(self, facts: BackoffFacts, seed: int) -> None:
@@ -95,45 +103,58 @@
         self.base_round_us = facts.base_round_us()
         self.round_start_us = 0
         self.round_us = self.base_round_us
-        self.failed_rounds = 0
+        self.consecutive_failures = 0
         self.retry_budget = TokenBucket(SECOND_US / self.base_round_us, RETRY_BURST)
 
     def deliver(self, now_us: int, event: Event) -> RequestAt:
-        """When the next request is due after that event."""
+        """Handle an event and return when the next request is due.
+
+        Args:
+            now_us: Monotonic time.
+            event: How the previous request ended, or that the controller has started.
+        """
         match event:
             case Started():
                 return RequestAt(self.restart_rounds(now_us))
             case RequestFailed(retry_after_us):
-                self.failed_rounds += 1
+                self.consecutive_failures += 1
                 wait_us = min(retry_after_us or 0, self.facts.max_retry_after_us)
                 return self.retry(now_us, now_us + wait_us)
             case WatchEnded(lasted_us) if lasted_us < self.base_round_us:
-                # A service that accepts watches and drops them is in trouble too.
-                self.failed_rounds += 1
+                # A service that accepts watches and soon drops them counts as failing.
+                self.consecutive_failures += 1
                 return self.retry(now_us, now_us)
             case WatchEnded():
-                self.failed_rounds = 0
+                self.consecutive_failures = 0
                 return self.retry(now_us, now_us, self.restart_rounds(now_us))
 
     def restart_rounds(self, now_us: int) -> int:
-        """Begin rounds anew: at the start, or when a watch ended, most likely for all at once.
+        """Start a new sequence of rounds, at the start or after a watch has ended.
+
+        A watch most likely ends for all controllers at once, so that their rounds start together.
 
         Returns:
-            This controller's moment in the first round.
+            The monotonic time of this controller's request in the first round.
         """
         self.round_start_us = now_us
         self.round_us = self.base_round_us
-        self.failed_rounds = 0
+        self.consecutive_failures = 0
         return self.slot_us()
 
     def slot_us(self) -> int:
-        """A moment within this controller's slot of the present round."""
+        """Return a random time within this controller's slot of the current round."""
         count = self.facts.controller_count
         position = (self.facts.rank % count + self.random.draw()) / count
         return self.round_start_us + int(position * self.round_us)
 
     def retry(self, now_us: int, not_before_us: int, due_us: int = 0) -> RequestAt:
-        """In a round to come, as late as was asked for, as the budget of retries allows."""
+        """Schedule the next request in this controller's slot of a later round.
+
+        Args:
+            now_us: Monotonic time.
+            not_before_us: Earliest time of the request; the retry budget may delay it further.
+            due_us: Time that is used if it is late enough; 0 to use a later round in any case.
+        """
         not_before_us = max(not_before_us, now_us + self.retry_budget.wait_us(now_us))
         while due_us <= now_us or due_us < not_before_us:
             self.round_start_us += self.round_us
@@ -143,8 +164,11 @@
         return RequestAt(due_us)
 
     def next_round_us(self) -> int:
-        """The length of the next round; it grows with the rounds that failed."""
-        growing_rounds = max(0, self.failed_rounds - STEADY_ROUNDS + 1)
+        """Return the length of the next round, which grows with consecutive failures.
+
+        It is never shorter than the base round, even if `max_pause_us` is.
+        """
+        growing_rounds = max(0, self.consecutive_failures - FAILURES_UNTIL_GROWTH + 1)
         grown_us = self.base_round_us * ROUND_GROWTH**growing_rounds
         limit_us = min(grown_us, MAX_GROWTH * self.base_round_us, self.facts.max_pause_us)
         return int(max(self.base_round_us, limit_us))
--- a/plankroute/cold_start/election_messages.py
+++ b/plankroute/cold_start/election_messages.py
@@ -1,4 +1,4 @@
-"""Events into the watcher election and commands out of it: types only."""
+"""Types of the watcher election's settings, events and commands."""
 
 from dataclasses import dataclass
 from enum import Enum
@@ -9,11 +9,11 @@
     """Settings of the election.
 
     Attributes:
-        name: this controller's.
-        group: the key of the election.
-        controller_count: how many controllers there are, as configured.
-        watcher_count: how many of them watch the list service.
-        stall_timeout_us: a followed controller without a frame for so long is left for the next.
+        name: Name of this controller.
+        group: Name of the group of controllers; the rendezvous hashing key of the election.
+        controller_count: Configured number of controllers.
+        watcher_count: Number of controllers that watch the list service.
+        stall_timeout_us: A followed controller that sends no frame for longer is replaced.
     """
 
     name: str
@@ -28,21 +28,27 @@
 
 @dataclass(frozen=True, slots=True)
 class LiveControllersChanged:
-    """All other controllers that are there, as membership has it."""
+    """The names of all other live controllers, according to membership."""
 
     names: frozenset[str]
 
 
 @dataclass(frozen=True, slots=True)
 class FrameReceived:
-    """A frame came from a controller that is followed."""
+    """A frame arrived from a followed controller."""
 
     name: str
 
 
 @dataclass(frozen=True, slots=True)
 class HeartbeatReceived:
-    """A followed controller's revision, and the age of its last contact with the service."""
+    """A heartbeat arrived from a followed controller.
+
+    Attributes:
+        name: Name of the controller.
+        revision: Revision of its list; -1 if it has none.
+        age_us: Age of its last contact with the list service.
+    """
 
     name: str
     revision: int
@@ -51,14 +57,19 @@
 
 @dataclass(frozen=True, slots=True)
 class LinkClosed:
-    """The link to a followed controller has ended."""
+    """The link to a followed controller was closed by the other side or broke."""
 
     name: str
 
 
 @dataclass(frozen=True, slots=True)
 class ListUpdated:
-    """The revision that this controller holds now; `from_service`: the service said so itself."""
+    """The revision of the list that this controller holds.
+
+    Attributes:
+        revision: The revision.
+        from_service: Whether the list service itself, not another controller, has confirmed it.
+    """
 
     revision: int
     from_service: bool
@@ -66,7 +77,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TickDue:
-    """Time has passed."""
+    """Periodic event, on which the election checks its timeouts."""
 
 
 Event = (
@@ -79,9 +90,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Connect:
-    """Follow that controller.
+    """Open a link to a controller.
 
-    `heartbeats_only`: no lists are wanted. `full_list`: the complete list, whatever is held.
+    Attributes:
+        name: Name of the controller.
+        heartbeats_only: Request heartbeats but no lists.
+        full_list: Request the complete list, whichever revision is held.
     """
 
     name: str
@@ -91,16 +105,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Disconnect:
-    """Follow that controller no more."""
+    """Close the link to a controller."""
 
     name: str
 
 
 @dataclass(frozen=True, slots=True)
 class SetWatch:
-    """Watch the list service, or stop.
+    """Start or stop watching the list service.
 
-    `watcher_rank`: this controller's place among the watchers; None: by its configured rank.
+    Attributes:
+        is_enabled: Whether to watch.
+        watcher_rank: Index of this controller among the watchers, by which its requests are
+            scheduled; None to schedule them by its configured rank.
     """
 
     is_enabled: bool
@@ -108,23 +125,27 @@
 
 
 class Transition(Enum):
-    """What is logged and counted; the values are part of event and counter names."""
+    """Transitions that are logged and counted.
+
+    The values are part of the names of log events and counters. LEFT_* is the reason for which this
+    controller stopped following another one.
+    """
 
     WATCHER = "watcher"
     FOLLOWER = "follower"
     INDEPENDENT = "independent"
-    LIST_RESTARTED = "list_restarted"  # the service's revisions began anew
+    LIST_RESTARTED = "list_restarted"  # the list service's revisions restarted from a lower one
     LEFT_ENDED = "left_ended"
     LEFT_STALLED = "left_stalled"
     LEFT_SLOW = "left_slow"
     LEFT_STALE = "left_stale"
     LEFT_BEHIND = "left_behind"
-    LEFT_AHEAD = "left_ahead"  # with a revision that the service does not know
+    LEFT_AHEAD = "left_ahead"  # it claimed a revision that the list service has not reached
 
 
 @dataclass(frozen=True, slots=True)
 class ReportTransition:
-    """For the log and the counters; `name`: the controller that it is about, if any."""
+    """Log and count a transition; `name`: the controller that it concerns, "" if none."""
 
     transition: Transition
     name: str = ""
--- a/plankroute/cold_start/endpoint_list.py
+++ b/plankroute/cold_start/endpoint_list.py
@@ -1,6 +1,6 @@
-"""The endpoint list as it is held and handed on: complete, or what has changed since a revision.
+"""The endpoint list that a controller holds and forwards, complete or as changes since a revision.
 
-Decides nothing about whom to believe (`watcher_election.py`).
+Which controllers are trusted to send lists is decided elsewhere (`watcher_election.py`).
 """
 
 from collections import deque
@@ -10,18 +10,19 @@
 
 import orjson
 
-# Kept: more than an hour of releases; who is further behind gets the complete list.
+# Number of changes kept: those of more than an hour of releases. A follower that is further behind
+# gets the complete list.
 MAX_CHANGES = 4096
 NO_REVISION = -1  # no list yet
 DELETED = "DELETED"
-CLOSED_STATES = frozenset({"DRAINING", DELETED})
+CLOSED_STATES = frozenset({"DRAINING", DELETED})  # states of a closed host
 
-# An entry as the list service wrote it: only `uid` and `state` are read here.
+# An entry as the list service wrote it; this module reads only `uid` and `state`.
 Entry = dict[str, Any]
 
 
 class RawList(TypedDict):
-    """A list as the service writes it; its form was checked by who read it."""
+    """A list as the list service writes it, already validated by the reader."""
 
     rev: int
     all: bool
@@ -30,24 +31,32 @@
 
 @dataclass(frozen=True, slots=True)
 class Change:
-    """An entry that was new, or other than before, at a revision."""
+    """An entry that was added or changed at a revision."""
 
     revision: int
     entry: Entry
 
 
 class EndpointList:
-    """Entries by host name; a complete list has the same bytes wherever it is held."""
+    """Entries by host name; equal complete lists are encoded to the same bytes by all controllers.
+
+    Attributes:
+        revision: Revision of the list.
+        entries: The entries, by host name.
+        changes: The latest changes, oldest first.
+        complete_since: `changes` holds all changes after this revision.
+        encoded: The cached result of `complete`; None until it is requested.
+    """
 
     def __init__(self) -> None:
         self.revision = NO_REVISION
         self.entries: dict[str, Entry] = {}
         self.changes: deque[Change] = deque(maxlen=MAX_CHANGES)
-        self.complete_since = NO_REVISION  # changes after that revision are all there
-        self.encoded: bytes | None = None  # cached until the next list
+        self.complete_since = NO_REVISION
+        self.encoded: bytes | None = None
 
     def apply(self, raw: RawList) -> None:
-        """Take a list that this controller has come to believe."""
+        """Apply a list that this controller has accepted; skip entries without a string uid."""
         entries = [
             item
             for item in raw["targets"]
@@ -61,13 +70,13 @@
         self.encoded = None
 
     def replace_all(self, revision: int, entries: Iterable[Entry]) -> None:
-        """Take a complete list."""
+        """Replace all entries by those of a complete list."""
         self.entries = {entry["uid"]: entry for entry in entries}
         self.changes.clear()
         self.complete_since = revision
 
     def apply_changes(self, revision: int, entries: Iterable[Entry]) -> None:
-        """Take the changes of one revision."""
+        """Apply the changes of one revision."""
         for entry in entries:
             if len(self.changes) == MAX_CHANGES:
                 self.complete_since = self.changes[0].revision
@@ -77,7 +86,7 @@
                 del self.entries[entry["uid"]]
 
     def complete(self) -> bytes:
-        """The complete list as JSON."""
+        """Return the complete list as JSON."""
         if self.encoded is None:
             entries = [self.entries[host] for host in sorted(self.entries)]
             self.encoded = orjson.dumps(
@@ -87,21 +96,18 @@
         return self.encoded
 
     def changes_since(self, revision: int) -> bytes | None:
-        """What brings a list of that revision up to this one, as JSON.
-
-        None where only the complete list does.
-        """
+        """Return the changes after `revision` as JSON; None if the complete list is needed."""
         if not self.knows_changes_since(revision):
             return None
-        entries = list(self.newest_since(revision).values())
+        entries = list(self.newest_entries_since(revision).values())
         return orjson.dumps({"rev": self.revision, "all": False, "targets": entries})
 
     def knows_changes_since(self, revision: int) -> bool:
-        """Whether all changes after that revision are there."""
+        """Whether `changes` holds all changes after `revision`."""
         return self.complete_since <= revision <= self.revision
 
-    def newest_since(self, revision: int) -> dict[str, Entry]:
-        """By host name, the newest change after that revision."""
+    def newest_entries_since(self, revision: int) -> dict[str, Entry]:
+        """Return the newest entry of each host that changed after `revision`, by host name."""
         return {
             change.entry["uid"]: change.entry
             for change in self.changes
@@ -109,8 +115,11 @@
         }
 
     def closed_since(self, revision: int) -> list[Entry]:
-        """Entries that close a host since then; where changes are missing, all that drain now."""
+        """Return the entries of the hosts that were closed after `revision`.
+
+        If changes after `revision` are missing, return those of all hosts that drain now.
+        """
         entries = self.entries
         if self.knows_changes_since(revision):
-            entries = self.newest_since(revision)
+            entries = self.newest_entries_since(revision)
         return [entry for entry in entries.values() if entry.get("state") in CLOSED_STATES]
--- a/plankroute/cold_start/followed_controllers.py
+++ b/plankroute/cold_start/followed_controllers.py
@@ -1,4 +1,4 @@
-"""The set of controllers that are followed: whom to connect to next, and whom to avoid."""
+"""The set of followed controllers: which one to connect to next, and which ones to avoid."""
 
 from collections.abc import Sequence
 
@@ -14,20 +14,20 @@
 from plankroute.cold_start.rendezvous import rendezvous_order
 from plankroute.units import SECOND_US
 
-# A controller that was left is avoided for two probe time-outs of membership, which tells by then
-# if it has failed.
+# A controller that was left is avoided for two probe timeouts of membership, which reports by then
+# whether the controller has failed.
 AVOID_US = 10 * SECOND_US
-# Entries of avoided controllers per watcher, before expired ones are cleaned up.
+# Number of avoided controllers per watcher above which expired entries are removed.
 MAX_AVOIDED_PER_WATCHER = 4
 
 
 class FollowedControllers:
-    """Two watchers are followed: the main one for its lists, a witness for its heartbeats.
+    """The two watchers that are followed: the main one for lists, a witness for heartbeats only.
 
     Attributes:
-        links: by name, the controllers that are followed.
-        avoided_until_us: by name, those that were left.
-        commands: of the step that is under way, shared with the election.
+        links: The links to followed controllers, by name.
+        avoided_until_us: When a controller that was left may be followed again, by name.
+        commands: Commands of the current step; the list is shared with the election.
     """
 
     def __init__(self, facts: ElectionFacts, commands: list[Command]) -> None:
@@ -36,24 +36,24 @@
         self.links: dict[str, FollowedLink] = {}
         self.avoided_until_us: dict[str, int] = {}
 
-    def drop_silent(self, watchers: Sequence[str], now_us: int) -> bool:
-        """Leave those that are no watchers any more, are stalled, or take too long.
+    def drop_unusable(self, watchers: Sequence[str], now_us: int) -> bool:
+        """Stop following controllers that are no longer watchers, have stalled, or are too slow.
 
         Returns:
-            Whether one was left, and not only for being no watcher.
+            Whether a controller was left for a reason other than no longer being a watcher.
         """
-        is_left = False
+        has_left = False
         for name, link in list(self.links.items()):
             reason = self.reason_to_leave(link, now_us)
             if name not in watchers:
                 self.disconnect(name)
             elif reason:
                 self.leave(now_us, name, reason)
-                is_left = True
-        return is_left
+                has_left = True
+        return has_left
 
     def reason_to_leave(self, link: FollowedLink, now_us: int) -> Transition | None:
-        """Why a link is of no use, if so."""
+        """Return why the controller of a link has to be left; None if there is no reason."""
         if now_us - link.last_frame_us > self.facts.stall_timeout_us:
             return Transition.LEFT_STALLED
         if link.is_first_list_overdue(now_us):
@@ -61,7 +61,10 @@
         return None
 
     def connect_missing(self, watchers: Sequence[str], now_us: int) -> None:
-        """Follow the next watchers, where the main one or the witness is missing."""
+        """Connect to the next watchers where the main controller or the witness is missing.
+
+        Watchers are tried in this controller's rendezvous order, without those that are avoided.
+        """
         candidates = [
             name
             for name in rendezvous_order(watchers, self.facts.name)
@@ -73,47 +76,50 @@
                 self.links[free[0]] = FollowedLink(heartbeats_only, now_us, now_us)
                 self.commands.append(Connect(free[0], heartbeats_only))
         if self.links and self.first(heartbeats_only=False) is None:
-            # The witness alone is left: its lists are wanted now.
+            # Only the witness is left: it becomes the main controller.
             self.reconnect(now_us, next(iter(self.links)))
 
     def first(self, heartbeats_only: bool) -> str | None:
-        """The name of the first link of that kind."""
+        """Return the name of the main controller, or of the witness if `heartbeats_only`.
+
+        None if there is none.
+        """
         for name, link in self.links.items():
             if link.heartbeats_only is heartbeats_only:
                 return name
         return None
 
-    def first_heard(self, heartbeats_only: bool) -> str | None:
-        """The name of the first link of that kind on which a heartbeat came."""
+    def first_with_heartbeat(self, heartbeats_only: bool) -> str | None:
+        """Return the same as `first` among the links on which a heartbeat has arrived."""
         for name, link in self.links.items():
             if link.heartbeats_only is heartbeats_only and link.revision is not None:
                 return name
         return None
 
     def has_service_contact(self) -> bool:
-        """Whether a controller whose lists are taken is in contact with the service."""
+        """Whether the main controller is in contact with the list service."""
         return any(
             link.has_service_contact() for link in self.links.values() if not link.heartbeats_only
         )
 
     def reconnect(self, now_us: int, name: str, full_list: bool = False) -> None:
-        """Follow a controller anew, for its lists."""
+        """Replace the link to a controller by one that carries lists."""
         self.disconnect(name)
         self.links[name] = FollowedLink(False, now_us, now_us, is_full_list=full_list)
         self.commands.append(Connect(name, False, full_list))
 
     def leave(self, now_us: int, name: str, reason: Transition, avoid_us: int = AVOID_US) -> None:
-        """Follow that controller no more, and avoid it for a while."""
+        """Stop following a controller, report why, and avoid it for `avoid_us`."""
         self.avoid(now_us, name, reason, avoid_us)
         self.disconnect(name)
 
     def on_closed(self, now_us: int, name: str) -> None:
-        """The link to that controller has ended."""
+        """Remove a link that has ended, and avoid its controller for `AVOID_US`."""
         del self.links[name]
         self.avoid(now_us, name, Transition.LEFT_ENDED)
 
     def avoid(self, now_us: int, name: str, reason: Transition, avoid_us: int = AVOID_US) -> None:
-        """Report that a controller is left, and avoid it for a while."""
+        """Report why a controller is left, and avoid it for `avoid_us`."""
         self.commands.append(ReportTransition(reason, name))
         self.avoided_until_us[name] = now_us + avoid_us
         if len(self.avoided_until_us) > MAX_AVOIDED_PER_WATCHER * self.facts.watcher_count:
@@ -124,7 +130,7 @@
             }
 
     def disconnect(self, name: str) -> None:
-        """Close the link to a controller, if there is one."""
+        """Close the link to a controller; do nothing if there is none."""
         if self.links.pop(name, None):
             self.commands.append(Disconnect(name))
 
--- a/plankroute/cold_start/followed_links.py
+++ b/plankroute/cold_start/followed_links.py
@@ -1,6 +1,6 @@
-"""Links to the controllers that are followed, and what their heartbeats say beside each other.
+"""State of the links to followed controllers, and the comparison of their heartbeats.
 
-Pure state and comparisons; what follows from them is decided in `watcher_election.py`.
+What to do about a difference is decided in `watcher_election.py`.
 """
 
 from dataclasses import dataclass
@@ -8,30 +8,32 @@
 
 from plankroute.units import SECOND_US
 
-# Contact with the service is fresh while no older: the service sends something each 2 s.
-FRESH_US = 3 * SECOND_US
-NO_CONTACT_AGE_US = 1 << 40  # the age of a contact that never was, as sent in heartbeats
-# Behind the other's contact: the controller is cut off from the service.
-OLD_US = 5 * SECOND_US
-# All that are followed may be cut off from the service: it is asked then.
-STALE_US = 10 * SECOND_US
-# A first list that takes longer never ends: 3 MB on a link of 50 KB/s.
+# A contact with the list service that is younger is current: the service sends something every 2 s.
+FRESH_CONTACT_US = 3 * SECOND_US
+NO_CONTACT_AGE_US = 1 << 40  # age that heartbeats carry if there never was a contact
+# A controller whose contact is older than the other controller's by more than this is cut off from
+# the list service. Contacts that are this old themselves are not compared by revision.
+MAX_CONTACT_LAG_US = 5 * SECOND_US
+# If the main controller's contact is older, all followed controllers may be cut off from the list
+# service, and this controller asks the service itself.
+STALE_CONTACT_US = 10 * SECOND_US
+# Time for the first list: 3 MB on a link of 50 KB/s. One that takes longer never completes.
 MAX_FIRST_LIST_US = 60 * SECOND_US
 
 
 @dataclass(slots=True)
 class FollowedLink:
-    """One controller that is followed.
+    """The link to one followed controller; times are those of the election.
 
     Attributes:
-        heartbeats_only: it is a witness: its lists are not wanted.
-        last_frame_us: when the last frame came.
-        opened_us: when the link was dialled.
-        is_full_list: the complete list was asked for, whatever is held.
-        has_frames: frames have come, though perhaps no heartbeat yet.
-        revision: of the last heartbeat; None: none came.
-        age_us: of the controller's last contact with the service, in the last heartbeat.
-        last_heartbeat_us: when it came.
+        heartbeats_only: The controller is the witness, which sends no lists.
+        last_frame_us: When the last frame arrived; at first, when the link was opened.
+        opened_us: When the link was opened.
+        is_full_list: The complete list was requested, whichever revision was held.
+        has_frames: Frames have arrived, though perhaps no heartbeat yet.
+        revision: Revision in the last heartbeat; None before the first one.
+        age_us: Age of the controller's last contact with the list service, in the last heartbeat.
+        last_heartbeat_us: When the last heartbeat arrived.
     """
 
     heartbeats_only: bool
@@ -44,104 +46,111 @@
     last_heartbeat_us: int = 0
 
     def on_frame(self, now_us: int) -> None:
-        """A frame came."""
+        """Record a frame other than a heartbeat."""
         self.last_frame_us = now_us
         self.has_frames = True
 
     def on_heartbeat(self, now_us: int, revision: int, age_us: int) -> None:
-        """A heartbeat came."""
+        """Record a heartbeat."""
         self.last_frame_us = now_us
         self.last_heartbeat_us = now_us
         self.revision = revision
         self.age_us = age_us
 
     def is_first_list_overdue(self, now_us: int) -> bool:
-        """Whether its first list takes too long."""
+        """Whether the first heartbeat, which follows the first list, takes too long."""
         return self.revision is None and now_us - self.opened_us > MAX_FIRST_LIST_US
 
-    def has_no_contact(self) -> bool:
-        """It has no list, or but the one that it was handed at its start."""
+    def never_had_contact(self) -> bool:
+        """Whether the controller has no list, or only one that it was configured with."""
         return self.revision == -1 or self.age_us >= NO_CONTACT_AGE_US
 
-    def is_older_than(self, other: "FollowedLink", now_us: int) -> bool:
-        """Whether its contact with the service is much older than the other's.
+    def lags_contact_of(self, other: "FollowedLink", now_us: int) -> bool:
+        """Whether the controller's contact with the service is much older than the other one's.
 
-        Guards also against leaving a watcher for its first request, which the service is yet to
-        answer.
+        False while the link is young: a new watcher may still wait for the answer to its first
+        request, and must not be left for that.
         """
-        return self.age_us > other.age_us + OLD_US and now_us - self.opened_us > OLD_US
+        return (
+            self.age_us > other.age_us + MAX_CONTACT_LAG_US
+            and now_us - self.opened_us > MAX_CONTACT_LAG_US
+        )
 
-    def is_below(self, own_revision: int) -> bool:
-        """Whether it is in contact with the service, at a revision below this controller's own."""
+    def has_fresh_lower_revision(self, own_revision: int) -> bool:
+        """Whether the controller has current contact and a revision below `own_revision`."""
         return (
             self.revision is not None
             and 0 <= self.revision < own_revision
-            and self.age_us < FRESH_US
+            and self.age_us < FRESH_CONTACT_US
         )
 
     def has_service_contact(self) -> bool:
-        """Guards against watchers that all have lost the service, while others could reach it."""
+        """Whether the controller counts as in contact with the list service.
+
+        Guards against watchers that have all lost the service while other controllers can reach it.
+        Before the first heartbeat any frame counts, as the first list may still be on its way.
+        """
         if self.revision is None:
             return self.has_frames
-        return self.revision >= 0 and self.age_us <= STALE_US
+        return self.revision >= 0 and self.age_us <= STALE_CONTACT_US
 
 
 class Finding(Enum):
-    """What the main link and the witness say beside each other."""
+    """Result of comparing the main controller with the witness and with this controller's list."""
 
     CONSISTENT = auto()
-    MAIN_HAS_NO_CONTACT = auto()  # the witness has
-    MAIN_STALE = auto()
+    MAIN_NEVER_HAD_CONTACT = auto()  # the main controller never had contact, the witness had
+    MAIN_STALE = auto()  # cut off from the list service
     WITNESS_STALE = auto()
-    REVISIONS_FELL = auto()  # both in contact, both below what is held: the service began anew
-    MAIN_BEHIND = auto()
+    REVISIONS_DECREASED = auto()  # all have contact and a lower revision: the service's restarted
+    MAIN_BEHIND = auto()  # lower revision than the witness, both in contact
     WITNESS_BEHIND = auto()
 
 
 def compare_links(
     main: FollowedLink, witness: FollowedLink | None, own_revision: int, now_us: int
 ) -> Finding:
-    """Compare what two followed controllers said with each other and with what is held.
+    """Compare the followed controllers with each other and with this controller's list.
 
     Args:
-        main: the link whose lists are taken; a heartbeat came on it.
-        witness: the other one, if a heartbeat came on it.
-        own_revision: of this controller's list.
-        now_us: the election's time.
+        main: The link that carries lists; a heartbeat has arrived on it.
+        witness: The other link, if a heartbeat has arrived on it.
+        own_revision: Revision of this controller's list.
+        now_us: The election's time.
     """
     if witness:
         finding = compare_contact(main, witness, now_us)
         if finding is not Finding.CONSISTENT:
             return finding
-    is_below = main.is_below(own_revision)
-    is_witness_below = witness is None or witness.is_below(own_revision)
-    if is_below and not main.is_full_list and is_witness_below:
-        return Finding.REVISIONS_FELL
+    is_main_below = main.has_fresh_lower_revision(own_revision)
+    is_witness_below = witness is None or witness.has_fresh_lower_revision(own_revision)
+    if is_main_below and not main.is_full_list and is_witness_below:
+        return Finding.REVISIONS_DECREASED
     if witness:
         finding = compare_revisions(main, witness)
         if finding is not Finding.CONSISTENT:
             return finding
-    if main.revision is not None and 0 <= main.revision < own_revision and not is_below:
-        return Finding.MAIN_STALE  # cut off from the service, and behind what is held
+    if main.revision is not None and 0 <= main.revision < own_revision and not is_main_below:
+        return Finding.MAIN_STALE  # no current contact, and a revision below the held one
     return Finding.CONSISTENT
 
 
 def compare_contact(main: FollowedLink, witness: FollowedLink, now_us: int) -> Finding:
-    """Compare the age of their contacts with the service."""
-    if main.has_no_contact() and not witness.has_no_contact():
-        return Finding.MAIN_HAS_NO_CONTACT
-    if main.is_older_than(witness, now_us):
+    """Compare the ages of the controllers' contacts with the list service."""
+    if main.never_had_contact() and not witness.never_had_contact():
+        return Finding.MAIN_NEVER_HAD_CONTACT
+    if main.lags_contact_of(witness, now_us):
         return Finding.MAIN_STALE
-    if witness.is_older_than(main, now_us):
+    if witness.lags_contact_of(main, now_us):
         return Finding.WITNESS_STALE
     return Finding.CONSISTENT
 
 
 def compare_revisions(main: FollowedLink, witness: FollowedLink) -> Finding:
-    """Compare their revisions, where both are in contact with the service."""
+    """Compare the controllers' revisions; CONSISTENT unless both have recent service contact."""
     if main.revision is None or witness.revision is None:
         return Finding.CONSISTENT
-    if main.revision == witness.revision or max(main.age_us, witness.age_us) >= OLD_US:
+    if main.revision == witness.revision or max(main.age_us, witness.age_us) >= MAX_CONTACT_LAG_US:
         return Finding.CONSISTENT
     if main.revision < witness.revision:
         return Finding.MAIN_BEHIND
--- a/plankroute/cold_start/link_codec.py
+++ b/plankroute/cold_start/link_codec.py
@@ -1,22 +1,28 @@
-"""The codec of links between controllers: frames of MessagePack behind their length.
+"""Codec of the links between controllers: length-prefixed MessagePack frames.
 
-Only here: how frames look on the wire. They are arrays with a numeric tag: the order, the types and
-the defaults of their fields are the protocol, their names are not.
+Frames are arrays with a numeric tag. The order, the types and the defaults of their fields are part
+of the protocol; their names are not.
 """
 
 import struct
 
 import msgspec
 
-LINK_VERSION = 2  # of the frames and of what they mean: others are not read
+LINK_VERSION = 2  # of the frames and their meaning; peers with another version are not served
 LENGTH = struct.Struct("!I")
-MAX_FRAME_BYTES = 65536  # a part of a list and little else
-# Of a list in one frame: on a link of 50 KB/s one comes each third of a second.
+MAX_FRAME_BYTES = 65536  # more than a part of a list with its overhead
+# Bytes of a list in one frame: on a link of 50 KB/s a frame arrives every third of a second.
 PART_BYTES = 16384
 
 
 class ListProgress(msgspec.Struct, frozen=True, array_like=True, forbid_unknown_fields=True):
-    """What has come of a list whose transfer broke off."""
+    """The received part of a list whose transfer was interrupted.
+
+    Attributes:
+        revision: Revision of the list.
+        checksum: CRC-32 of the whole list.
+        received_bytes: Number of bytes received so far.
+    """
 
     revision: int
     checksum: int
@@ -27,12 +33,12 @@
     """The first frame of a follower.
 
     Attributes:
-        version: see `LINK_VERSION`.
-        group: another group is not served.
-        name: the follower's.
-        revision: of its list; -1: none.
-        heartbeats_only: it wants no lists.
-        progress: of a list that broke off.
+        version: The follower's `LINK_VERSION`.
+        group: The follower's group; followers of another group are not served.
+        name: Name of the follower.
+        revision: Revision of its list; -1 if it has none.
+        heartbeats_only: The follower wants heartbeats but no lists.
+        progress: The part of an interrupted list that it has.
     """
 
     version: int
@@ -44,7 +50,15 @@
 
 
 class ListStart(msgspec.Struct, frozen=True, array_like=True, tag=2):
-    """A list of `size` bytes follows, from `offset` on; `checksum`: CRC-32 of all of it."""
+    """Announces a list, whose bytes follow in `ListPart` frames.
+
+    Attributes:
+        revision: Revision of the list.
+        is_complete: Whether it is the complete list; else it holds changes.
+        size: Bytes of the whole list.
+        checksum: CRC-32 of the whole list.
+        offset: Index of the first byte that follows; above 0 if a transfer is resumed.
+    """
 
     revision: int
     is_complete: bool
@@ -54,20 +68,28 @@
 
 
 class ListPart(msgspec.Struct, frozen=True, array_like=True, tag=3):
-    """The next bytes of the list that was announced."""
+    """The next bytes of the announced list."""
 
     data: bytes
 
 
 class Heartbeat(msgspec.Struct, frozen=True, array_like=True, tag=4):
-    """The revision that is held (-1: none), and the age of the last contact with the service."""
+    """The sender's revision (-1 for none) and the age of its last contact with the list service."""
 
     revision: int
     age_us: int
 
 
 class SharedHealthCheck(msgspec.Struct, frozen=True, array_like=True, forbid_unknown_fields=True):
-    """One health check: the host's name, outcome, time taken, age, and start of the host."""
+    """One health check.
+
+    Attributes:
+        host: Name of the host.
+        outcome: Value of the `HealthCheckOutcome`.
+        elapsed_us: Duration of the check.
+        age_us: Time since the check.
+        boot_ms: Unix time of the start of the host that was checked.
+    """
 
     host: str
     outcome: str
@@ -83,14 +105,22 @@
 
 
 class DrainNoticeFrame(msgspec.Struct, frozen=True, array_like=True, tag=6):
-    """Hosts that are closed at a revision, ahead of its list: a JSON array of its entries."""
+    """Hosts that are draining or deleted at a revision, sent ahead of its list.
+
+    Attributes:
+        revision: The revision.
+        entries: JSON array of the hosts' entries in the list.
+    """
 
     revision: int
     entries: bytes
 
 
 class WarmStartRequest(msgspec.Struct, frozen=True, array_like=True, tag=7):
-    """First frame: asks what is known of the hosts, and what was handed over for `name`."""
+    """First frame of a controller that requests snapshots.
+
+    Asks for the receiver's own snapshot, and for the one that was handed over for `name`.
+    """
 
     version: int
     group: str
@@ -98,7 +128,10 @@
 
 
 class WarmStartHandover(msgspec.Struct, frozen=True, array_like=True, tag=8):
-    """First frame of who shuts down, and hands over what it knows for its successor `name`."""
+    """First frame of a controller that shuts down and hands its snapshot over for its next start.
+
+    `name` is the name of both the controller and its successor.
+    """
 
     version: int
     group: str
@@ -106,7 +139,12 @@
 
 
 class WarmStartView(msgspec.Struct, frozen=True, array_like=True, tag=9):
-    """A view of the hosts follows as a list does: whose, and how long ago it was taken."""
+    """Announces a snapshot, whose bytes follow in a `ListStart` and `ListPart` frames.
+
+    Attributes:
+        name: Name of the controller whose snapshot it is.
+        age_us: Time since the snapshot was taken.
+    """
 
     name: str
     age_us: int
@@ -128,24 +166,30 @@
 
 
 def encode_frame(frame: Frame) -> bytes:
-    """The bytes of a frame behind their length."""
+    """Return the frame's bytes, prefixed with their length."""
     body = ENCODER.encode(frame)
     return LENGTH.pack(len(body)) + body
 
 
 class FrameDecoder:
-    """Bytes as they come to frames.
+    """Decodes a stream of bytes into frames.
 
-    Where bytes can't be a frame, None stands in its place, and nothing is read after it.
+    Attributes:
+        buffer: Bytes of a frame that is not complete yet.
+        is_broken: Whether the stream held an invalid frame; later bytes are ignored.
+        unread: Decoded frames that are left to the next reader of the stream.
     """
 
     def __init__(self) -> None:
         self.buffer = bytearray()
         self.is_broken = False
-        self.unread: list[Frame | None] = []  # decoded, and left to whoever reads on
+        self.unread: list[Frame | None] = []
 
     def feed(self, data: bytes) -> list[Frame | None]:
-        """All frames that are complete with these bytes."""
+        """Return all frames that are complete with these bytes.
+
+        An invalid frame is returned as None; nothing is decoded after it.
+        """
         frames: list[Frame | None] = []
         self.buffer += data
         while not self.is_broken and len(self.buffer) >= LENGTH.size:
@@ -164,13 +208,13 @@
         return frames
 
     def take_unread(self) -> list[Frame | None]:
-        """Frames that were decoded and not read yet."""
+        """Return and clear the decoded frames that were left in `unread`."""
         unread = self.unread
         self.unread = []
         return unread
 
     def mark_broken(self, frames: list[Frame | None]) -> None:
-        """Nothing is read any more."""
+        """Append None to the frames, and stop decoding."""
         self.is_broken = True
         self.buffer.clear()
         frames.append(None)
--- a/plankroute/cold_start/retry_after.py
+++ b/plankroute/cold_start/retry_after.py
@@ -1,21 +1,22 @@
-"""The header field Retry-After."""
+"""Parser of the HTTP header field Retry-After."""
 
 from email.utils import parsedate_to_datetime
 
 from plankroute.units import SECOND_US
 
-MAX_DIGITS = 9  # of seconds: thirty years; what is longer is nonsense
+MAX_DIGITS = 9  # of the number of seconds: thirty years; a longer number is invalid
 
 
 def parse_retry_after(field: bytes | None, unix_s: float) -> int | None:
-    """Microseconds to wait, after RFC 9110, section 10.2.3.
+    """Parse a Retry-After field according to RFC 9110, section 10.2.3.
 
     Args:
-        field: the value of the field: seconds or a date; None where there was none.
-        unix_s: the time of day, which a date is compared with.
+        field: Value of the field, seconds or a date; None if there is no field.
+        unix_s: Current Unix time in seconds, from which the wait until a date is computed.
 
     Returns:
-        None where there is no field, or it is neither seconds nor a date.
+        Microseconds to wait, 0 for a date in the past; None if there is no field, or if it is
+        neither seconds nor a date.
     """
     if field is None:
         return None
--- a/tests/cold_start/test_endpoint_list.py
+++ b/tests/cold_start/test_endpoint_list.py
@@ -59,15 +59,15 @@
     incoming.start(whole)
     assert incoming.add(data[:100]) is None
     assert incoming.progress() == ListProgress(7, crc32(data), 100)
-    with pytest.raises(ListTransferError, match=r"^resumes another list$"):
+    with pytest.raises(ListTransferError, match=r"^resumed list differs from received part$"):
         incoming.start(msgspec.structs.replace(rest, revision=8))
     incoming.start(rest)
     assert incoming.add(data[100:]) == data
-    with pytest.raises(ListTransferError, match=r"^too large$"):
+    with pytest.raises(ListTransferError, match=r"^list size is out of range$"):
         incoming.start(ListStart(7, True, len(data) + 1, 1))
     incoming.start(ListStart(7, True, 4, 1))
-    with pytest.raises(ListTransferError, match=r"^longer than announced$"):
+    with pytest.raises(ListTransferError, match=r"^list is longer than announced$"):
         incoming.add(b"xxxxx")
     incoming.start(ListStart(7, True, 4, 1))
-    with pytest.raises(ListTransferError, match=r"^wrong checksum$"):
+    with pytest.raises(ListTransferError, match=r"^list checksum mismatch$"):
         incoming.add(b"xxxx")
--- a/tests/cold_start/test_list_transfers.py
+++ b/tests/cold_start/test_list_transfers.py
@@ -30,7 +30,7 @@
     start = ListStart(7, True, len(LIST), crc32(LIST))
     receiver = transfers.receiver_of("n1")
     del bounds[0]
-    with pytest.raises(ListTransferError, match=r"^too large$"):
+    with pytest.raises(ListTransferError, match=r"^list size is out of range$"):
         receiver.start(start)
     assert transfers.receiver_for_start("n1", start) is receiver
     transfers.receiver_for_start("n2", start).start(start)
