--- a/plankroute/warm_start/__init__.py
+++ b/plankroute/warm_start/__init__.py
@@ -1,4 +1,5 @@
-"""Prior knowledge of hosts: what outlives a restart of a controller, its age, its merging.
+"""Prior knowledge of hosts, which outlives the restart of a controller: its age and its merging.
 
-A core without I/O: events and the time go in, commands come out.
+The modules are cores without I/O or clocks: they take events and the current time, and return
+commands.
 """
--- a/plankroute/warm_start/codec.py
+++ b/plankroute/warm_start/codec.py
@@ -1,7 +1,7 @@
 """Encodes snapshots: as a file with a versioned header and a checksum, and as bytes between peers.
 
-A file that can't be used is no exception but a `FileProblem` that says why: the controller starts
-without it.
+A file that can't be used raises no exception. It is returned as a `FileProblem` that says why, as
+the controller starts without it.
 """
 
 import struct
@@ -15,11 +15,11 @@
 
 MAGIC = b"PKLR"
 VERSION = 1
-# Magic, version, reserved, bytes that follow, Unix milliseconds when written, checksum.
+# Magic, version, reserved, length of the body, Unix milliseconds when written, checksum.
 HEADER = struct.Struct("!4sHHQQQ")
 CHECKSUM = struct.Struct("!Q")
 MAX_FILE_BYTES = 1 << 20  # five times the file of 500 hosts
-MAX_CLOCK_SKEW_MS = 5_000  # wall clocks of two machines differ by less
+MAX_CLOCK_SKEW_MS = 5_000  # the wall clocks of two machines differ by less
 ENCODER = msgspec.msgpack.Encoder()
 DECODER = msgspec.msgpack.Decoder(Snapshot)
 
@@ -28,14 +28,14 @@
     """Why a file can't be used."""
 
     TRUNCATED = "truncated, or not written by plankroute"
-    CORRUPT = "its checksum is wrong"
+    CORRUPT = "checksum mismatch"
     NEWER_VERSION = "written by a newer version"
     OLDER_VERSION = "written by an older version"
     OTHER_CONTROLLER = "written by another controller"
-    TOO_LARGE = "larger than any that plankroute writes"
+    TOO_LARGE = "larger than any file that plankroute writes"
 
 
-# Files of use to somebody else: they are set aside and not overwritten.
+# Files that another version or another controller can use: they are set aside, not overwritten.
 PRESERVED = frozenset(
     {FileProblem.NEWER_VERSION, FileProblem.OLDER_VERSION, FileProblem.OTHER_CONTROLLER}
 )
@@ -47,8 +47,8 @@
 
     Attributes:
         snapshot: What the file holds.
-        age_us: Microseconds since it was written; None: unknown, as the wall clock has been set
-            back since.
+        age_us: Microseconds since it was written; None if unknown because the wall clock has been
+            set back since.
     """
 
     snapshot: Snapshot
@@ -56,12 +56,12 @@
 
 
 def encode_snapshot(snapshot: Snapshot) -> bytes:
-    """The snapshot as it is sent to peers."""
+    """Returns the bytes of a snapshot as they are sent to peers."""
     return ENCODER.encode(snapshot)
 
 
 def decode_snapshot(data: bytes) -> Snapshot | None:
-    """The snapshot that a peer sent; None: the bytes are none."""
+    """Returns the snapshot that a peer sent; None if the bytes are not a valid snapshot."""
     try:
         return DECODER.decode(data)
     except (msgspec.MsgspecError, RecursionError):
@@ -69,16 +69,20 @@
 
 
 def checksum(header: bytes, body: bytes) -> int:
-    """Covers the header's other fields as well: a flipped version bit is no other version."""
+    """Returns the checksum of a file.
+
+    It covers the header's other fields too, so that a flipped bit in the version is detected as
+    corruption and not taken for another version.
+    """
     return xxhash.xxh3_64_intdigest(header[: -CHECKSUM.size] + body)
 
 
 def encode_file(snapshot: Snapshot, unix_ms: int) -> bytes:
-    """The snapshot as a file.
+    """Returns the bytes of a snapshot file.
 
     Args:
-        snapshot: What the file is to hold.
-        unix_ms: The wall clock's time, in milliseconds.
+        snapshot: The snapshot to store.
+        unix_ms: Current Unix time in milliseconds; a negative one is stored as 0.
     """
     body = encode_snapshot(snapshot)
     header = HEADER.pack(MAGIC, VERSION, 0, len(body), max(0, unix_ms), 0)
@@ -86,12 +90,15 @@
 
 
 def decode_file(data: bytes, controller: str | None, unix_ms: int) -> StoredSnapshot | FileProblem:
-    """What a file holds, or why it can't be used.
+    """Decodes a snapshot file.
 
     Args:
         data: The file's bytes.
-        controller: The controller whose file it must be; None: anybody's.
-        unix_ms: The wall clock's time now, in milliseconds.
+        controller: Name of the controller that must have written it; None to accept any.
+        unix_ms: Current Unix time in milliseconds.
+
+    Returns:
+        The snapshot with its age, or the reason why the file can't be used.
     """
     problem = find_problem(data)
     if problem is not None:
@@ -102,11 +109,11 @@
     if controller is not None and snapshot.controller != controller:
         return FileProblem.OTHER_CONTROLLER
     _, _, _, _, written_ms, _ = HEADER.unpack_from(data)
-    return StoredSnapshot(snapshot, age_us_of_file(written_ms, unix_ms))
+    return StoredSnapshot(snapshot, file_age_us(written_ms, unix_ms))
 
 
 def find_problem(data: bytes) -> FileProblem | None:
-    """What is wrong with a file's size, header or checksum; None: nothing."""
+    """Returns what is wrong with a file's size, header or checksum; None if nothing is."""
     if len(data) > MAX_FILE_BYTES:
         return FileProblem.TOO_LARGE
     if len(data) < HEADER.size or not data.startswith(MAGIC):
@@ -116,7 +123,7 @@
     body = data[HEADER.size :]
     if body_size != len(body):
         return FileProblem.TRUNCATED
-    # Before the version: what is corrupt says nothing, not even that it is newer.
+    # Checked before the version, as the version of a corrupt file can't be relied on.
     if expected != checksum(header, body):
         return FileProblem.CORRUPT
     if version == VERSION:
@@ -124,8 +131,11 @@
     return FileProblem.NEWER_VERSION if version > VERSION else FileProblem.OLDER_VERSION
 
 
-def age_us_of_file(written_ms: int, unix_ms: int) -> int | None:
-    """Microseconds since a file was written; None: the wall clock has been set back since."""
+def file_age_us(written_ms: int, unix_ms: int) -> int | None:
+    """Returns the microseconds since a file was written.
+
+    None if the wall clock has been set back since by more than `MAX_CLOCK_SKEW_MS`; 0 if by less.
+    """
     age_ms = unix_ms - written_ms
     if age_ms < -MAX_CLOCK_SKEW_MS:
         return None
--- a/plankroute/warm_start/core.py
+++ b/plankroute/warm_start/core.py
@@ -1,7 +1,7 @@
-"""Prior knowledge of hosts: what earlier runs and other controllers know of them.
+"""Prior knowledge of hosts: observations of earlier runs and of other controllers.
 
-Decides what is too old, whose word stands, and when the policy is told. What the knowledge counts
-for is decided by the policy.
+Decides which observations are too old, which of several is used, and when the policy receives them.
+How much they influence routing is decided by the policy.
 """
 
 from collections.abc import Mapping
@@ -13,18 +13,18 @@
 from plankroute.warm_start.merge import MergedKnowledge, Observation, from_observation, merge
 from plankroute.warm_start.snapshot import HostKnowledge, Snapshot
 
-# By which bad news count as fresher than good ones. Within that time health checks readmit a host
-# that recovered.
+# An observation of bad health counts as this much more recent than one of good health. Within this
+# time health checks readmit a host that has recovered.
 HALF_LIFE_US = 60_000_000
-STATE_BY_LIST_WORD = {"DRAINING": HostState.DRAINING, "DELETED": HostState.GONE}
+HOST_STATE_BY_LIST_STATE = {"DRAINING": HostState.DRAINING, "DELETED": HostState.GONE}
 
 
 @dataclass(frozen=True, slots=True)
 class WarmStartSettings:
-    """What operators set.
+    """Settings of the warm start.
 
     Attributes:
-        max_age_us: Knowledge of this age or older counts for nothing; 0: none counts.
+        max_age_us: Observations of this age or older are ignored; 0 ignores all.
     """
 
     max_age_us: int
@@ -32,12 +32,12 @@
 
 @dataclass(frozen=True, slots=True)
 class SnapshotReceived:
-    """Event: a snapshot was read from the file, or came from another controller.
+    """Event: a snapshot was read from the file or received from another controller.
 
     Attributes:
         source: "file", or the name of the controller.
-        snapshot: What it holds.
-        age_us: Microseconds since it was written down.
+        snapshot: The snapshot.
+        age_us: Microseconds since it was taken.
     """
 
     source: str
@@ -50,7 +50,7 @@
     """Event: the endpoint list has changed.
 
     Attributes:
-        boot_ms: By the uid of each listed host, its present start.
+        boot_ms: Unix time of the latest start of each listed host, by its uid.
     """
 
     boot_ms: Mapping[str, float]
@@ -58,11 +58,11 @@
 
 @dataclass(frozen=True, slots=True)
 class ProvidePriorKnowledge:
-    """Command: tell the policy what is known of a host.
+    """Command: pass the prior knowledge of a host to the policy.
 
     Attributes:
-        uid: The host.
-        known: What is known of it.
+        uid: The host's name in the endpoint list.
+        known: The merged observations of it.
         health_age_us: Microseconds since its health was observed.
         capacity_age_us: Microseconds since its capacity was observed.
     """
@@ -75,12 +75,12 @@
 
 @dataclass(frozen=True, slots=True)
 class AnnounceWithdrawals:
-    """Command: hosts are draining or deleted in a list that another controller has.
+    """Command: announce hosts that are draining or deleted in the list of a received snapshot.
 
     Attributes:
-        source: Who says so.
+        source: "file", or the name of the controller that sent the snapshot.
         revision: The revision of that list.
-        withdrawn: The hosts with their states.
+        withdrawn: The hosts' uids and states.
     """
 
     source: str
@@ -90,13 +90,13 @@
 
 @dataclass(frozen=True, slots=True)
 class ReportMerge:
-    """Command: report what became of the hosts of a snapshot.
+    """Command: report how the observations of a snapshot were merged.
 
     Attributes:
-        source: Whose snapshot it was.
-        accepted: Hosts of which it changed what is known.
-        expired: Hosts of which its word was too old.
-        superseded: Hosts of which something better was known already.
+        source: "file", or the name of the controller that sent the snapshot.
+        accepted: Number of hosts whose knowledge changed, or that are neither known nor listed.
+        expired: Number of hosts whose observation was too old.
+        superseded: Number of hosts of which better observations were known already.
     """
 
     source: str
@@ -110,10 +110,16 @@
 
 
 class WarmStart:
-    """Merges snapshots, and provides each host's knowledge once.
+    """Merges snapshots, and passes new knowledge of each listed host to the policy once.
 
-    A host's knowledge is provided when the list has the host with the very start that the knowledge
-    is about.
+    Knowledge of a host is provided when the endpoint list contains the host with the same start
+    that the knowledge is about.
+
+    Attributes:
+        settings: The settings.
+        known: Merged knowledge by uid, of hosts that are listed or may be listed later.
+        listed_boot_ms: Unix time of the latest start of each listed host, by uid.
+        provided: The knowledge that was provided last, by uid.
     """
 
     def __init__(self, settings: WarmStartSettings) -> None:
@@ -123,23 +129,26 @@
         self.provided: dict[str, MergedKnowledge] = {}
 
     def deliver(self, now_us: int, event: Event) -> list[Command]:
-        """Takes an event in.
+        """Handles an event.
 
         Args:
-            now_us: The monotonic clock's time, in microseconds.
-            event: What happened.
+            now_us: Monotonic time in microseconds.
+            event: The event.
 
         Returns:
-            What is to be done, in this order.
+            Commands to execute, in order.
         """
         match event:
             case SnapshotReceived():
                 return self.merge_snapshot(now_us, event)
             case HostsListed(boot_ms):
-                return self.follow_list(now_us, boot_ms)
+                return self.update_listed_hosts(now_us, boot_ms)
 
-    def follow_list(self, now_us: int, boot_ms: Mapping[str, float]) -> list[Command]:
-        """Forgets hosts that are no longer listed; an empty list says nothing."""
+    def update_listed_hosts(self, now_us: int, boot_ms: Mapping[str, float]) -> list[Command]:
+        """Forgets hosts that are no longer listed, and provides knowledge of listed ones.
+
+        An empty list is ignored, as it does not show that hosts have gone.
+        """
         if not boot_ms:
             return []
         self.listed_boot_ms = boot_ms
@@ -148,7 +157,7 @@
         return self.provide_new_knowledge(now_us)
 
     def merge_snapshot(self, now_us: int, received: SnapshotReceived) -> list[Command]:
-        """Merges each host of a snapshot into what is known."""
+        """Merges the observations of a snapshot into the known ones."""
         accepted = 0
         expired = 0
         superseded = 0
@@ -166,7 +175,11 @@
         return commands
 
     def merge_observation(self, observation: Observation) -> bool:
-        """Whether the observation changes what is known of its host."""
+        """Merges one observation; returns whether it changes what was known of its host.
+
+        An observation of a host that is neither known nor listed is not kept, but also returns
+        True. Before the first list, observations of any host are kept.
+        """
         uid = observation.knowledge.uid
         known = self.known.get(uid)
         merged = from_observation(observation)
@@ -178,17 +191,17 @@
         return merged != known
 
     def withdrawals(self, received: SnapshotReceived) -> list[Command]:
-        """Hosts that the snapshot's list withdraws.
+        """Returns the command that announces the hosts which the snapshot's list withdraws, if any.
 
-        A drain does not age: it holds until a list of that revision, or of a higher one, is here.
-        Guards against revisions of another discovery service: a list older than the limit may have
-        come from one.
+        A drain does not expire: it holds until a list of its revision or a higher one arrives.
+        A list of `max_age_us` or older is ignored, as it may come from another list service, whose
+        revisions can't be compared.
         """
         snapshot = received.snapshot
         withdrawn = tuple(
-            (uid, STATE_BY_LIST_WORD[word])
-            for uid, word in snapshot.withdrawn
-            if word in STATE_BY_LIST_WORD
+            (uid, HOST_STATE_BY_LIST_STATE[state])
+            for uid, state in snapshot.withdrawn
+            if state in HOST_STATE_BY_LIST_STATE
         )
         list_age_us = snapshot.list_age_us + received.age_us
         if not withdrawn or list_age_us >= self.settings.max_age_us:
@@ -196,11 +209,14 @@
         return [AnnounceWithdrawals(received.source, snapshot.list_revision, withdrawn)]
 
     def is_expired(self, now_us: int, observation: Observation) -> bool:
-        """Whether the observation is too old to count."""
+        """Whether an observation has reached `max_age_us`."""
         return now_us - observation.observed_at_us >= self.settings.max_age_us
 
     def provide_new_knowledge(self, now_us: int) -> list[Command]:
-        """Commands for listed hosts of which more is known than was provided."""
+        """Returns commands for the listed hosts whose knowledge differs from what was provided.
+
+        Hosts whose knowledge is about another start, or has expired, are left out.
+        """
         commands: list[Command] = []
         for uid, known in self.known.items():
             is_current_start = self.listed_boot_ms.get(uid) == known.boot_ms()
@@ -215,14 +231,14 @@
         return commands
 
     def snapshot(self, now_us: int, own: Snapshot) -> Snapshot:
-        """What this controller observed, merged with its prior knowledge, each with its own age.
+        """Returns this controller's observations merged with its prior knowledge.
 
-        Guards against knowledge that grows younger by being passed on: what was observed long ago
-        is as old after any number of restarts.
+        Each host keeps the age of its observation. Guards against knowledge whose age is reset when
+        it is passed on: after any number of restarts, an old observation is as old as before.
 
         Args:
-            now_us: The monotonic clock's time, in microseconds.
-            own: What this controller observed itself.
+            now_us: Monotonic time in microseconds.
+            own: Snapshot of what this controller has observed itself.
         """
         prior = dict(self.known)
         hosts: list[HostKnowledge] = []
@@ -235,13 +251,13 @@
             hosts.append(as_host_knowledge(now_us, merge(known, new, HALF_LIFE_US)))
         hosts += [as_host_knowledge(now_us, known) for known in prior.values()]
         fresh = [host for host in hosts if host.age_us < self.settings.max_age_us]
-        return msgspec.structs.replace(own, hosts=tuple(fresh)).within_bounds()
+        return msgspec.structs.replace(own, hosts=tuple(fresh)).without_oversized_parts()
 
 
 def as_host_knowledge(now_us: int, known: MergedKnowledge) -> HostKnowledge:
-    """Both kinds of facts as one record, with the age of the older one.
+    """Returns the health and capacity observations as one record, with the older one's age.
 
-    Guards against knowledge that grows younger by merging.
+    The older age guards against knowledge that seems more recent after merging.
     """
     health = known.health.knowledge
     capacity = known.capacity.knowledge
--- a/plankroute/warm_start/merge.py
+++ b/plankroute/warm_start/merge.py
@@ -1,8 +1,8 @@
-"""Merges what several sources know of one host, by kind of fact and never by last writer.
+"""Merges observations of one host from several sources, separately for health and for capacity.
 
-Each kind of fact is a point of a join-semilattice: merging in any order, any number of times, gives
-the same result (conflict-free replicated data types, Shapiro et al. 2011). What the merged facts
-count for is decided by the policy, not here.
+Observations are chosen by rank, not by the last write. Each of the two kinds is a join-semilattice:
+merging in any order, any number of times, gives the same result (conflict-free replicated data
+types, Shapiro et al. 2011). How much the merged observations count is decided by the policy.
 """
 
 import math
@@ -16,7 +16,7 @@
     """What one source knows of a host.
 
     Attributes:
-        knowledge: The facts.
+        knowledge: The observed values.
         observed_at_us: When they were observed, on this controller's monotonic clock.
     """
 
@@ -24,45 +24,52 @@
     observed_at_us: int
 
     def health_rank_us(self, half_life_us: int) -> float:
-        """Freshness of its word on health; bad news count as one half-life fresher.
+        """Returns the rank by which health observations are compared, as a time in microseconds.
 
-        Guards against a host in trouble that one of two controllers has not met yet: good news of
-        the same time must not overrule bad news. The cost: a host that recovered is avoided for a
-        half-life longer, or until its health checks are good.
+        An observation of bad health counts as one half-life more recent. Guards against a failing
+        host whose failures one of two controllers has not seen yet: an observation of good health
+        from the same time must not override one of bad health. The cost: a host that has recovered
+        is avoided for up to a half-life longer, or until its health checks succeed.
         """
         if self.knowledge.is_unhealthy():
             return self.observed_at_us + half_life_us
         return self.observed_at_us
 
     def capacity_rank_us(self, half_life_us: int) -> float:
-        """Freshness of its word on capacity; twice the attempts make up for one half-life."""
+        """Returns the rank by which capacity observations are compared, as a time in microseconds.
+
+        Twice the attempts count as much as being one half-life more recent.
+        """
         return self.observed_at_us + half_life_us * math.log2(1.0 + self.knowledge.attempts)
 
 
 @dataclass(frozen=True, slots=True)
 class MergedKnowledge:
-    """What is known of one start of one host.
+    """Merged knowledge of a host since one of its starts.
 
     Attributes:
-        health: The observation whose word on health stands.
-        capacity: The observation whose word on weight and latency stands.
+        health: The observation from which the health is taken.
+        capacity: The observation from which weight, attempts and latency are taken.
     """
 
     health: Observation
     capacity: Observation
 
     def boot_ms(self) -> float:
-        """Which start of the host this is about."""
+        """Returns the Unix time of the start of the host that the knowledge is about."""
         return self.health.knowledge.boot_ms
 
 
 def from_observation(observation: Observation) -> MergedKnowledge:
-    """What is known after a single observation."""
+    """Returns the merged knowledge that consists of a single observation."""
     return MergedKnowledge(observation, observation)
 
 
 def tie_breaker(observation: Observation) -> tuple[float, ...]:
-    """Orders observations of equal rank; any total order does if all controllers use the same."""
+    """Returns a key that orders observations of equal rank.
+
+    Any total order will do, as long as all controllers use the same one.
+    """
     knowledge = observation.knowledge
     return (
         observation.observed_at_us,
@@ -76,14 +83,14 @@
 
 
 def merge(one: MergedKnowledge, other: MergedKnowledge, half_life_us: int) -> MergedKnowledge:
-    """The better word of two on each kind of fact.
+    """Returns the higher-ranked of two observations for health, and likewise for capacity.
 
-    A later start of the host is another host: nothing of the earlier one is kept.
+    If they are about different starts of the host, only the knowledge of the later start is kept.
 
     Args:
-        one: What is known of the host.
-        other: What else is known of it.
-        half_life_us: The half-life by which ranks are compared.
+        one: Knowledge of the host.
+        other: Further knowledge of the same host.
+        half_life_us: The half-life that the ranks use.
     """
     if one.boot_ms() != other.boot_ms():
         return max(one, other, key=MergedKnowledge.boot_ms)
