--- a/tests/cold_start/test_backoff_discovery.py
+++ b/tests/cold_start/test_backoff_discovery.py
@@ -1,4 +1,4 @@
-"""What an answer of the list service counts as: a watch that ended, or a failed request."""
+"""Which responses of the list service are a watch that has ended, and which a failed request."""
 
 import asyncio
 
@@ -14,23 +14,25 @@
 
 
 @pytest.mark.parametrize(
-    "answer, expected",
+    "response, expected",
     [
         (b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n0\r\n\r\n", WatchEnded),
         (b"HTTP/1.1 503 Busy\r\nRetry-After: 7\r\nContent-Length: 5\r\n\r\nbusy\n", RequestFailed),
         (b'HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\n{"re\r\n', RequestFailed),
     ],
 )
-def test_a_watch_without_changes_is_no_failure(answer: bytes, expected: type[Event]) -> None:
-    """Guards against rounds that grow though all is well, and a 503's body taken for a list."""
+def test_a_watch_that_ends_without_changes_is_not_a_failed_request(
+    response: bytes, expected: type[Event]
+) -> None:
+    """Guards against rounds that grow without a failure, and the body of a 503 taken for a list."""
 
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.readuntil(b"\r\n\r\n")
-        writer.write(answer)
+        writer.write(response)
         await writer.drain()
         writer.close()
 
-    async def scene() -> Event:
+    async def request() -> Event:
         async with asyncio.timeout(20), await asyncio.start_server(serve, "127.0.0.1", 0) as server:
             port = server.sockets[0].getsockname()[1]
             discovery = BackoffDiscovery(
@@ -46,6 +48,6 @@
             discovery.revision = 5
             return await discovery.request_once()
 
-    event = asyncio.run(scene())
+    event = asyncio.run(request())
     assert isinstance(event, expected)
     assert not isinstance(event, RequestFailed) or event.retry_after_us in (None, 7 * SECOND)
--- a/tests/cold_start/test_cold_start_golden.py
+++ b/tests/cold_start/test_cold_start_golden.py
@@ -1,7 +1,7 @@
-"""Bytes of each frame between controllers, and recorded actions of election and backoff.
+"""Recorded bytes of each frame between controllers, and recorded decisions of election and backoff.
 
-Guards against a rename that moves a field on the wire, and against a change of order in draws or
-iteration.
+Guards against a rename that changes a field on the wire, and against a change in the order of
+random draws or of iteration.
 """
 
 from hashlib import blake2b
@@ -51,7 +51,7 @@
 from plankroute.seeded_random import SeededRandom
 
 SECOND = 1_000_000
-# Digests were recorded when these transitions had other names.
+# The digests were recorded when these transitions had other values.
 RECORDED_AS = {
     Transition.INDEPENDENT: "on_its_own",
     Transition.LIST_RESTARTED: "began_anew",
@@ -84,58 +84,59 @@
 
 
 @pytest.mark.parametrize("kind", FRAMES)
-def test_bytes_of_each_frame_stay(kind: str) -> None:
+def test_the_bytes_of_each_frame_are_unchanged(kind: str) -> None:
     frame, recorded = FRAMES[kind]
     assert encode_frame(frame).hex() == recorded
     assert FrameDecoder().feed(bytes.fromhex(recorded)) == [frame]
 
 
-def words_of(action: Command) -> tuple[object, ...]:
-    match action:
-        case Connect(name, light, anew):
-            return "dial", name, light, anew
+def recorded_form(command: Command) -> tuple[object, ...]:
+    """The form of a command in the digests, whose words were recorded under earlier names."""
+    match command:
+        case Connect(name, heartbeats_only, full_list):
+            return "dial", name, heartbeats_only, full_list
         case Disconnect(name):
             return "hang", name
-        case SetWatch(on, place):
-            return "watch", on, place
-        case ReportTransition(what, name):
-            return "noted", RECORDED_AS.get(what, what.value), name
+        case SetWatch(is_enabled, watcher_rank):
+            return "watch", is_enabled, watcher_rank
+        case ReportTransition(transition, name):
+            return "noted", RECORDED_AS.get(transition, transition.value), name
 
 
-def drawn_event(chance: SeededRandom, names: list[str], linked: list[str]) -> Event:
+def random_event(rng: SeededRandom, names: list[str], connected: list[str]) -> Event:
     def pick(options: list[str]) -> str:
-        return options[int(chance.draw() * len(options))]
+        return options[int(rng.draw() * len(options))]
 
-    kind = int(chance.draw() * 12)
+    kind = int(rng.draw() * 12)
     if kind == 0:
-        return LiveControllersChanged(frozenset(name for name in names[1:] if chance.draw() < 0.9))
+        return LiveControllersChanged(frozenset(name for name in names[1:] if rng.draw() < 0.9))
     if kind == 1:
-        return ListUpdated(int(chance.draw() * 5), chance.draw() < 0.3)
+        return ListUpdated(int(rng.draw() * 5), rng.draw() < 0.3)
     if kind == 2:
-        return LinkClosed(pick(linked or names))
+        return LinkClosed(pick(connected or names))
     if kind == 3:
-        return FrameReceived(pick(linked or names))
+        return FrameReceived(pick(connected or names))
     if kind == 4:
         return TickDue()
-    age_us = int(chance.draw() * 14 * SECOND) if chance.draw() < 0.3 else 0
-    return HeartbeatReceived(pick(linked or names), int(chance.draw() * 5) - 1, age_us)
+    age_us = int(rng.draw() * 14 * SECOND) if rng.draw() < 0.3 else 0
+    return HeartbeatReceived(pick(connected or names), int(rng.draw() * 5) - 1, age_us)
 
 
-def actions_digest(seed: int) -> tuple[str, int, int]:
-    """Digest and number of all actions over random events, and the number of their kinds."""
-    chance, digest, count, kinds = SeededRandom(seed), blake2b(digest_size=16), 0, set[object]()
+def commands_digest(seed: int) -> tuple[str, int, int]:
+    """Digest and number of all commands over random events, and the number of their kinds."""
+    rng, digest, count, kinds = SeededRandom(seed), blake2b(digest_size=16), 0, set[object]()
     names = [f"n{number}" for number in range(9)]
     election = WatcherElection(ElectionFacts("n0", "g", 9, 3, 2 * SECOND))
     now_us = 0
     for _ in range(4000):
-        now_us += int(chance.draw() * SECOND // 3) + (chance.draw() < 0.01) * 3 * SECOND
-        linked = list(election.followed.links)
-        events = [drawn_event(chance, names, linked) for _ in range(int(chance.draw() * 3))]
-        for action in election.deliver(now_us, events):
-            words = words_of(action)
-            digest.update(repr((now_us, *words)).encode())
+        now_us += int(rng.draw() * SECOND // 3) + (rng.draw() < 0.01) * 3 * SECOND
+        connected = list(election.followed.links)
+        events = [random_event(rng, names, connected) for _ in range(int(rng.draw() * 3))]
+        for command in election.deliver(now_us, events):
+            form = recorded_form(command)
+            digest.update(repr((now_us, *form)).encode())
             count += 1
-            kinds.add((words[0], words[1] if words[0] == "noted" else ""))
+            kinds.add((form[0], form[1] if form[0] == "noted" else ""))
     return digest.hexdigest(), count, len(kinds)
 
 
@@ -147,22 +148,24 @@
 
 
 @pytest.mark.parametrize("seed", RECORDED)
-def test_the_same_events_give_the_same_actions(seed: int) -> None:
-    assert actions_digest(seed) == RECORDED[seed]
+def test_the_same_events_give_the_same_commands(seed: int) -> None:
+    assert commands_digest(seed) == RECORDED[seed]
 
 
-def test_the_same_seed_gives_the_same_calls() -> None:
-    chance, digest = SeededRandom(4), blake2b(digest_size=16)
+def test_the_same_seed_gives_the_same_request_times() -> None:
+    rng, digest = SeededRandom(4), blake2b(digest_size=16)
     for rank in range(20):
-        caller = RequestScheduler(BackoffFacts(rank, 20, 4.0, 60 * SECOND, 30 * SECOND), rank + 1)
-        due_us = caller.deliver(0, Started()).due_us
+        scheduler = RequestScheduler(
+            BackoffFacts(rank, 20, 4.0, 60 * SECOND, 30 * SECOND), rank + 1
+        )
+        due_us = scheduler.deliver(0, Started()).due_us
         for _ in range(50):
             event: Started | RequestFailed | WatchEnded = RequestFailed()
-            drawn = chance.draw()
+            drawn = rng.draw()
             if drawn < 0.2:
-                event = RequestFailed(int(chance.draw() * 40 * SECOND))
+                event = RequestFailed(int(rng.draw() * 40 * SECOND))
             elif drawn < 0.5:
-                event = WatchEnded(int(chance.draw() * 20 * SECOND))
-            due_us = caller.deliver(due_us, event).due_us
+                event = WatchEnded(int(rng.draw() * 20 * SECOND))
+            due_us = scheduler.deliver(due_us, event).due_us
             digest.update(repr(due_us).encode())
     assert digest.hexdigest() == "1c8662c786bfd31ec6f9bd6ef99e1da1"
--- a/tests/cold_start/test_drain_notices.py
+++ b/tests/cold_start/test_drain_notices.py
@@ -1,4 +1,4 @@
-"""Drain notices ahead of the list, and how they lie over it."""
+"""Drain notices ahead of their list: how long they hold, and how they override host states."""
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
@@ -19,7 +19,7 @@
 DRAINS = [(uid, HostState.DRAINING) for uid in "abc"]
 
 
-def test_a_drain_notice_holds_until_a_list_of_its_revision_says_otherwise() -> None:
+def test_a_drain_notice_holds_until_a_list_of_its_revision_arrives() -> None:
     notices = DrainNotices()
     assert notices.receive(
         0, "n1", 7, [*DRAINS, ("d", HostState.READY)], own_revision=5, listed_hosts=10
@@ -28,10 +28,10 @@
         "b",
         "c",
     ]
-    assert not notices.receive(0, "n2", 7, DRAINS, 5, 10)  # known already
+    assert not notices.receive(0, "n2", 7, DRAINS, 5, 10)  # already known
     assert not notices.receive(
         0, "n2", 5, [("e", HostState.GONE)], 5, 10
-    )  # the list held says more
+    )  # not newer than the held list
     assert notices.receive(0, "n2", 8, DRAINS[:1], 5, 10) == ["a"]
     assert (
         not notices.on_list(6)
@@ -41,8 +41,8 @@
     assert not notices.by_host
 
 
-def test_a_peer_can_close_half_of_the_hosts_and_only_for_a_while() -> None:
-    """Guards against false notices that leave proxies nobody to pick."""
+def test_notices_of_a_peer_close_at_most_half_of_the_hosts_and_expire() -> None:
+    """Guards against false notices that leave proxies no host to choose from."""
     notices = DrainNotices()
     false_notices = [(f"h{host}", HostState.GONE) for host in range(10)]
     assert len(notices.receive(0, "false", 99, false_notices, 5, 10)) == 5 and notices.rejected == 5
@@ -53,40 +53,44 @@
     assert len(notices.retract("false")) == 5 and list(notices.by_host) == ["x"]
 
 
-def test_drain_notices_lie_over_lists_and_give_way_to_the_lists_own_state() -> None:
+def test_drain_notices_override_older_lists_and_yield_to_newer_ones() -> None:
     submitted, telemetry = [], Telemetry(EventLog("n0", lambda line: None))
     directory = Directory(Clock(), ("a",), ("m",), ("p",))
     overlay = DrainNoticeOverlay(directory, telemetry, submitted.append)
 
-    def listed(revision: int, whole: bool, **states: str) -> dict[str, str]:
+    def listed(revision: int, is_complete: bool, **states: str) -> dict[str, str]:
         items = [
             {**target(0, "127.0.0.1:1"), "uid": uid, "state": state}
             for uid, state in states.items()
         ]
-        said = list_from({"rev": revision, "all": whole, "targets": items})
-        return states_of(overlay.filter_list(revision, whole, directory.apply_list(said)[0]))
+        message = list_from({"rev": revision, "all": is_complete, "targets": items})
+        return states_of(
+            overlay.filter_list(revision, is_complete, directory.apply_list(message)[0])
+        )
 
-    def states_of(note: events.HostList) -> dict[str, str]:
-        return {directory.uid(entry.host): entry.state.value for entry in note.entries}
+    def states_of(hosts: events.HostList) -> dict[str, str]:
+        return {directory.uid(entry.host): entry.state.value for entry in hosts.entries}
 
-    everybody = dict.fromkeys("abcdef", "SERVING")
-    listed(5, True, **everybody)
+    all_hosts = dict.fromkeys("abcdef", "SERVING")
+    listed(5, True, **all_hosts)
     overlay.receive("n1", 7, DRAINS)
     assert states_of(submitted[-1]) == dict.fromkeys("abc", "draining")
-    assert listed(6, True, **everybody)["a"] == "draining"  # an older list opens nobody
+    assert (
+        listed(6, True, **all_hosts)["a"] == "draining"
+    )  # an older list does not settle the notice
     assert listed(6, False, a="SERVING") == {"a": "draining"}
     assert listed(7, False, a="DRAINING") == {
         "a": "draining",
         "b": "ready",
         "c": "ready",
-    }  # those notices were false
+    }  # this list settles the notices on b and c
     overlay.receive("n1", 9, [("d", HostState.GONE)])
     overlay.retract("n1")
     assert states_of(submitted[-1]) == {"d": "ready"} and not overlay.listed
     overlay.receive("n1", 9, DRAINS[1:])
-    assert listed(2, True, **everybody) == dict.fromkeys(
+    assert listed(2, True, **all_hosts) == dict.fromkeys(
         "abcdef", "ready"
-    )  # the service began anew
+    )  # the revisions restarted
 
 
 @settings(max_examples=80)
@@ -98,16 +102,16 @@
         max_size=30,
     )
 )
-def test_no_host_is_open_that_the_newest_notice_or_list_has_closed(
-    words: list[tuple[int, str, HostState, bool]],
+def test_a_notice_holds_exactly_while_it_is_newer_than_the_list(
+    messages: list[tuple[int, str, HostState, bool]],
 ) -> None:
-    """A plain model beside it: of each host the newest revision, of notices and of lists."""
+    """Compares with a simple model: the newest revision of each host's notices and of lists."""
     notices, newest, held = DrainNotices(), {}, 0
-    for revision, uid, state, is_list in words:
+    for revision, uid, state, is_list in messages:
         if is_list and revision >= held:
             held = revision
             notices.on_list(revision)
-            newest = {host: at for host, at in newest.items() if at > revision}
+            newest = {host: notified for host, notified in newest.items() if notified > revision}
         elif not is_list and notices.receive(0, "n", revision, [(uid, state)], held, 100):
             newest[uid] = revision
     for uid in "abcdef":
--- a/tests/cold_start/test_endpoint_list.py
+++ b/tests/cold_start/test_endpoint_list.py
@@ -1,4 +1,4 @@
-"""The endpoint list by changes, and lists that come in parts."""
+"""The endpoint list by changes, and lists that are received in parts."""
 
 from zlib import crc32
 
@@ -30,8 +30,8 @@
     ),
     st.integers(0, 12),
 )
-def test_what_has_changed_since_a_revision_brings_any_older_list_up(
-    steps: list[list[tuple[str, str]]], behind: int
+def test_changes_since_a_revision_update_any_older_list(
+    steps: list[list[tuple[str, str]]], applied_steps: int
 ) -> None:
     held, older = EndpointList(), EndpointList()
     held.apply({"rev": 5, "all": True, "targets": [entry(uid) for uid in "abc"]})
@@ -39,7 +39,7 @@
     for number, step in enumerate(steps):
         change = {"rev": 6 + number, "all": False, "targets": [entry(*one) for one in step]}
         held.apply(change)
-        if number < behind:
+        if number < applied_steps:
             older.apply(change)
     since = held.changes_since(older.revision)
     assert since is not None
@@ -51,23 +51,23 @@
     )
 
 
-def test_a_list_that_broke_off_is_resumed_elsewhere_and_a_bad_one_is_rejected() -> None:
+def test_an_interrupted_list_is_resumed_and_an_invalid_one_is_rejected() -> None:
     data = EndpointList().complete() * 400
-    incoming = ListReceiver(len(data))
-    whole = ListStart(7, True, len(data), crc32(data))
-    rest = msgspec.structs.replace(whole, offset=100)
-    incoming.start(whole)
-    assert incoming.add(data[:100]) is None
-    assert incoming.progress() == ListProgress(7, crc32(data), 100)
+    receiver = ListReceiver(len(data))
+    complete = ListStart(7, True, len(data), crc32(data))
+    rest = msgspec.structs.replace(complete, offset=100)
+    receiver.start(complete)
+    assert receiver.add(data[:100]) is None
+    assert receiver.progress() == ListProgress(7, crc32(data), 100)
     with pytest.raises(ListTransferError, match=r"^resumed list differs from received part$"):
-        incoming.start(msgspec.structs.replace(rest, revision=8))
-    incoming.start(rest)
-    assert incoming.add(data[100:]) == data
+        receiver.start(msgspec.structs.replace(rest, revision=8))
+    receiver.start(rest)
+    assert receiver.add(data[100:]) == data
     with pytest.raises(ListTransferError, match=r"^list size is out of range$"):
-        incoming.start(ListStart(7, True, len(data) + 1, 1))
-    incoming.start(ListStart(7, True, 4, 1))
+        receiver.start(ListStart(7, True, len(data) + 1, 1))
+    receiver.start(ListStart(7, True, 4, 1))
     with pytest.raises(ListTransferError, match=r"^list is longer than announced$"):
-        incoming.add(b"xxxxx")
-    incoming.start(ListStart(7, True, 4, 1))
+        receiver.add(b"xxxxx")
+    receiver.start(ListStart(7, True, 4, 1))
     with pytest.raises(ListTransferError, match=r"^list checksum mismatch$"):
-        incoming.add(b"xxxx")
+        receiver.add(b"xxxx")
--- a/tests/cold_start/test_links.py
+++ b/tests/cold_start/test_links.py
@@ -1,4 +1,4 @@
-"""Frames of links, and drain notices that overtake a list."""
+"""Decoding of link frames, and drain notices that overtake a list."""
 
 import asyncio
 
@@ -30,7 +30,9 @@
 
 
 @given(st.binary(max_size=200), st.integers(1, 50))
-def test_frames_are_decoded_however_they_are_cut_and_noise_ends_it(noise: bytes, step: int) -> None:
+def test_frames_are_decoded_from_any_chunks_and_invalid_bytes_stop_decoding(
+    noise: bytes, step: int
+) -> None:
     frames = [
         Hello(1, "g", "n", 5, False, ListProgress(1, 2, 3)),
         ListStart(5, True, 9, 1),
@@ -39,15 +41,15 @@
     ]
     data, decoder = b"".join(map(encode_frame, frames)), FrameDecoder()
     assert [
-        f for at in range(0, len(data), step) for f in decoder.feed(data[at : at + step])
+        frame for at in range(0, len(data), step) for frame in decoder.feed(data[at : at + step])
     ] == frames
-    spoilt = FrameDecoder()
-    out = spoilt.feed(b"\xff" + noise + b"\xff" * 8)
-    assert out in ([], [None]) and len(spoilt.buffer) <= 70_000
+    broken = FrameDecoder()
+    decoded = broken.feed(b"\xff" + noise + b"\xff" * 8)
+    assert decoded in ([], [None]) and len(broken.buffer) <= 70_000
 
 
-class ListOwner:
-    """Owner of links, and what it holds."""
+class StubLinkOwner:
+    """Stub of the `LinkOwner` of a link server, with a list of padded entries."""
 
     group, name = "g", "n0"
 
@@ -67,11 +69,11 @@
 
 
 @pytest.mark.parametrize("heartbeats_only", [False, True])
-def test_a_drain_overtakes_a_large_list_on_its_link(heartbeats_only: bool) -> None:
-    """Guards against a drain that waits until 4 MB have gone over a slow link."""
+def test_a_drain_notice_overtakes_a_large_list(heartbeats_only: bool) -> None:
+    """Guards against a drain that waits until a list of 4 MB was sent over a slow link."""
 
     async def run() -> list:
-        owner = ListOwner(1000, 4000)
+        owner = StubLinkOwner(1000, 4000)
         server = LinkServer(owner)
         await server.open("127.253.0.1:0")
         reader, writer = await asyncio.open_connection(*server.server.sockets[0].getsockname())
@@ -82,7 +84,7 @@
                 frames += decoder.feed(await reader.read(4096))
                 if (
                     frames and owner.endpoint_list.revision == 5
-                ):  # the list, or a first beat, is on its way
+                ):  # the list or a first heartbeat is on its way
                     owner.endpoint_list.apply(
                         {"rev": 6, "all": False, "targets": [entry("h7", "DRAINING")]}
                     )
@@ -96,16 +98,16 @@
         return frames
 
     frames = asyncio.run(run())
-    drains = [place for place, frame in enumerate(frames) if isinstance(frame, DrainNoticeFrame)]
-    parts = [place for place, frame in enumerate(frames) if isinstance(frame, ListPart)]
+    drains = [index for index, frame in enumerate(frames) if isinstance(frame, DrainNoticeFrame)]
+    parts = [index for index, frame in enumerate(frames) if isinstance(frame, ListPart)]
     assert len(drains) == 1 and frames[drains[0]].revision == 6
     assert orjson.loads(frames[drains[0]].entries) == [entry("h7", "DRAINING")]
     assert not parts if heartbeats_only else len(parts) > 200 and drains[0] < parts[-1] - 50
 
 
-def test_many_drain_notices_go_in_chunks_that_fit_a_frame() -> None:
+def test_many_drain_notices_are_split_into_chunks_that_fit_a_frame() -> None:
     items = [orjson.dumps({**entry(f"h{host}"), "padding": "x" * 900}) for host in range(200)]
-    pieces = json_array_chunks([*items, b"y" * 40_000], 32768)
-    assert max(map(len, pieces)) <= 32768 and len(pieces) > 4
-    told = [item for piece in pieces for item in orjson.loads(piece)]
-    assert told == [orjson.loads(item) for item in items]
+    chunks = json_array_chunks([*items, b"y" * 40_000], 32768)
+    assert max(map(len, chunks)) <= 32768 and len(chunks) > 4
+    received = [item for chunk in chunks for item in orjson.loads(chunk)]
+    assert received == [orjson.loads(item) for item in items]
--- a/tests/cold_start/test_list_transfers.py
+++ b/tests/cold_start/test_list_transfers.py
@@ -1,4 +1,4 @@
-"""Lists over links: which receiver takes them, and with which bound."""
+"""Lists over links: which receiver assembles them, and with which size limit."""
 
 from zlib import crc32
 
@@ -11,7 +11,7 @@
 LIST = b"x" * 100
 
 
-def test_a_list_that_broke_off_goes_on_over_another_link() -> None:
+def test_an_interrupted_list_is_resumed_over_another_link() -> None:
     transfers = ListTransfers(lambda: len(LIST))
     start = ListStart(7, True, len(LIST), crc32(LIST))
     transfers.receiver_for_start("n1", start).start(start)
@@ -23,13 +23,13 @@
     assert transfers.receiver_of("n2").add(LIST[60:]) == LIST
 
 
-def test_a_link_has_the_bound_of_its_first_frame() -> None:
-    """Guards against a bound that is changed while the controller runs, and never read again."""
-    bounds = [50, 200]
-    transfers = ListTransfers(lambda: bounds[0])
+def test_a_link_keeps_the_size_limit_of_its_first_frame() -> None:
+    """Guards against a limit that is read once: it may change while the controller runs."""
+    limits = [50, 200]
+    transfers = ListTransfers(lambda: limits[0])
     start = ListStart(7, True, len(LIST), crc32(LIST))
     receiver = transfers.receiver_of("n1")
-    del bounds[0]
+    del limits[0]
     with pytest.raises(ListTransferError, match=r"^list size is out of range$"):
         receiver.start(start)
     assert transfers.receiver_for_start("n1", start) is receiver
--- a/tests/cold_start/test_watcher_election.py
+++ b/tests/cold_start/test_watcher_election.py
@@ -1,4 +1,4 @@
-"""Which controllers watch the list service, and whom the others follow."""
+"""Which controllers watch the list service, and which ones the others follow."""
 
 from collections import Counter
 
@@ -20,16 +20,16 @@
 SECOND = 1_000_000
 
 
-class Stage:
-    """One controller that follows, and the time that the test gives it."""
+class Follower:
+    """The election core of one follower, with a clock that the test advances."""
 
     def __init__(self, others: int = 9, name: str = "") -> None:
         names = [f"n{number}" for number in range(others + 1)]
         self.watchers = rendezvous_order(names, "g")[:3]
-        self.me = name or next(one for one in names if one not in self.watchers)
-        self.core = WatcherElection(ElectionFacts(self.me, "g", len(names), 3, 2 * SECOND))
-        self.now, self.names = 0, frozenset(names) - {self.me}
-        self.done = self.core.deliver(0, [LiveControllersChanged(self.names)])
+        self.own_name = name or next(one for one in names if one not in self.watchers)
+        self.core = WatcherElection(ElectionFacts(self.own_name, "g", len(names), 3, 2 * SECOND))
+        self.now, self.names = 0, frozenset(names) - {self.own_name}
+        self.first_commands = self.core.deliver(0, [LiveControllersChanged(self.names)])
 
     def main(self) -> str:
         return next(
@@ -39,16 +39,16 @@
     def witness(self) -> str:
         return next(name for name, link in self.core.followed.links.items() if link.heartbeats_only)
 
-    def say(self, seconds: float, *said: HeartbeatReceived) -> list:
-        """The same words each quarter of a second for so long."""
-        out = []
+    def repeat(self, seconds: float, *heartbeats: HeartbeatReceived) -> list:
+        """Delivers the same heartbeats every quarter of a second for some time."""
+        commands = []
         for _ in range(int(seconds * 4)):
             self.now += SECOND // 4
-            out += self.core.deliver(self.now, [*said])
-        return out
+            commands += self.core.deliver(self.now, [*heartbeats])
+        return commands
 
 
-def test_everyone_finds_the_same_watchers_and_one_that_goes_moves_nobody_else() -> None:
+def test_all_elect_the_same_watchers_and_removing_one_keeps_the_order_of_the_others() -> None:
     names = [f"n{number}" for number in range(50)]
     order = rendezvous_order(names, "g")
     assert rendezvous_order(reversed(names), "g") == order
@@ -60,87 +60,101 @@
     assert min(firsts.values()) > 5  # followers are spread over the watchers
 
 
-def test_nobody_watches_the_service_while_nobody_knows_anybody() -> None:
+def test_no_controller_watches_the_service_before_its_view_is_stable() -> None:
     core = WatcherElection(ElectionFacts("n0", "g", 300, 3, 2 * SECOND))
     assert not core.deliver(0, []) and not core.deliver(
         SECOND // 4, [LiveControllersChanged(frozenset({"n1"}))]
     )
     core.deliver(SECOND // 2, [LiveControllersChanged(frozenset())])
-    out = [action for at in range(3, 24) for action in core.deliver(at * SECOND // 4, [])]
-    assert out == [
+    commands = [action for at in range(3, 24) for action in core.deliver(at * SECOND // 4, [])]
+    assert commands == [
         ReportTransition(Transition.INDEPENDENT),
         SetWatch(True, None),
-    ]  # alone: in rounds by rank
+    ]  # no watcher rank: requests in slots of the configured rank
 
 
-def test_a_watcher_that_stalls_is_left_for_the_next_and_nobody_at_all_for_the_service() -> None:
-    stage = Stage()
-    main, witness = stage.main(), stage.witness()
-    assert not stage.say(4, HeartbeatReceived(main, 5, 0), HeartbeatReceived(witness, 5, 0))
-    out = stage.say(3, HeartbeatReceived(witness, 5, 0))
+def test_a_stalled_watcher_is_replaced_and_without_any_the_service_is_watched() -> None:
+    follower = Follower()
+    main, witness = follower.main(), follower.witness()
+    assert not follower.repeat(4, HeartbeatReceived(main, 5, 0), HeartbeatReceived(witness, 5, 0))
+    commands = follower.repeat(3, HeartbeatReceived(witness, 5, 0))
     assert (
-        Disconnect(main) in out
-        and stage.main() not in (main, witness)
-        and SetWatch(True, None) not in out
+        Disconnect(main) in commands
+        and follower.main() not in (main, witness)
+        and SetWatch(True, None) not in commands
     )
-    out = stage.say(14)
-    assert SetWatch(True, None) in out
-    out = stage.say(2, HeartbeatReceived(stage.main(), 5, 0))
-    assert SetWatch(False, None) in out
-
-
-def test_a_stale_watcher_is_left_and_a_service_that_restarted_is_believed() -> None:
-    stage = Stage()
-    main, witness = stage.main(), stage.witness()
-    stage.core.deliver(stage.now, [ListUpdated(50, False)])
-    out = stage.say(1, HeartbeatReceived(main, 40, 60 * SECOND), HeartbeatReceived(witness, 50, 0))
-    assert Disconnect(main) in out and not [
-        a for a in out if isinstance(a, Connect) and a.full_list
+    commands = follower.repeat(14)
+    assert SetWatch(True, None) in commands
+    commands = follower.repeat(2, HeartbeatReceived(follower.main(), 5, 0))
+    assert SetWatch(False, None) in commands
+
+
+def test_a_stale_watcher_is_left_and_a_restart_of_the_revisions_is_accepted() -> None:
+    follower = Follower()
+    main, witness = follower.main(), follower.witness()
+    follower.core.deliver(follower.now, [ListUpdated(50, False)])
+    commands = follower.repeat(
+        1, HeartbeatReceived(main, 40, 60 * SECOND), HeartbeatReceived(witness, 50, 0)
+    )
+    assert Disconnect(main) in commands and not [
+        a for a in commands if isinstance(a, Connect) and a.full_list
     ]
-    stage = Stage()
-    main, witness = stage.main(), stage.witness()
-    stage.core.deliver(stage.now, [ListUpdated(50, False)])
-    out = stage.say(4, HeartbeatReceived(main, 2, 0), HeartbeatReceived(witness, 2, 0))
-    assert Connect(main, False, True) in out
-
-
-def test_a_lower_or_higher_revision_of_one_alone_is_checked_with_the_service() -> None:
-    for words in ((2, None), (900, 50)):
-        stage = Stage()
-        main, witness = stage.main(), stage.witness()
-        stage.core.deliver(stage.now, [ListUpdated(50, False)])
-        said = [HeartbeatReceived(main, words[0], 0)] + (
-            [HeartbeatReceived(witness, words[1], 0)] if words[1] else []
+    follower = Follower()
+    main, witness = follower.main(), follower.witness()
+    follower.core.deliver(follower.now, [ListUpdated(50, False)])
+    commands = follower.repeat(4, HeartbeatReceived(main, 2, 0), HeartbeatReceived(witness, 2, 0))
+    assert Connect(main, False, True) in commands
+
+
+def test_a_differing_revision_of_a_single_controller_is_checked_with_the_service() -> None:
+    for revisions in ((2, None), (900, 50)):
+        follower = Follower()
+        main, witness = follower.main(), follower.witness()
+        follower.core.deliver(follower.now, [ListUpdated(50, False)])
+        heartbeats = [HeartbeatReceived(main, revisions[0], 0)] + (
+            [HeartbeatReceived(witness, revisions[1], 0)] if revisions[1] else []
         )
-        if not words[1]:
-            stage.core.deliver(stage.now, [LinkClosed(witness)])
-            stage.core.followed.avoided_until_us = dict.fromkeys(
-                set(stage.watchers) - {main}, 1 << 60
+        if not revisions[1]:
+            follower.core.deliver(follower.now, [LinkClosed(witness)])
+            follower.core.followed.avoided_until_us = dict.fromkeys(
+                set(follower.watchers) - {main}, 1 << 60
             )
-        assert SetWatch(True, None) in stage.say(6, *said)
-        out = stage.core.deliver(stage.now, [ListUpdated(50, True)])
-        assert (ReportTransition(Transition.LEFT_AHEAD, main) in out) is (words[0] == 900)
-
-
-def test_a_controller_that_was_paused_does_not_find_all_others_late() -> None:
-    """Guards against hundreds of requests because controllers were starved of their cores."""
-    stage = Stage()
-    said = [HeartbeatReceived(stage.main(), 5, 0), HeartbeatReceived(stage.witness(), 5, 0)]
-    stage.say(3, *said)
-    for _ in range(4):  # beats two seconds apart, with the others' words waiting behind them
-        stage.now += 2 * SECOND
+        assert SetWatch(True, None) in follower.repeat(6, *heartbeats)
+        commands = follower.core.deliver(follower.now, [ListUpdated(50, True)])
+        assert (ReportTransition(Transition.LEFT_AHEAD, main) in commands) is (revisions[0] == 900)
+
+
+def test_a_paused_controller_does_not_take_all_others_to_have_stalled() -> None:
+    """Guards against hundreds of requests from controllers that got no CPU time for a while."""
+    follower = Follower()
+    heartbeats = [
+        HeartbeatReceived(follower.main(), 5, 0),
+        HeartbeatReceived(follower.witness(), 5, 0),
+    ]
+    follower.repeat(3, *heartbeats)
+    for _ in range(4):  # steps two seconds apart; heartbeats are delivered after the pause
+        follower.now += 2 * SECOND
         assert not [
-            a for a in stage.core.deliver(stage.now, []) if isinstance(a, Disconnect | SetWatch)
+            a
+            for a in follower.core.deliver(follower.now, [])
+            if isinstance(a, Disconnect | SetWatch)
         ]
-        stage.core.deliver(stage.now, [*said])
-    stage.say(3)
-    assert SetWatch(True, None) in stage.say(14)  # it is awake, and they are silent
+        follower.core.deliver(follower.now, [*heartbeats])
+    follower.repeat(3)
+    assert SetWatch(True, None) in follower.repeat(14)  # without a pause, the others are silent
 
 
 def test_watchers_that_have_all_lost_the_service_do_not_count_as_contact() -> None:
-    """Guards against a group whose watchers are cut off from the list service, others not."""
-    stage = Stage()
-    said = [HeartbeatReceived(stage.main(), 50, 0), HeartbeatReceived(stage.witness(), 50, 0)]
-    assert SetWatch(True, None) not in stage.say(6, *said)
-    out = stage.say(6, *(HeartbeatReceived(one.name, 50, 11 * SECOND) for one in said))
-    assert SetWatch(True, None) in out and SetWatch(False, None) in stage.say(2, *said)
+    """Guards against followers that rely on watchers which are all cut off from the service."""
+    follower = Follower()
+    heartbeats = [
+        HeartbeatReceived(follower.main(), 50, 0),
+        HeartbeatReceived(follower.witness(), 50, 0),
+    ]
+    assert SetWatch(True, None) not in follower.repeat(6, *heartbeats)
+    commands = follower.repeat(
+        6, *(HeartbeatReceived(one.name, 50, 11 * SECOND) for one in heartbeats)
+    )
+    assert SetWatch(True, None) in commands and SetWatch(False, None) in follower.repeat(
+        2, *heartbeats
+    )
