--- a/tests/warm_start/test_knowledge_merge.py
+++ b/tests/warm_start/test_knowledge_merge.py
@@ -1,4 +1,4 @@
-"""Merging what several sources know of a host."""
+"""Merging observations of a host from several sources."""
 
 import msgspec
 from hypothesis import given, settings
@@ -34,7 +34,7 @@
 
 @settings(max_examples=200)
 @given(KNOWN, KNOWN, KNOWN)
-def test_merging_in_any_order_and_any_number_of_times_gives_the_same(
+def test_merging_in_any_order_and_any_number_of_times_gives_the_same_result(
     one: MergedKnowledge, two: MergedKnowledge, three: MergedKnowledge
 ) -> None:
     assert merged(one, one) == one
@@ -43,17 +43,17 @@
     assert merged(merged(one, two), two) == merged(one, two)
 
 
-def test_bad_news_win_over_good_news_unless_those_are_a_half_life_fresher() -> None:
+def test_bad_health_overrides_good_health_unless_that_is_a_half_life_more_recent() -> None:
     bad = from_observation(Observation(UNHEALTHY, 0))
     good = from_observation(Observation(HEALTHY, HALF_LIFE_US // 2))
     assert merged(good, bad).health.knowledge is UNHEALTHY
-    fresher = from_observation(Observation(HEALTHY, HALF_LIFE_US + 1))
-    assert merged(fresher, bad).health.knowledge is HEALTHY
-    # As many attempts, observed later.
+    more_recent = from_observation(Observation(HEALTHY, HALF_LIFE_US + 1))
+    assert merged(more_recent, bad).health.knowledge is HEALTHY
+    # Equal attempts: the later observation is used.
     assert merged(good, bad).capacity.knowledge is HEALTHY
 
 
-def test_a_later_start_of_the_host_replaces_all_that_is_known_of_an_earlier_one() -> None:
+def test_a_later_start_of_the_host_discards_all_knowledge_of_an_earlier_one() -> None:
     bad = from_observation(Observation(UNHEALTHY, 0))
     restarted = from_observation(Observation(msgspec.structs.replace(HEALTHY, boot_ms=6.0), 0))
     assert merged(restarted, bad) is restarted
--- a/tests/warm_start/test_prior_knowledge_policy.py
+++ b/tests/warm_start/test_prior_knowledge_policy.py
@@ -1,4 +1,4 @@
-"""What the policy makes of prior knowledge, be it right, wrong or absurd."""
+"""Effects of prior knowledge on the policy, whether it is right, wrong or implausible."""
 
 import random
 
@@ -41,7 +41,7 @@
 
 
 def started(*known: events.HostPriorKnowledge, hosts: int = 10, fresh: bool = True) -> Bench:
-    """The list and the prior knowledge come first; then proxies, and answers to health checks."""
+    """A controller that got list and prior knowledge, then proxies, then health check results."""
     bench = Bench(start_facts())
     bench.give(listed_hosts(hosts), *known)
     checked = probes(bench.give(*joining_proxies(fresh)))
@@ -64,13 +64,13 @@
     lines = bench.lines[0]
     assert 103 not in lines and lines[100] > 1.4 * lines[105]
     assert 103 in probes(bench.log)
-    for _ in range(12):  # it recovered: good health checks in a row readmit it, by degrees
+    for _ in range(12):  # after recovery, successive good health checks readmit it gradually
         bench.pass_time(SECOND)
         bench.give(health_check(103, HealthCheckOutcome.ANSWERED))
     assert bench.lines[0][103] > 0
 
 
-def test_knowledge_a_day_old_counts_for_nearly_nothing() -> None:
+def test_knowledge_that_is_a_day_old_has_hardly_any_effect() -> None:
     old = 86_400 * SECOND
     bench = started(
         *[prior_knowledge(100 + i, i == 3, 0.1 if i < 5 else 1.4, old) for i in range(10)]
@@ -79,16 +79,16 @@
     assert max(lines.values()) - min(lines.values()) <= 1 and 103 in lines
 
 
-def test_knowledge_that_is_all_wrong_leaves_the_start_as_it_would_have_been() -> None:
-    """Guards against a file of another time: hosts said to be healthy fail, others are well."""
-    plain = Bench(start_facts())
-    plain.give(listed_hosts())
-    wrong = Bench(start_facts())
-    wrong.give(
+def test_wrong_knowledge_leaves_the_first_weights_as_without_knowledge() -> None:
+    """Guards against an outdated file that takes failing hosts for healthy ones and vice versa."""
+    without_knowledge = Bench(start_facts())
+    without_knowledge.give(listed_hosts())
+    with_wrong_knowledge = Bench(start_facts())
+    with_wrong_knowledge.give(
         listed_hosts(),
         *[prior_knowledge(100 + i, i < 2, 1.4 if i > 7 else 1.0) for i in range(10)],
     )
-    for bench in (plain, wrong):
+    for bench in (without_knowledge, with_wrong_knowledge):
         bench.give(*joining_proxies(fresh=True))
         bench.give(
             *[
@@ -99,18 +99,18 @@
             ]
         )
         bench.pass_time(SECOND // 2)
-    assert wrong.lines[0] == pytest.approx(plain.lines[0], rel=0.05)
-    assert not wrong.controller.policy.prior.weights
+    assert with_wrong_knowledge.lines[0] == pytest.approx(without_knowledge.lines[0], rel=0.05)
+    assert not with_wrong_knowledge.controller.policy.prior.weights
 
 
-def test_knowledge_that_all_hosts_are_unhealthy_ejects_a_third_at_most() -> None:
+def test_knowledge_that_all_hosts_are_unhealthy_ejects_at_most_a_third() -> None:
     bench = started(*[prior_knowledge(100 + i, True) for i in range(10)])
     assert len(bench.lines[0]) >= 6
     assert sum(bench.controller.host_table.ejected) <= 3
 
 
-def test_beside_published_tables_prior_knowledge_may_only_lower_a_weight() -> None:
-    """Guards against an avoided host that wrong knowledge calls healthy."""
+def test_with_published_tables_prior_knowledge_may_only_lower_a_weight() -> None:
+    """Guards against requests to an avoided host that wrong knowledge records as healthy."""
     bench = Bench(start_facts())
     bench.give(
         listed_hosts(),
@@ -130,7 +130,7 @@
     assert lines[101] < lines[100] / 2
 
 
-def test_own_requests_overrule_prior_knowledge() -> None:
+def test_own_observations_override_prior_knowledge() -> None:
     bench = ready_bench()
     feed(bench, 3)
     before = dict(bench.lines[0])
@@ -147,8 +147,8 @@
     assert not bench.controller.policy.prior.weights
 
 
-def drawn_knowledge(rng: random.Random) -> events.HostPriorKnowledge:
-    """Prior knowledge of any sense or none."""
+def random_knowledge(rng: random.Random) -> events.HostPriorKnowledge:
+    """Random prior knowledge, plausible or not."""
     return events.HostPriorKnowledge(
         rng.randrange(95, 125),
         rng.choice([0.0, 1e9, rng.random()]),
@@ -163,20 +163,20 @@
 
 
 @pytest.mark.parametrize("seed", range(8))
-def test_no_rule_of_the_protocol_rests_on_prior_knowledge(seed: int) -> None:
-    """The bench objects to any break, whatever knowledge comes, in any order, at any time."""
+def test_no_prior_knowledge_breaks_a_rule_of_the_protocol(seed: int) -> None:
+    """The bench asserts the rules at each step, with random knowledge in each batch of events."""
 
-    class BenchWithDrawnKnowledge(Bench):
+    class BenchWithRandomKnowledge(Bench):
         def give(self, *batch: events.Event) -> list[Command]:
             rng = random.Random(self.now + seed)
-            known = [drawn_knowledge(rng) for _ in range(6)]
+            known = [random_knowledge(rng) for _ in range(6)]
             return super().give(*known, *batch)
 
-    bench = BenchWithDrawnKnowledge(start_facts(health_checks_allowed=seed % 2 == 0))
+    bench = BenchWithRandomKnowledge(start_facts(health_checks_allowed=seed % 2 == 0))
     generated_day(bench, random.Random(seed), 40)
 
 
-def test_only_what_was_observed_first_hand_is_passed_on() -> None:
+def test_only_own_observations_are_passed_on() -> None:
     bench = started(prior_knowledge(103, True), prior_knowledge(104, False, 0.5))
     assert not list(bench.controller.prior_knowledge())
     feed(bench, 3, failed=lambda host: 8 if host == 105 else 0, skip=(103,))
--- a/tests/warm_start/test_snapshot_codec.py
+++ b/tests/warm_start/test_snapshot_codec.py
@@ -1,4 +1,4 @@
-"""Files and bytes of snapshots: what can't be used is recognised, and old files are read."""
+"""Encoding of snapshots: unusable files are rejected, and files of earlier releases are read."""
 
 import msgspec
 import pytest
@@ -17,7 +17,7 @@
 )
 from plankroute.warm_start.snapshot import HostKnowledge, Snapshot
 
-# Written at 5000 ms by the commit 3d52a09, with what was then plankroute.learned.codec.write_file.
+# Written by plankroute.learned.codec.write_file of commit 3d52a09 at Unix time 5000 ms.
 FILE_OF_3D52A09 = bytes.fromhex(
     "504b4c5200010000000000000000009100000000000013883808f6443ef35da895a26e3107cd05dc9299a168cb"
     "4014000000000000cb3ff0000000000000cb4044000000000000cb0000000000000000cb40d3880000000000c2"
@@ -56,21 +56,21 @@
 )
 
 
-def test_a_file_stored_by_an_earlier_release_is_read_and_written_with_the_same_bytes() -> None:
+def test_a_file_of_an_earlier_release_is_read_and_written_with_the_same_bytes() -> None:
     stored = decode_file(FILE_OF_3D52A09, "n1", 7000)
     assert stored == StoredSnapshot(SNAPSHOT_OF_3D52A09, 2 * SECOND)
     assert encode_file(SNAPSHOT_OF_3D52A09, 5000) == FILE_OF_3D52A09
 
 
-def test_every_flipped_byte_and_every_truncation_is_recognised() -> None:
+def test_every_changed_byte_and_every_truncation_is_detected() -> None:
     data = encode_file(snapshot_of(HEALTHY, UNHEALTHY), 5000)
-    whole = StoredSnapshot(snapshot_of(HEALTHY, UNHEALTHY), 2 * SECOND)
-    assert decode_file(data, "n1", 7000) == whole
-    for place in range(len(data)):
+    expected = StoredSnapshot(snapshot_of(HEALTHY, UNHEALTHY), 2 * SECOND)
+    assert decode_file(data, "n1", 7000) == expected
+    for index in range(len(data)):
         for bits in (1, 128, 255):
-            corrupt = data[:place] + bytes([data[place] ^ bits]) + data[place + 1 :]
-            assert isinstance(decode_file(corrupt, "n1", 7000), FileProblem), place
-        assert decode_file(data[:place], "n1", 7000) is FileProblem.TRUNCATED
+            corrupt = data[:index] + bytes([data[index] ^ bits]) + data[index + 1 :]
+            assert isinstance(decode_file(corrupt, "n1", 7000), FileProblem), index
+        assert decode_file(data[:index], "n1", 7000) is FileProblem.TRUNCATED
     assert decode_file(data + b"x", "n1", 7000) is FileProblem.TRUNCATED
 
 
@@ -84,13 +84,13 @@
     ],
     ids=["newer", "older", "other controller", "too large"],
 )
-def test_a_file_that_cannot_be_used_says_why(
+def test_an_unusable_file_is_rejected_with_the_reason(
     data: bytes, controller: str, problem: FileProblem
 ) -> None:
     assert decode_file(data, controller, 0) is problem
 
 
-def test_the_age_is_unknown_where_the_wall_clock_was_set_back() -> None:
+def test_the_age_is_unknown_if_the_wall_clock_was_set_back() -> None:
     data = encode_file(snapshot_of(HEALTHY), 10**9)
     assert decode_file(data, "n1", 0) == StoredSnapshot(snapshot_of(HEALTHY), None)
 
@@ -101,7 +101,7 @@
     assert isinstance(decode_file(noise, "n1", 0), FileProblem)
 
 
-def test_a_snapshot_of_a_host_that_started_today_is_read_again() -> None:
+def test_a_snapshot_with_a_present_day_boot_time_can_be_decoded() -> None:
     host = msgspec.structs.replace(HEALTHY, boot_ms=1_764_700_000_123.0)
     stored = decode_file(encode_file(snapshot_of(host), 5000), "n1", 7000)
     assert isinstance(stored, StoredSnapshot)
--- a/tests/warm_start/test_snapshot_exchange.py
+++ b/tests/warm_start/test_snapshot_exchange.py
@@ -1,4 +1,4 @@
-"""Snapshots between controllers, with scripted peers."""
+"""Exchange of snapshots between controllers, with scripted peers."""
 
 import asyncio
 import time
@@ -26,38 +26,38 @@
 
 
 @dataclass(frozen=True)
-class Asked:
+class RequestResult:
     received: list[SnapshotReceived]
     took_s: float
 
 
-async def ask_peer(answer: Answer) -> Asked:
-    """One request, with a limit of 400 ms, to a peer that answers so."""
+async def ask_peer(answer: Answer) -> RequestResult:
+    """Sends one request, with a time limit of 400 ms, to a peer with the given behaviour."""
     received: list[SnapshotReceived] = []
     exchange = new_exchange(received)
     server = await asyncio.start_server(answer, "127.0.0.1", 0)
     try:
         began_s = time.monotonic()
         await exchange.ask(Peer("n1", server.sockets[0].getsockname()), 0.4)
-        return Asked(received, time.monotonic() - began_s)
+        return RequestResult(received, time.monotonic() - began_s)
     finally:
         server.close()
 
 
 MANY_HOSTS = [msgspec.structs.replace(HEALTHY, uid=f"h{host}") for host in range(900)]
-WHOLE = view_frames("n1", 5, encode_snapshot(snapshot_of(HEALTHY, *MANY_HOSTS)))
+ALL_FRAMES = view_frames("n1", 5, encode_snapshot(snapshot_of(HEALTHY, *MANY_HOSTS)))
 
 
 @pytest.mark.parametrize(
     ("frames", "closes", "snapshots"),
     [
-        pytest.param(WHOLE, True, 1, id="whole"),
-        pytest.param(WHOLE[:-1], True, 0, id="restarts between two pieces"),
-        pytest.param(WHOLE[:-1], False, 0, id="is paused in the middle"),
-        pytest.param([], False, 0, id="says nothing"),
-        pytest.param([], True, 0, id="closes at once"),
+        pytest.param(ALL_FRAMES, True, 1, id="sends all"),
+        pytest.param(ALL_FRAMES[:-1], True, 0, id="closes before the last part"),
+        pytest.param(ALL_FRAMES[:-1], False, 0, id="pauses before the last part"),
+        pytest.param([], False, 0, id="sends nothing"),
+        pytest.param([], True, 0, id="closes without an answer"),
         pytest.param(
-            [*WHOLE[:-1], encode_frame(ListPart(b"x" * 9000))],
+            [*ALL_FRAMES[:-1], encode_frame(ListPart(b"x" * 9000))],
             False,
             0,
             id="sends too large a part",
@@ -68,17 +68,19 @@
             0,
             id="announces a terabyte",
         ),
-        pytest.param([b"\xff" * 50], False, 0, id="sends noise"),
-        pytest.param([*view_frames("n1", 0, b"no view at all")], True, 0, id="sends no snapshot"),
+        pytest.param([b"\xff" * 50], False, 0, id="sends invalid bytes"),
+        pytest.param(
+            [*view_frames("n1", 0, b"no view at all")], True, 0, id="sends an invalid snapshot"
+        ),
         pytest.param(
             [*view_frames("n9", 0, encode_snapshot(snapshot_of(HEALTHY)))],
             True,
             0,
-            id="sends one controller's snapshot in another's name",
+            id="sends a snapshot under another controller's name",
         ),
     ],
 )
-def test_a_faulty_peer_is_left_in_time_and_half_an_answer_is_none(
+def test_a_faulty_peer_is_given_up_in_time_and_an_incomplete_answer_is_dropped(
     frames: list[bytes], closes: bool, snapshots: int
 ) -> None:
     async def answer(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -89,15 +91,15 @@
         else:
             await reader.read()
 
-    asked = asyncio.run(ask_peer(answer))
-    assert len(asked.received) == snapshots
-    assert asked.took_s < 3.0
+    result = asyncio.run(ask_peer(answer))
+    assert len(result.received) == snapshots
+    assert result.took_s < 3.0
     if snapshots:
-        assert asked.received[0].source == "n1"
-        assert 5 <= asked.received[0].age_us < 3 * SECOND
+        assert result.received[0].source == "n1"
+        assert 5 <= result.received[0].age_us < 3 * SECOND
 
 
-def test_handovers_are_bounded_and_the_newest_of_each_controller_is_held() -> None:
+def test_handovers_are_bounded_and_the_newest_of_each_controller_is_kept() -> None:
     exchange = new_exchange([])
     for number in range(40):
         name = f"n{number}"
@@ -109,6 +111,6 @@
     newest = decode_snapshot(exchange.handovers["n39"].data)
     assert newest
     assert newest.hosts == (UNHEALTHY,)
-    untouched = decode_snapshot(exchange.handovers["n38"].data)
-    assert untouched
-    assert untouched.hosts == (HEALTHY,)
+    unchanged = decode_snapshot(exchange.handovers["n38"].data)
+    assert unchanged
+    assert unchanged.hosts == (HEALTHY,)
--- a/tests/warm_start/test_snapshot_store.py
+++ b/tests/warm_start/test_snapshot_store.py
@@ -28,21 +28,22 @@
 
 
 class PowerCut(Exception):  # noqa: N818 - an event of the scenario, not an error of the code
-    """The simulated machine has lost its power."""
+    """The simulated machine has lost power."""
 
 
 class LossyDisk(Disk):
-    """A disk in memory that loses power before a given step.
+    """An in-memory disk that loses power once it has executed a number of steps.
 
-    What was synced stays; of what was not, a drawn part.
+    Synced content survives a power cut; of unsynced content a random prefix does.
 
     Attributes:
-        synced: Names and contents that are on the disk for sure.
-        visible: Names and contents as the running system sees them.
+        last_step: Number of steps before the power cut.
+        synced: Contents that survive a power cut, by path.
+        visible: Contents as the running system sees them, by path.
     """
 
-    def __init__(self, chance: random.Random, last_step: int) -> None:
-        self.chance = chance
+    def __init__(self, rng: random.Random, last_step: int) -> None:
+        self.rng = rng
         self.last_step = last_step
         self.steps = 0
         self.synced: dict[Path, bytes] = {}
@@ -61,12 +62,12 @@
         if sync:
             self.synced[path] = data
         else:
-            self.synced[path] = data[: self.chance.randrange(len(data))]
+            self.synced[path] = data[: self.rng.randrange(len(data))]
         self.step()
 
     def rename(self, path: Path, target: Path) -> None:
         self.visible[target] = self.visible.pop(path)
-        reaches_disk_before_sync = self.chance.random() < 0.5
+        reaches_disk_before_sync = self.rng.random() < 0.5
         if reaches_disk_before_sync:
             self.synced[target] = self.synced.pop(path)
             self.step()
@@ -80,7 +81,7 @@
 
 
 def write_without_sync(disk: LossyDisk, path: Path) -> None:
-    """What must not be done."""
+    """A faulty writer, which the lossy disk has to detect."""
     disk.write(path.with_name("x"), NEW, sync=False)
     disk.rename(path.with_name("x"), path)
 
@@ -88,7 +89,7 @@
 def contents_after_power_cuts(
     write: Callable[[LossyDisk, Path], None], seed: int
 ) -> set[bytes | None]:
-    """What is on the disk after a power cut at each of the steps."""
+    """The contents of the file after a power cut at each of the steps."""
     path = Path("/d/n1.learned")
     contents: set[bytes | None] = set()
     for last_step in range(8):
@@ -102,7 +103,7 @@
 
 
 @pytest.mark.parametrize("seed", range(50))
-def test_a_power_cut_at_any_step_leaves_all_of_the_old_or_all_of_the_new_content(
+def test_a_power_cut_at_any_step_leaves_either_the_old_or_the_new_content(
     seed: int,
 ) -> None:
     assert contents_after_power_cuts(write_synced, seed) == {OLD, NEW}
@@ -113,7 +114,7 @@
     assert set().union(*contents) - {OLD, NEW}
 
 
-def test_a_full_disk_is_reported_and_the_next_write_is_another_attempt(tmp_path: Path) -> None:
+def test_a_full_disk_is_reported_and_the_next_write_is_tried_again(tmp_path: Path) -> None:
     class FullDisk(Disk):
         is_full = True
 
@@ -139,7 +140,7 @@
     assert (tmp_path / "f").read_bytes() == b"two"
 
 
-def test_a_file_of_two_gigabytes_a_pipe_and_a_link_hold_up_nobody(tmp_path: Path) -> None:
+def test_a_file_of_two_gigabytes_a_pipe_and_a_symlink_do_not_block_reading(tmp_path: Path) -> None:
     with open(tmp_path / "large", "wb") as file:
         file.truncate(2 << 30)
     data = Disk().read(tmp_path / "large", MAX_FILE_BYTES)
@@ -153,13 +154,13 @@
     assert Disk().read(tmp_path / "none", 1) is None
 
 
-def test_the_name_of_a_controller_never_leaves_the_folder() -> None:
+def test_the_file_name_of_a_controller_never_leaves_the_folder() -> None:
     assert "/" not in snapshot_file_name("../../etc/x")
     assert snapshot_file_name("n1") == "n1.learned"
 
 
-def test_a_disk_that_hangs_holds_up_neither_the_start_nor_the_end(tmp_path: Path) -> None:
-    """Guards against an end that waits for a thread which waits for a disk."""
+def test_a_hanging_disk_delays_neither_start_nor_shutdown(tmp_path: Path) -> None:
+    """Guards against a shutdown that waits for a thread which is blocked by the disk."""
     released = threading.Event()
     durations_s: list[float] = []
 
--- a/tests/warm_start/test_warm_restart_processes.py
+++ b/tests/warm_start/test_warm_restart_processes.py
@@ -17,7 +17,7 @@
 
 HOSTS = 20
 FAILING_HOST = 7
-STARTED_MS = 1_764_700_000_123  # of every second host, a Unix time; the others started long ago
+STARTED_MS = 1_764_700_000_123  # Unix time of the start of every second host; the rest have 0
 
 OutcomeByWay = dict[str, Outcome]
 
@@ -40,26 +40,28 @@
 
 
 @pytest.mark.parametrize("way", ["snapshot", "peer"])
-def test_a_restart_with_prior_knowledge_costs_a_quarter_at_most(
+def test_a_restart_with_prior_knowledge_costs_at_most_a_quarter(
     outcomes: tuple[OutcomeByWay, OutcomeByWay], way: str
 ) -> None:
     fresh, stay = outcomes
-    assert fresh["nothing"].failures > 50, "nothing was lost without: the trial shows nothing"
+    assert fresh["nothing"].failures > 50, (
+        "no requests failed without prior knowledge: the run shows nothing"
+    )
     assert fresh[way].failures <= fresh["nothing"].failures / 4
     assert fresh[way].hosts_provided >= 40
     assert stay[way].failures <= fresh["nothing"].failures / 4
 
 
-def test_prior_knowledge_that_is_all_wrong_costs_little(
+def test_wrong_prior_knowledge_costs_little(
     outcomes: tuple[OutcomeByWay, OutcomeByWay],
 ) -> None:
-    """A generous bound on one seed; the figure is measured over many (docs/warm-start.md)."""
+    """A generous limit for one seed; docs/warm-start.md has the figure over many seeds."""
     fresh, _ = outcomes
     assert fresh["wrong"].failures <= 1.5 * fresh["nothing"].failures
 
 
 class ControllerGroup:
-    """Three controllers with snapshot files and links, and a list of hosts that is handed over."""
+    """Three controllers with snapshot files, links and a list of hosts in their configuration."""
 
     def __init__(self, folder: str, net: int) -> None:
         targets = [
@@ -108,7 +110,7 @@
         )
 
     async def report_requests(self, member: int) -> None:
-        """Sums by which the controller observes that one host fails all requests."""
+        """Sends request counts to a controller in which one host fails all requests."""
         address = self.processes.real[member][0], STREAM_PORT
         _, self.collector = await asyncio.open_connection(*address)
         self.collector.write(b"agent locality=a\r\n")
@@ -128,22 +130,22 @@
 
 
 def run_with_group(
-    folder: Path, net: int, scene: Callable[[ControllerGroup], Awaitable[None]]
+    folder: Path, net: int, scenario: Callable[[ControllerGroup], Awaitable[None]]
 ) -> None:
-    """Runs a scene; its processes are killed whatever comes of it."""
+    """Runs a scenario; its processes are killed even if it fails."""
 
     async def run() -> None:
         group = ControllerGroup(str(folder), net)
         try:
-            await scene(group)
+            await scenario(group)
         finally:
             await group.processes.close()
 
     asyncio.run(run())
 
 
-def test_three_restarted_one_after_another_and_then_all_at_once(tmp_path: Path) -> None:
-    """Knowledge reaches a successor through the file and a peer, and all of them through files."""
+def test_three_controllers_restarted_one_after_another_and_then_all_at_once(tmp_path: Path) -> None:
+    """Restarted controllers recover knowledge from file and peer, all at once from files alone."""
     members = range(3)
 
     async def restart_and_wait(group: ControllerGroup, member: int) -> None:
@@ -154,7 +156,7 @@
         await group.start([member])
         await group.wait_until(lambda: group.has_logged(member, "warm_start_peer_asked"))
 
-    async def scene(group: ControllerGroup) -> None:
+    async def scenario(group: ControllerGroup) -> None:
         await group.start(members)
         await group.wait_until(lambda: group.processes.have_joined(members))
         await group.report_requests(0)
@@ -165,17 +167,17 @@
         assert group.has_logged(0, "warm_start_merged", source="file", accepted=HOSTS)
         assert any(group.has_logged(0, "warm_start_peer_asked", views=views) for views in (1, 2))
         await group.end(members, Act.KILL)
-        await group.start(members)  # nobody is left to ask
+        await group.start(members)  # no peer is left to ask
         assert group.has_logged(0, "warm_start_file_read")
         counters = await group.processes.ask_counters(0)
         assert counters["warm_start.hosts_provided"] == HOSTS
         assert not counters.get("core.failed")
 
-    run_with_group(tmp_path, 70, scene)
+    run_with_group(tmp_path, 70, scenario)
 
 
 def file_content(kind: str) -> bytes:
-    """What lies in the file's place."""
+    """Content of the unusable snapshot file."""
     match kind:
         case "newer version":
             return file_of_version(2)
@@ -189,7 +191,7 @@
 
 
 @pytest.mark.parametrize("kind", ["newer version", "other controller", "corrupt", "large"])
-def test_a_controller_starts_whatever_lies_in_place_of_its_file(tmp_path: Path, kind: str) -> None:
+def test_a_controller_starts_despite_an_unusable_snapshot_file(tmp_path: Path, kind: str) -> None:
     path = tmp_path / "n0000.learned"
     content = file_content(kind)
     path.write_bytes(content)
@@ -201,23 +203,23 @@
             return False
         return isinstance(decode_file(path.read_bytes(), "n0000", 0), StoredSnapshot)
 
-    async def scene(group: ControllerGroup) -> None:
+    async def scenario(group: ControllerGroup) -> None:
         await group.start([0])
         await group.report_requests(0)
         assert group.has_logged(0, "warm_start_file_unusable")
         await group.wait_until(is_usable)
 
-    run_with_group(tmp_path, 71, scene)
+    run_with_group(tmp_path, 71, scenario)
     set_aside = tmp_path / "n0000.learned.aside"
     assert set_aside.exists() is (kind in ("newer version", "other controller"))
     if set_aside.exists():
-        assert set_aside.read_bytes() == content  # kept as it was
+        assert set_aside.read_bytes() == content  # kept unchanged
 
 
-def test_a_controller_goes_on_without_the_folder_of_its_file(tmp_path: Path) -> None:
-    async def scene(group: ControllerGroup) -> None:
+def test_a_controller_runs_without_the_folder_of_its_snapshot_file(tmp_path: Path) -> None:
+    async def scenario(group: ControllerGroup) -> None:
         await group.start([0])
         await group.report_requests(0)
         await group.wait_until(lambda: group.has_logged(0, "warm_start_file_not_written"))
 
-    run_with_group(tmp_path / "missing", 71, scene)
+    run_with_group(tmp_path / "missing", 71, scenario)
--- a/tests/warm_start/test_warm_start_core.py
+++ b/tests/warm_start/test_warm_start_core.py
@@ -30,13 +30,13 @@
 
 
 def provided(core: WarmStart, now_us: int, *events: Event) -> list[ProvidePriorKnowledge]:
-    """What the policy is told after these events."""
+    """The commands that provide prior knowledge to the policy after these events."""
     commands = [command for event in events for command in core.deliver(now_us, event)]
     return [command for command in commands if isinstance(command, ProvidePriorKnowledge)]
 
 
 @pytest.mark.parametrize(
-    ("max_age_us", "age_us", "counts"),
+    ("max_age_us", "age_us", "is_provided"),
     [
         (0, 0, False),
         (900 * SECOND, 899 * SECOND, True),
@@ -44,16 +44,16 @@
         (900 * SECOND, 86_400 * SECOND, False),
     ],
 )
-def test_knowledge_older_than_the_limit_counts_for_nothing(
-    max_age_us: int, age_us: int, counts: bool
+def test_knowledge_older_than_the_limit_is_ignored(
+    max_age_us: int, age_us: int, is_provided: bool
 ) -> None:
     core = new_core(max_age_us)
     received = SnapshotReceived("file", snapshot_of(UNHEALTHY), age_us)
     commands = provided(core, 10**12, HostsListed({"h": 5.0}), received)
-    assert bool(commands) is counts
+    assert bool(commands) is is_provided
 
 
-def test_a_restarted_host_is_another_host(core: WarmStart) -> None:
+def test_knowledge_of_a_host_is_not_provided_after_its_restart(core: WarmStart) -> None:
     received = SnapshotReceived("file", snapshot_of(UNHEALTHY), 0)
     assert not provided(core, SECOND, received, HostsListed({"h": 6.0}))
 
@@ -69,7 +69,7 @@
     assert not provided(core, 3 * SECOND, HostsListed({"h": 5.0}))
 
 
-def test_a_peer_cut_off_for_a_minute_loses_against_a_snapshot_of_two_seconds_ago(
+def test_an_observation_of_a_minute_ago_is_superseded_by_one_of_two_seconds_ago(
     core: WarmStart,
 ) -> None:
     old = msgspec.structs.replace(UNHEALTHY, age_us=62 * SECOND)
@@ -100,13 +100,13 @@
 
 
 def test_withdrawals_of_a_list_older_than_the_limit_are_not_announced(core: WarmStart) -> None:
-    """Guards against a list of another discovery service."""
+    """Guards against withdrawals in a list that comes from another list service."""
     old = SnapshotReceived("file", snapshot_of(withdrawn=[("x", "DRAINING")]), 10**15)
     assert not any(isinstance(command, AnnounceWithdrawals) for command in core.deliver(0, old))
 
 
-def test_knowledge_does_not_grow_younger_by_restarts() -> None:
-    """Guards against a controller that restarts repeatedly and passes old news on as its own."""
+def test_restarts_do_not_reset_the_age_of_knowledge() -> None:
+    """Guards against repeated restarts after which old knowledge is passed on as recent."""
     now_us = 10**12
     data = encode_snapshot(snapshot_of(msgspec.structs.replace(UNHEALTHY, age_us=0)))
     for restart in range(5):
@@ -121,10 +121,10 @@
         assert stored.hosts[0].age_us == (restart + 1) * 100 * SECOND
 
 
-def test_hosts_whose_names_are_too_long_to_store_cost_no_other_host_its_knowledge(
+def test_host_names_that_are_too_long_to_store_do_not_affect_other_hosts(
     core: WarmStart,
 ) -> None:
-    """Guards against a snapshot that its own reader refuses whole for one entry."""
+    """Guards against a snapshot that is rejected as a whole for one entry when it is read."""
     name = "h" * 300  # a name that the endpoint list may hold
     long_named = msgspec.structs.replace(UNHEALTHY, uid=name)
     withdrawn = [(name, "DRAINING"), ("y", "DELETED")]
@@ -133,7 +133,7 @@
     assert stored == snapshot_of(UNHEALTHY, withdrawn=[("y", "DELETED")])
 
 
-def test_more_withdrawn_hosts_than_a_snapshot_holds_leave_it_readable(core: WarmStart) -> None:
+def test_a_snapshot_with_too_many_withdrawn_hosts_stays_readable(core: WarmStart) -> None:
     withdrawn = [(f"h{host}", "DELETED") for host in range(MAX_HOSTS + 1)]
     own = snapshot_of(HEALTHY, withdrawn=withdrawn)
     stored = decode_snapshot(encode_snapshot(core.snapshot(0, own)))
