--- a/plankroute/cold_start/followed_controllers.py
+++ b/plankroute/cold_start/followed_controllers.py
@@ -72,14 +72,14 @@
         ]
         for heartbeats_only in (False, True):
             free = [name for name in candidates if name not in self.links]
-            if free and self.first(heartbeats_only) is None:
+            if free and self.find_followed(heartbeats_only) is None:
                 self.links[free[0]] = FollowedLink(heartbeats_only, now_us, now_us)
                 self.commands.append(Connect(free[0], heartbeats_only))
-        if self.links and self.first(heartbeats_only=False) is None:
+        if self.links and self.find_followed(heartbeats_only=False) is None:
             # Only the witness is left: it becomes the main controller.
             self.reconnect(now_us, next(iter(self.links)))
 
-    def first(self, heartbeats_only: bool) -> str | None:
+    def find_followed(self, heartbeats_only: bool) -> str | None:
         """Return the name of the main controller, or of the witness if `heartbeats_only`.
 
         None if there is none.
@@ -89,8 +89,8 @@
                 return name
         return None
 
-    def first_with_heartbeat(self, heartbeats_only: bool) -> str | None:
-        """Return the same as `first` among the links on which a heartbeat has arrived."""
+    def find_followed_with_heartbeat(self, heartbeats_only: bool) -> str | None:
+        """Return the same as `find_followed`, if a heartbeat has arrived on the link; else None."""
         for name, link in self.links.items():
             if link.heartbeats_only is heartbeats_only and link.revision is not None:
                 return name
--- a/plankroute/cold_start/link_codec.py
+++ b/plankroute/cold_start/link_codec.py
@@ -10,7 +10,7 @@
 
 LINK_VERSION = 2  # of the frames and their meaning; peers with another version are not served
 LENGTH = struct.Struct("!I")
-MAX_FRAME_BYTES = 65536  # more than a part of a list with its overhead
+MAX_FRAME_BYTES = 65536  # a part of a list with room to spare
 # Bytes of a list in one frame: on a link of 50 KB/s a frame arrives every third of a second.
 PART_BYTES = 16384
 
--- a/plankroute/cold_start/list_receiver.py
+++ b/plankroute/cold_start/list_receiver.py
@@ -37,8 +37,8 @@
         """Start to receive the announced list.
 
         Raises:
-            ListTransferError: The size is negative or above `max_bytes`, or the resumed list
-                differs from the received part's.
+            ListTransferError: The size is negative or above `max_bytes`, or the list resumes
+                another transfer than the one received so far.
         """
         if not 0 <= announced.size <= self.max_bytes:
             raise ListTransferError("list size is out of range")
--- a/plankroute/cold_start/watcher_election.py
+++ b/plankroute/cold_start/watcher_election.py
@@ -253,10 +253,10 @@
         Stale contact is acted on at once, differing revisions once they have differed for
         `MAX_DIFFERENCE_US`.
         """
-        main = self.followed.first_with_heartbeat(heartbeats_only=False)
+        main = self.followed.find_followed_with_heartbeat(heartbeats_only=False)
         if main is None:
             return
-        witness = self.followed.first_with_heartbeat(heartbeats_only=True)
+        witness = self.followed.find_followed_with_heartbeat(heartbeats_only=True)
         witness_link = self.followed.links[witness] if witness else None
         finding = compare_links(self.followed.links[main], witness_link, self.revision, now_us)
         match finding:
