--- a/plankroute/net/proxies/__init__.py
+++ b/plankroute/net/proxies/__init__.py
@@ -1,1 +1,1 @@
-"""Connections of proxies and collectors: listener, sessions, line codec, buffers."""
+"""Proxy and collector connections: listener, admission, sessions, line codec and buffers."""
--- a/plankroute/net/proxies/admission.py
+++ b/plankroute/net/proxies/admission.py
@@ -1,4 +1,4 @@
-"""Turns messages of a connection into events, where the sender may send them."""
+"""Checks that a peer may send a message and converts the message into a core event."""
 
 from collections import deque
 from dataclasses import dataclass, field
@@ -17,12 +17,12 @@
     OutcomesMessage,
 )
 
-# Some minutes' worth: a stalled session must not gather them without end.
+# Bounds the memory of a stalled session. Holds the sequence numbers of a few minutes.
 MAX_UNACKNOWLEDGED = 4096
 
 
 class Role(Enum):
-    """What a peer has identified itself as."""
+    """The kind of peer, as identified by the messages it has sent."""
 
     UNIDENTIFIED = "unidentified"
     LIVENESS_CHECK = "liveness check"
@@ -30,30 +30,30 @@
     PROXY = "proxy"
 
 
-def _sequence_numbers() -> deque[int]:
+def _new_sequence_number_queue() -> deque[int]:
     return deque(maxlen=MAX_UNACKNOWLEDGED)
 
 
 @dataclass(eq=False, slots=True)
 class PeerIdentity:
-    """The peer of one connection, as far as it has identified itself.
+    """What is known about the peer of one connection.
 
     Attributes:
-        role: What it is.
-        proxy: Number of the proxy, if it is one.
-        zone: Index of the zone, if it is a collector.
-        has_reported: A collector that has sent outcomes.
-        unacknowledged: Sequence numbers sent to it, in order, that it has not acknowledged.
+        role: The kind of peer.
+        proxy: Id of the proxy; None unless the role is PROXY.
+        zone: Zone index of the collector; None unless the role is COLLECTOR.
+        has_reported: Whether this peer, a collector, has sent outcomes.
+        unacknowledged: Sequence numbers sent to the proxy and not yet acknowledged, oldest first.
     """
 
     role: Role = Role.UNIDENTIFIED
     proxy: int | None = None
     zone: int | None = None
     has_reported: bool = False
-    unacknowledged: deque[int] = field(default_factory=_sequence_numbers)
+    unacknowledged: deque[int] = field(default_factory=_new_sequence_number_queue)
 
     def is_unidentified(self) -> bool:
-        """Whether it has not said that it is a proxy or a collector."""
+        """Returns whether the peer has not yet identified itself as a proxy or a collector."""
         return self.role in (Role.UNIDENTIFIED, Role.LIVENESS_CHECK)
 
 
@@ -62,24 +62,29 @@
 
 
 class Admission:
-    """The first message makes a peer a proxy or a collector; each may send only what is its own.
+    """Assigns roles to peers and rejects messages that a peer's role does not permit.
+
+    The first message other than a liveness check identifies a peer as a proxy or a collector. From
+    then on a proxy may send its own acknowledgements and demand; a collector may send outcomes and
+    the demand of any joined proxy.
 
     Args:
-        directory: Names of hosts, zones and request classes.
-        proxy_count: Proxies have numbers below it.
-        max_latency_us: No attempt that was answered can have taken longer.
+        directory: Maps host, zone and request class names to ids.
+        proxy_count: Number of proxies; valid proxy ids are below it.
+        max_latency_us: Upper bound of a valid mean latency, in microseconds. No answered attempt
+            can take longer.
     """
 
     def __init__(self, directory: Directory, proxy_count: int, max_latency_us: int) -> None:
         self.directory = directory
         self.proxy_count = proxy_count
         self.max_latency_us = max_latency_us
-        self.joined = set[int]()  # proxies that are joined, as the sessions have it
+        self.joined = set[int]()  # shared with `Sessions`, which updates it
 
     def admit(
         self, identity: PeerIdentity, message: InboundMessage
     ) -> events.Event | Rejection | None:
-        """Returns the message's event, a rejection, or None where there is nothing to record."""
+        """Returns the event for a message, a rejection, or None if the message yields no event."""
         match message:
             case LivenessCheckMessage():
                 if identity.role is Role.UNIDENTIFIED:
@@ -100,9 +105,9 @@
         self, identity: PeerIdentity, message: CollectorMessage
     ) -> Rejection | None:
         if identity.role is Role.PROXY:
-            return _reject("a collector's line in a session")
+            return _reject("collector message in a proxy session")
         if message.zone not in self.directory.zones:
-            return _reject("zone not known")
+            return _reject("unknown zone")
         identity.role = Role.COLLECTOR
         identity.zone = self.directory.zones[message.zone]
         return None
@@ -113,20 +118,23 @@
         if not identity.is_unidentified():
             return _reject("hello is not the first message")
         if message.proxy >= self.proxy_count or message.zone not in self.directory.zones:
-            return _reject("proxy or zone not known")
+            return _reject("unknown proxy or zone")
         identity.role = Role.PROXY
         identity.proxy = message.proxy
         zone = self.directory.zones[message.zone]
         return events.ProxyJoined(message.proxy, zone, message.usual_rate, message.is_fresh)
 
     def _admit_ack(self, identity: PeerIdentity, message: AckMessage) -> events.Event | Rejection:
-        """Messages are acknowledged in order: one acknowledgement covers all before it."""
+        """Admits an acknowledgement, which also covers all earlier sequence numbers.
+
+        Proxies acknowledge messages in the order in which they were sent.
+        """
         if (
             identity.role is not Role.PROXY
             or message.proxy != identity.proxy
             or message.sequence_number not in identity.unacknowledged
         ):
-            return _reject("acknowledgement of nothing that was sent")
+            return _reject("acknowledgement of a sequence number that is not outstanding")
         while identity.unacknowledged.popleft() != message.sequence_number:
             pass
         return events.Acknowledged(message.proxy, message.sequence_number, message.elapsed_us)
@@ -137,11 +145,11 @@
         host = self.directory.ids.get(message.host)
         zone = self.directory.zones.get(message.zone)
         if identity.role is not Role.COLLECTOR:
-            return _reject("outcomes from no collector")
+            return _reject("outcomes from a peer that is not a collector")
         if host is None or zone is None:
-            return _reject("host or zone not known")
+            return _reject("unknown host or zone")
         if message.failed > message.attempts or message.mean_latency_us > self.max_latency_us:
-            return _reject("impossible outcomes")
+            return _reject("more failures than attempts, or mean latency above the maximum")
         identity.has_reported = True
         return events.HostRequestStats(
             host,
@@ -157,11 +165,11 @@
         self, identity: PeerIdentity, message: DemandMessage
     ) -> events.Event | Rejection:
         request_class = self.directory.request_classes.get(message.request_class)
-        is_own = identity.role is Role.PROXY and identity.proxy == message.proxy
-        if not is_own and identity.role is not Role.COLLECTOR:
-            return _reject("demand of another proxy")
+        is_own_demand = identity.role is Role.PROXY and identity.proxy == message.proxy
+        if not is_own_demand and identity.role is not Role.COLLECTOR:
+            return _reject("demand for another proxy")
         if request_class is None or message.proxy not in self.joined:
-            return _reject("request class not known, or proxy not joined")
+            return _reject("unknown request class, or proxy not joined")
         return events.ProxyRequestStats(
             message.proxy, request_class, message.arrived, message.failed, message.span_us
         )
--- a/plankroute/net/proxies/connection.py
+++ b/plankroute/net/proxies/connection.py
@@ -1,4 +1,4 @@
-"""One accepted connection: its buffers, the identity of its peer, and when it was last heard of."""
+"""State of one accepted connection: buffers, peer identity and timestamps."""
 
 import asyncio
 import time
@@ -11,9 +11,9 @@
 
 
 class Connection:
-    """A connection of a proxy, a collector, a monitor, or a peer that is still unidentified.
+    """An accepted connection from a proxy, a collector, a monitor or an unidentified peer.
 
-    Times are those of the monotonic clock, in seconds.
+    Timestamps are seconds on the monotonic clock.
     """
 
     def __init__(self, writer: asyncio.StreamWriter, pool: MemoryPool) -> None:
@@ -22,26 +22,32 @@
         self.outbound = OutboundBuffer(writer, pool)
         now = time.monotonic()
         self.connected_at = now
-        self.last_heard_at = now
-        self.awaiting_ack_since = now  # means something only while an acknowledgement is due
-        self.liveness_checks = 0  # since the last sweep
+        self.last_received_at = now
+        self.awaiting_ack_since = now  # valid only while an acknowledgement is due
+        self.liveness_checks = 0  # received since the last sweep
 
     def allow_long_lines(self) -> None:
-        """Its peer is identified: from here on lines may be as long as the protocol allows."""
+        """Raises the line limit to the protocol maximum, once the peer has identified itself."""
         self.line_reader.set_max_line_bytes(MAX_LINE_BYTES)
 
     def is_closing(self) -> bool:
-        """Whether the connection is being closed, by either side."""
+        """Returns whether the connection is being closed, by either side."""
         return self.outbound.is_closing()
 
     def expect_ack(self, sequence_number: int) -> None:
-        """A message was sent that its peer has to acknowledge."""
+        """Records that a message was sent that the peer must acknowledge."""
         if not self.identity.unacknowledged:
             self.awaiting_ack_since = time.monotonic()
         self.identity.unacknowledged.append(sequence_number)
 
-    def silent_s(self, now: float) -> float:
-        """Returns how many seconds an acknowledgement has been due while nothing was heard."""
+    def ack_silence_s(self, now: float) -> float:
+        """Returns for how many seconds an acknowledgement has been due with no data received.
+
+        Returns 0 if no acknowledgement is due.
+
+        Args:
+            now: The current time on the monotonic clock, in seconds.
+        """
         if not self.identity.unacknowledged:
             return 0.0
-        return now - max(self.last_heard_at, self.awaiting_ack_since)
+        return now - max(self.last_received_at, self.awaiting_ack_since)
--- a/plankroute/net/proxies/line_codec.py
+++ b/plankroute/net/proxies/line_codec.py
@@ -1,4 +1,4 @@
-"""The codec of lines at the controller's address, both ways: the words of the protocol."""
+"""Codec of the line protocol that proxies, collectors and monitors speak with the controller."""
 
 import re
 from collections.abc import Callable, Iterable, Iterator
@@ -18,18 +18,22 @@
     OutcomesMessage,
 )
 
-MAX_LINE_BYTES = 1 << 20  # by the protocol
-MAX_FIRST_LINE_BYTES = 1024  # no first line of a connection comes near
-MAX_MESSAGE_PARTS = 64  # by the protocol
-ROWS_PER_PART = 4096  # keeps a part far below the longest line
-MAX_COUNT = 2**32 - 1  # no count within a report's span comes near
-MAX_MILLISECONDS = 86_400_000.0  # a day: longer spans are nonsense
-MAX_LOAD_FIGURE = 1e6  # of a load report: no host holds a million requests
-MAX_DIGITS = 10  # of a count: as many as `MAX_COUNT` has
+MAX_LINE_BYTES = 1 << 20  # set by the protocol
+MAX_FIRST_LINE_BYTES = 1024  # far above any valid first line of a connection
+MAX_MESSAGE_PARTS = 64  # set by the protocol
+ROWS_PER_PART = 4096  # keeps the line of a part far below MAX_LINE_BYTES
+MAX_COUNT = 2**32 - 1  # far above any count in one reporting interval
+MAX_MILLISECONDS = 86_400_000.0  # one day; longer durations are invalid
+MAX_LOAD_FIGURE = 1e6  # values of a load report; no host holds a million requests
+MAX_DIGITS = 10  # of a count; MAX_COUNT has as many
 NUMBER = re.compile(r"[0-9]*\.?[0-9]+(?:[eE][+-]?[0-9]{1,3})?")
-WELL_FORMED_LINE = re.compile(r"[a-z]+(?: [a-z]+=[^ =]*)*")  # most likely of another version
-MERGED_LINES = re.compile(r"(?:agent|outcomes|hello|ack|demand) [a-z]+=")  # a kind within a line
-# Guards against load reports read as empty: hosts use names of the settings or of the protocol.
+# An unknown message kind in this form most likely comes from another protocol version. It does not
+# break the framing.
+WELL_FORMED_LINE = re.compile(r"[a-z]+(?: [a-z]+=[^ =]*)*")
+# The start of a message; found in the middle of a line, it shows that two lines were merged.
+MERGED_LINES = re.compile(r"(?:agent|outcomes|hello|ack|demand) [a-z]+=")
+# Hosts name the fields of a load report as in the settings or as in the protocol. Both forms are
+# accepted, since a report with unknown names only would be read as empty.
 REPORT_FIELDS = SETTINGS_REPORT_FIELDS | {
     "inflight": "in_flight",
     "queue": "queue_length",
@@ -42,56 +46,59 @@
 ERROR_LINE = b"error\r\n"
 
 
-class UnreadableError(ValueError):
-    """A field that can't be read; raised and caught within this codec."""
+class FieldError(ValueError):
+    """A field is missing or malformed; raised and caught within this module."""
 
 
 class Fields:
-    """The `name=value` words of one line; each getter raises UnreadableError."""
+    """The `name=value` fields of one line.
+
+    The constructor and the getters raise FieldError for a missing or malformed field.
+    """
 
     def __init__(self, words: list[str]) -> None:
         self.values: dict[str, str] = {}
         for word in words:
             name, equals, value = word.partition("=")
             if not equals or not name or name in self.values:
-                raise UnreadableError(f"word {word[:40]!r}")
+                raise FieldError(f"malformed or duplicate field {word[:40]!r}")
             self.values[name] = value
 
     def text(self, name: str) -> str:
-        """Returns a text that is not empty."""
+        """Returns a non-empty string."""
         value = self.values.get(name)
         if not value:
-            raise UnreadableError(f"no {name}")
+            raise FieldError(f"missing or empty field {name}")
         return value
 
     def count(self, name: str) -> int:
-        """Returns a whole number from 0 to `MAX_COUNT`."""
+        """Returns an integer from 0 to `MAX_COUNT`."""
         text = self.text(name)
-        # The line is ASCII, so that isdigit() accepts 0 to 9 only.
+        # The line is ASCII, so isdigit() accepts only the digits 0 to 9.
         if not text.isdigit() or len(text) > MAX_DIGITS or int(text) > MAX_COUNT:
-            raise UnreadableError(f"{name} is no count")
+            raise FieldError(f"{name} is not an integer in the valid range")
         return int(text)
 
     def number(self, name: str, maximum: float) -> float:
-        """Returns a number from 0 to the maximum."""
+        """Returns a number from 0 to `maximum`."""
         text = self.text(name)
         if not NUMBER.fullmatch(text) or float(text) > maximum:
-            raise UnreadableError(f"{name} is no figure in its range")
+            raise FieldError(f"{name} is not a number in the valid range")
         return float(text)
 
     def duration_us(self, name: str) -> int:
-        """Returns a duration, which the line has in milliseconds, in microseconds."""
+        """Returns a duration in microseconds; the line carries it in milliseconds."""
         return microseconds(self.number(name, MAX_MILLISECONDS))
 
     def flag(self, name: str) -> bool:
-        """Returns a flag, which the line has as 0 or 1."""
+        """Returns a flag; the line carries it as 0 or 1."""
         text = self.text(name)
         if text not in ("0", "1"):
-            raise UnreadableError(f"{name} is neither yes nor no")
+            raise FieldError(f"{name} is neither 0 nor 1")
         return text == "1"
 
     def load_report(self, name: str) -> LoadReport | None:
-        """Returns a load report, or None where the line has none."""
+        """Returns a load report, or None if the line has none."""
         if name not in self.values:
             return None
         return _load_report_from(pair.partition(":") for pair in self.values[name].split(","))
@@ -151,51 +158,60 @@
 
 
 def parse_line(line: bytes) -> InboundMessage | Rejection:
-    """Parses a line without its line feed; its carriage return must be there.
+    """Parses one line.
+
+    An invalid field makes only its own line invalid. Where the line boundaries are in doubt, the
+    rejection has `breaks_framing` set.
 
-    A field that can't be read costs its line only; doubtful bounds of a line break the framing.
+    Args:
+        line: The line without its line feed; it must end with the carriage return.
+
+    Returns:
+        The message, or the rejection of a line that can't be parsed.
     """
     if not line.endswith(b"\r"):
-        return Rejection(RejectionStage.PARSING, "no CRLF at the end", breaks_framing=True)
+        return Rejection(RejectionStage.PARSING, "line does not end with CRLF", breaks_framing=True)
     try:
         text = line[:-1].decode("ascii")
     except UnicodeDecodeError:
-        return Rejection(RejectionStage.PARSING, "not ASCII", breaks_framing=True)
+        return Rejection(RejectionStage.PARSING, "line is not ASCII", breaks_framing=True)
     kind, *words = text.split(" ")
     parse = PARSERS.get(kind)
     if parse is None:
         is_broken = WELL_FORMED_LINE.fullmatch(text) is None
-        return Rejection(RejectionStage.PARSING, "kind not known", breaks_framing=is_broken)
+        return Rejection(RejectionStage.PARSING, "unknown message kind", breaks_framing=is_broken)
     try:
         return parse(Fields(words))
-    except UnreadableError as error:
+    except FieldError as error:
         if MERGED_LINES.search(text, 1):
-            return Rejection(RejectionStage.PARSING, "messages ran together", breaks_framing=True)
+            return Rejection(
+                RejectionStage.PARSING, "line contains a second message", breaks_framing=True
+            )
         return Rejection(RejectionStage.PARSING, str(error))
 
 
 class MessageEncoder:
-    """Writes messages to proxies as lines.
+    """Encodes messages to proxies as lines.
 
     Args:
-        request_classes: Their names by index.
-        uid: Returns a host's name.
+        request_classes: Request class names by index.
+        uid: Returns the name of a host, given its id.
     """
 
     def __init__(self, request_classes: tuple[str, ...], uid: Callable[[int], str]) -> None:
         self.request_classes = request_classes
         self.uid = uid
-        # Encoded last, since hundreds of proxies may share the same list of updates.
+        # The updates encoded last. Hundreds of proxies may share the same list object.
         self.cached_updates: list[TableUpdate] | None = None
-        self.cached_lines_before = ""
+        self.cached_leading_lines = ""
         self.cached_last_line = ""
 
     def encode(self, message: Message) -> bytes:
-        """Returns the message's lines; what is the proxy's own goes with the last one."""
+        """Returns the lines of a message; the last one carries the fields specific to the proxy."""
         if message.updates is not self.cached_updates:
             self.cached_updates = message.updates
-            before, last = self._encode_updates(message.updates)
-            self.cached_lines_before = before
+            leading, last = self._encode_updates(message.updates)
+            self.cached_leading_lines = leading
             self.cached_last_line = last
         words = [self.cached_last_line]
         for name, is_withdrawn in (("drop", True), ("undrop", False)):
@@ -206,12 +222,15 @@
                 words.append(f"{name}={','.join(hosts)}")
         if message.sequence_number is not None:
             words.append(f"stamp={message.sequence_number}")
-        return f"{self.cached_lines_before}{' '.join(words)}\r\n".encode("ascii")
+        return f"{self.cached_leading_lines}{' '.join(words)}\r\n".encode("ascii")
 
     def _encode_updates(self, updates: list[TableUpdate]) -> tuple[str, str]:
-        """Returns all lines but the last with their ends, and the last without.
+        """Encodes table updates, one line for each part.
+
+        Parts beyond `MAX_MESSAGE_PARTS` continue in another message.
 
-        More parts than one message may have go on in a second message.
+        Returns:
+            All lines but the last, each with its CRLF, and the last line without CRLF.
         """
         encoded = [self._encode_part(part) for update in updates for part in _split_rows(update)]
         if not encoded:
@@ -239,7 +258,7 @@
 
 
 def _split_rows(update: TableUpdate) -> Iterator[TableUpdate]:
-    """Yields updates of no more than `ROWS_PER_PART` rows, which together are the update."""
+    """Splits an update into updates of at most `ROWS_PER_PART` rows each."""
     rows = list(update.routes.items())
     yield TableUpdate(
         update.request_classes,
@@ -252,7 +271,7 @@
 
 
 def parse_load_report(body: bytes) -> LoadReport | None:
-    """Returns the load report in the body of a health check's response, if there is one."""
+    """Returns the load report in the response body of a health check, or None if it has none."""
     format_name, _, fields = body.decode("ascii", "replace").strip().partition(" ")
     if format_name != "TEXT":
         return None
@@ -260,7 +279,7 @@
 
 
 def _load_report_from(pairs: Iterable[tuple[str, str, str]]) -> LoadReport:
-    """A field that is unknown or no figure is left out: the figures beside it still count."""
+    """Builds a load report, leaving out fields that are unknown, malformed or out of range."""
     return load_report(
         (REPORT_FIELDS[name], float(value))
         for name, _, value in pairs
--- a/plankroute/net/proxies/listener.py
+++ b/plankroute/net/proxies/listener.py
@@ -1,4 +1,4 @@
-"""The controller's listening address: accepts connections, reads their lines and ends them."""
+"""Listens at the controller's address, accepts connections and handles the lines received."""
 
 import asyncio
 import socket
@@ -12,7 +12,7 @@
 from plankroute.net.process.telemetry import Telemetry
 from plankroute.net.proxies.admission import Admission, Role
 from plankroute.net.proxies.connection import Connection
-from plankroute.net.proxies.connection_table import ACCEPTED_AT_ONCE, ConnectionTable
+from plankroute.net.proxies.connection_table import MAX_ACCEPTS_PER_ITERATION, ConnectionTable
 from plankroute.net.proxies.line_codec import ALIVE_LINE, ERROR_LINE, parse_line
 from plankroute.net.proxies.messages import (
     AckMessage,
@@ -26,10 +26,10 @@
 from plankroute.net.proxies.ring_buffer import MemoryPool
 from plankroute.net.proxies.sessions import Sessions
 
-READ_BYTES = 16384  # a collector's second of lines
-# The kernel's buffer of a connection: what one read may bring, times hundreds of them.
+READ_BYTES = 16384  # the lines that a collector sends in a second
+# Kernel receive buffer of one connection. It bounds what hundreds of connections can hold together.
 RECEIVE_BUFFER_BYTES = 65536
-BACKLOG = 512  # connections that wait in the kernel: hundreds come at once
+LISTEN_BACKLOG = 512  # hundreds of connections may arrive at once
 RECEIVED_COUNTERS: dict[type[InboundMessage], str] = {
     LivenessCheckMessage: "received.liveness_check",
     CollectorMessage: "received.collector",
@@ -41,7 +41,15 @@
 
 
 class Listener:
-    """Serves each connection in a task; nothing that goes wrong with one reaches another."""
+    """Serves each connection in its own task, so that an error in one does not affect others.
+
+    Args:
+        admission: Checks messages and converts them into events.
+        sessions: Sessions of the proxies.
+        telemetry: Counters and log.
+        limits: Limits of connections and buffers.
+        submit: Passes an event to the core.
+    """
 
     def __init__(
         self,
@@ -60,38 +68,42 @@
         self.server: asyncio.Server | None = None
 
     def set_limits(self, limits: ResourceLimits) -> None:
-        """Changes the limits; what is open stays."""
+        """Changes the limits; open connections stay open."""
         self.table.limits = limits
         self.pool.resize(limits.buffer_bytes)
 
     async def open(self, address: str) -> None:
-        """Starts to accept connections; raises OSError where the address can't be had."""
-        listening = socket.socket()
+        """Starts to accept connections.
+
+        Raises:
+            OSError: The socket can't be bound to the address.
+        """
+        sock = socket.socket()
         try:
-            listening.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-            # The kernel doubles the value that is set.
-            listening.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE_BUFFER_BYTES // 2)
-            listening.bind(host_and_port(address))
+            sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+            # Linux doubles the value that is set.
+            sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE_BUFFER_BYTES // 2)
+            sock.bind(host_and_port(address))
             self.server = await asyncio.start_server(
-                self._serve, sock=listening, backlog=ACCEPTED_AT_ONCE, limit=READ_BYTES
+                self._serve, sock=sock, backlog=MAX_ACCEPTS_PER_ITERATION, limit=READ_BYTES
             )
-            listening.listen(BACKLOG)
+            sock.listen(LISTEN_BACKLOG)
         except OSError:
-            listening.close()
+            sock.close()
             raise
 
     def close(self) -> None:
-        """Accepts no more connections."""
+        """Stops accepting connections; open ones stay open."""
         if self.server:
             self.server.close()
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Serves a connection from its start to its end."""
+        """Reads from a connection until it ends, then cleans up."""
         connection = Connection(writer, self.pool)
         self.telemetry.count("received.connections")
         self.table.add(connection)
-        writing = asyncio.create_task(connection.outbound.write_forever())
-        reason = "ended"
+        write_task = asyncio.create_task(connection.outbound.write_forever())
+        reason = "connection closed"
         try:
             while data := await reader.read(READ_BYTES):
                 self.telemetry.count("received.bytes", len(data))
@@ -99,19 +111,19 @@
         except OSError as error:
             reason = str(error)
         except asyncio.CancelledError:
-            # Nothing waits for this task: its end is the connection's.
-            reason = "the controller ends"
+            # Not raised again: nothing awaits this task.
+            reason = "controller is shutting down"
         except Exception as error:
             reason = f"{type(error).__name__}: {error}"
             self.telemetry.count("dropped.connections")
             self.telemetry.log.event("error", "connection_failed", why=reason)
         finally:
-            writing.cancel()
-            self._end(connection, reason)
+            write_task.cancel()
+            self._clean_up(connection, reason)
 
     def _handle_data(self, connection: Connection, data: bytes) -> None:
-        """Handles the lines; none counts once the connection is closing or its session replaced."""
-        connection.last_heard_at = time.monotonic()
+        """Handles received lines; ignores the rest once the connection is closing or replaced."""
+        connection.last_received_at = time.monotonic()
         self.sessions.resume(connection)
         for line in connection.line_reader.feed(data):
             if connection.is_closing():
@@ -127,10 +139,13 @@
         if isinstance(event, Rejection):
             self._reject(connection, event)
         else:
-            self._accept(connection, message, event)
+            self._handle_admitted(connection, message, event)
 
     def _reject(self, connection: Connection, rejection: Rejection) -> None:
-        """Costs an unidentified peer the connection, and another one where no line can follow."""
+        """Logs a rejection and closes the connection if it can't be used any more.
+
+        That is the case if the peer is unidentified or the line framing is broken.
+        """
         identity = connection.identity
         self.telemetry.reject(
             rejection.stage.value, rejection.reason, role=identity.role.value, proxy=identity.proxy
@@ -138,13 +153,12 @@
         if identity.is_unidentified():
             connection.outbound.send_and_close(ERROR_LINE)
         elif rejection.breaks_framing:
-            # Guards against a proxy that counts as left and stays so, in a session that is of no
-            # more use.
+            # Otherwise the proxy could count as left for good, in a session that is unusable.
             self.telemetry.count("dropped.unreadable")
             connection.outbound.abort()
             self.sessions.close(connection, rejection.reason)
 
-    def _accept(
+    def _handle_admitted(
         self, connection: Connection, message: InboundMessage, event: events.Event | None
     ) -> None:
         self.telemetry.count(RECEIVED_COUNTERS[type(message)])
@@ -154,7 +168,7 @@
             case LivenessCheckMessage():
                 self._answer_liveness_check(connection)
             case CollectorMessage():
-                self.table.replace_collectors(connection)
+                self.table.close_stale_collectors(connection)
         if not connection.identity.is_unidentified():
             self.table.mark_identified(connection)
             connection.allow_long_lines()
@@ -168,7 +182,7 @@
         if connection.identity.is_unidentified():
             self.table.record_liveness_check(connection)
 
-    def _end(self, connection: Connection, reason: str) -> None:
+    def _clean_up(self, connection: Connection, reason: str) -> None:
         self.table.remove(connection)
         self.sessions.close(connection, reason)
         if connection.identity.role is Role.COLLECTOR:
--- a/plankroute/net/proxies/messages.py
+++ b/plankroute/net/proxies/messages.py
@@ -7,12 +7,12 @@
 
 @dataclass(frozen=True, slots=True)
 class LivenessCheckMessage:
-    """Asks whether the controller is alive."""
+    """A request to confirm that the controller is alive."""
 
 
 @dataclass(frozen=True, slots=True)
 class CollectorMessage:
-    """A collector names its zone."""
+    """A collector identifies itself and names its zone."""
 
     zone: str
 
@@ -22,10 +22,10 @@
     """A proxy opens its session.
 
     Attributes:
-        proxy: Number of the proxy.
+        proxy: Id of the proxy.
         zone: Name of its zone.
-        usual_rate: Requests a second that it usually serves.
-        is_fresh: It has just started and holds no tables.
+        usual_rate: Requests per second that it usually serves.
+        is_fresh: Whether it has just started and holds no tables yet.
     """
 
     proxy: int
@@ -36,7 +36,13 @@
 
 @dataclass(frozen=True, slots=True)
 class AckMessage:
-    """A proxy acknowledges the message with a sequence number."""
+    """A proxy acknowledges a message.
+
+    Attributes:
+        proxy: Id of the proxy.
+        sequence_number: Sequence number of the acknowledged message.
+        elapsed_us: Time from the message to its application at the proxy, in microseconds.
+    """
 
     proxy: int
     sequence_number: int
@@ -45,7 +51,17 @@
 
 @dataclass(frozen=True, slots=True)
 class OutcomesMessage:
-    """Requests of a zone's proxies to one host within a span of time."""
+    """Attempts by the proxies of one zone at one host within a time span.
+
+    Attributes:
+        zone: Name of the zone.
+        host: Name of the host.
+        attempts: Number of attempts that ended in the span.
+        failed: Number of these attempts that failed.
+        mean_latency_us: Mean latency of the other attempts in microseconds; 0 if not reported.
+        span_us: Length of the span in microseconds.
+        load_report: Last load report of the host, or None if there is none.
+    """
 
     zone: str
     host: str
@@ -58,7 +74,15 @@
 
 @dataclass(frozen=True, slots=True)
 class DemandMessage:
-    """Requests of one class that arrived at a proxy within a span of time."""
+    """Requests of one request class at one proxy within a time span.
+
+    Attributes:
+        proxy: Id of the proxy.
+        request_class: Name of the request class.
+        arrived: Number of requests that arrived in the span.
+        failed: Number of admitted requests that were not served.
+        span_us: Length of the span in microseconds.
+    """
 
     proxy: int
     request_class: str
--- a/plankroute/net/proxies/sessions.py
+++ b/plankroute/net/proxies/sessions.py
@@ -1,4 +1,4 @@
-"""Sessions of proxies: which connection is whose, and which proxies are joined."""
+"""Sessions of proxies: maps proxies to connections and tracks which proxies are joined."""
 
 import time
 from collections.abc import Callable
@@ -10,22 +10,23 @@
 
 
 class Sessions:
-    """One for each proxy: the newest.
+    """The current session of each proxy; a new session replaces the previous one.
 
-    A session that owes acknowledgements and says nothing is stalled: its proxy counts as left until
-    it speaks again. Guards against a network cut, which ends no connection: lines written to
-    stalled sessions would stay in the channel's accounting for good, and leave no room for the
-    proxies that come back. The connection stays open, since one that the controller ends is held
-    against it. Harm: a proxy that stands still for longer gets no tables.
+    A session is stalled if an acknowledgement is overdue and no data arrives. Its proxy then counts
+    as left until data arrives again. The reason is network partitions, which do not end
+    connections: lines written to stalled sessions would stay in the channel's accounting and leave
+    no capacity for proxies that reconnect. The connection stays open, because a connection closed
+    by the controller counts as a fault of the controller. The cost is that a proxy which is paused
+    for longer than the timeout receives no tables.
 
     Args:
-        joined: Proxies that are joined; kept up to date here.
+        joined: Ids of the joined proxies; updated by this class.
         telemetry: Counters and log.
-        max_ack_s: The longest regular time until an acknowledgement, in seconds.
-        submit: Hands an event to the core.
+        max_ack_s: Longest normal time until an acknowledgement, in seconds.
+        submit: Passes an event to the core.
     """
 
-    # Times `max_ack_s`: a slow channel and a proxy that stood still acknowledge within it.
+    # Multiple of `max_ack_s`; covers acknowledgements over a slow channel or from a paused proxy.
     STALL_FACTOR = 3.0
 
     def __init__(
@@ -43,9 +44,10 @@
         self.hellos: dict[Connection, events.ProxyJoined] = {}
 
     def open(self, connection: Connection, hello: events.ProxyJoined) -> None:
-        """Opens a proxy's session.
+        """Opens the session of a proxy and replaces its previous one, if any.
 
-        A new one may come before the old one is seen to end: that end is then no leaving.
+        A proxy may reconnect before the end of its old connection is noticed. The end of a replaced
+        connection does not make the proxy count as left.
         """
         replaced = self.by_proxy.get(hello.proxy)
         if replaced:
@@ -61,7 +63,12 @@
         self.submit(hello)
 
     def close(self, connection: Connection, reason: str) -> None:
-        """Closes the session of a connection, if it has one."""
+        """Closes the session of a connection, if it has one, and reports its proxy as left.
+
+        Args:
+            connection: The connection.
+            reason: Why the session ends, for the log.
+        """
         hello = self.hellos.pop(connection, None)
         if hello is None:
             return
@@ -70,19 +77,20 @@
         self._report_left(hello.proxy)
 
     def _report_left(self, proxy: int) -> None:
-        """Reports a proxy as left, once a session.
+        """Reports a joined proxy as left; does nothing if it already counts as left.
 
-        Guards against a stalled session that counts again among those that break together.
+        The end of a stalled session would otherwise count a second time in the detection of a mass
+        disconnect.
         """
         if proxy in self.joined:
             self.joined.discard(proxy)
             self.submit(events.ProxyLeft(proxy))
 
     def check_stalled(self) -> None:
-        """Reports the proxies of sessions that have stalled as left."""
+        """Reports the proxies of newly stalled sessions as left."""
         now = time.monotonic()
         for proxy, connection in self.by_proxy.items():
-            if proxy in self.joined and connection.silent_s(now) > self.stall_timeout_s:
+            if proxy in self.joined and connection.ack_silence_s(now) > self.stall_timeout_s:
                 self.telemetry.count("sessions.stalled")
                 self.telemetry.log.event(
                     "warning",
@@ -93,16 +101,19 @@
                 self._report_left(proxy)
 
     def longest_stalled(self) -> Connection | None:
-        """Returns, of the stalled sessions, the connection that has been silent for longest."""
+        """Returns the connection of the longest-silent stalled session, or None."""
         stalled = (
             connection
             for connection, hello in self.hellos.items()
             if hello.proxy not in self.joined and not connection.is_closing()
         )
-        return min(stalled, key=lambda connection: connection.last_heard_at, default=None)
+        return min(stalled, key=lambda connection: connection.last_received_at, default=None)
 
     def resume(self, connection: Connection) -> None:
-        """Bytes came: if the session was stalled its proxy joins anew, with the tables it holds."""
+        """Rejoins the proxy of a stalled session when data arrives; does nothing otherwise.
+
+        The proxy still holds tables, so it is not reported as fresh.
+        """
         hello = self.hellos.get(connection)
         if hello and hello.proxy not in self.joined and not connection.is_closing():
             self.joined.add(hello.proxy)
--- a/tests/net/test_sessions.py
+++ b/tests/net/test_sessions.py
@@ -145,7 +145,7 @@
             await asyncio.sleep(0)
         proxy.send("probe")
         assert await proxy.receive("alive") == "alive"
-        assert connection.outbound.waiting.size > 1 << 20
+        assert connection.outbound.pending.size > 1 << 20
 
     run_scenario(scenario)
 
@@ -219,10 +219,10 @@
         old.reader._transport.pause_reading()  # type: ignore[attr-defined]
         while connection.outbound.send(b"push stamp=" + b"9" * 50000 + b"\r\n"):
             await asyncio.sleep(0)
-        assert connection.outbound.waiting.size > 1 << 20 and publisher.channel.unacknowledged
+        assert connection.outbound.pending.size > 1 << 20 and publisher.channel.unacknowledged
         new = await running.connect(RETURNED)
         bound = await new.receive()
-        assert "replace=1" in bound and connection.outbound.waiting.size == 0
+        assert "replace=1" in bound and connection.outbound.pending.size == 0
         new.send(f"ack node=3 nonce={bound.split('stamp=')[1]} latency=1", "probe")
         assert await new.receive() == "alive"  # nothing of the old one came before it
         await running.wait_until(lambda: publisher.channel.unacknowledged == 0)
