--- a/plankroute/net/discovery/__init__.py
+++ b/plankroute/net/discovery/__init__.py
@@ -1,1 +1,1 @@
-"""The endpoint list from discovery: watch, HTTP client, catalogue codec, directory of ids."""
+"""Endpoint lists from discovery: watch, HTTP client, catalogue codec and host directory."""
--- a/plankroute/net/discovery/directory.py
+++ b/plankroute/net/discovery/directory.py
@@ -1,4 +1,4 @@
-"""Maps names outside the core to the small numbers within it: hosts, zones, types, classes."""
+"""Maps names of hosts, zones, machine types and request classes to the ids that the core uses."""
 
 from dataclasses import dataclass
 from typing import NamedTuple
@@ -8,19 +8,19 @@
 from plankroute.net.discovery.catalogue import EndpointList, ListEntry
 from plankroute.net.process.clock import Clock
 
-ORDER_KEY_BYTES = 64  # of a host's name: no fleet's names differ later
+ORDER_KEY_BYTES = 64  # length of a name prefix; host names of a fleet differ within it
 
 
 @dataclass(slots=True)
 class KnownHost:
-    """A host that discovery has listed, until the core has forgotten it; its id is never another's.
+    """A host that discovery has listed and that the core has not forgotten yet.
 
     Attributes:
-        uid: Its name.
-        address: Where health checks reach it.
-        boot_ms: Unix time of its last start, 0 for long ago.
-        started_us: The same on the controller's clock.
-        entry: As last read.
+        uid: Name of the host.
+        address: Address for health checks, as "host:port".
+        boot_ms: Unix time of its last start, in milliseconds; 0 if that was long ago.
+        started_us: The last start on the controller's clock, in microseconds; 0 if long ago.
+        entry: The last valid entry, or None if there is none yet.
     """
 
     uid: str
@@ -31,14 +31,19 @@
 
 
 class AppliedList(NamedTuple):
-    """A list by the core's ids, and how many entries could not be taken."""
+    """A list converted to ids of the core.
+
+    Attributes:
+        listed: The list for the core.
+        rejected: Number of entries that could not be used.
+    """
 
     listed: events.HostList
     rejected: int
 
 
 def name_order_key(uid: str) -> int:
-    """Returns a number that is the same at every controller, and ordered as names are."""
+    """Returns a sort key that orders hosts by name, identically on all controllers."""
     return int.from_bytes(uid.encode("ascii")[:ORDER_KEY_BYTES].ljust(ORDER_KEY_BYTES, b"\0"))
 
 
@@ -47,13 +52,15 @@
 
 
 class Directory:
-    """Maps names to numbers; hosts get theirs in the order in which they are first listed.
+    """Maps names to ids.
+
+    Host ids are assigned in the order in which hosts are first listed, and never reused.
 
     Args:
         clock: The controller's clock.
-        zones: Names by index, as are the next two.
-        machine_types: Of hosts.
-        request_classes: Of requests.
+        zones: Zone names by index.
+        machine_types: Machine type names by index.
+        request_classes: Request class names by index.
     """
 
     def __init__(
@@ -72,21 +79,22 @@
         self.next_id = 0
 
     def uid(self, host: int) -> str:
-        """Returns a host's name."""
+        """Returns the name of a host; raises KeyError if the id is not known."""
         return self.hosts[host].uid
 
     def forget(self, host: int) -> None:
-        """Frees a host's id, which is not used again."""
+        """Removes a host; its id is not reused."""
         del self.ids[self.hosts.pop(host).uid]
 
     def apply_list(self, message: EndpointList, kind: ListKind | None = None) -> AppliedList:
-        """Records the hosts of a list and returns it by their ids.
+        """Records the hosts of a list and converts the list to ids.
 
-        An entry that can't be taken leaves its host as it was: the list must not drop it for that.
+        If an entry can't be used, the previous entry of its host is returned instead, so that a
+        known host is not dropped from a complete list because of an invalid entry.
 
         Args:
             message: The list.
-            kind: What the core is told that it is; None: as the list says.
+            kind: The kind of list to report to the core; None derives it from the list.
         """
         entries: dict[int, events.HostEntry] = {}
         rejected = 0
@@ -105,7 +113,7 @@
         return AppliedList(events.HostList(kind, tuple(entries.values())), rejected)
 
     def _is_unknown_and_gone(self, listed: object) -> bool:
-        """Never listed here, or forgotten: there is nothing to tell."""
+        """Returns whether a deleted host has no id, so that there is nothing to report."""
         return (
             isinstance(listed, ListEntry)
             and listed.uid not in self.ids
@@ -113,16 +121,16 @@
         )
 
     def _update_host(self, listed: ListEntry) -> events.HostEntry | None:
-        """Records a host; None where its zone or machine type is not known."""
+        """Records a host; returns None if its zone or machine type is not known."""
         if listed.zone not in self.zones or listed.machine_type not in self.machine_types:
             return None
-        host = self._id_of(listed)
+        host = self._id_for(listed)
         known = self.hosts[host]
         known.address = listed.address
-        # Computed once a start: no host may seem to start again when the system time is set.
+        # Computed once per start, so that a change of the system time does not look like a restart.
         if known.boot_ms != listed.boot_ms:
             known.boot_ms = listed.boot_ms
-            known.started_us = self._started_us(listed.boot_ms)
+            known.started_us = self._start_time_us(listed.boot_ms)
         known.entry = events.HostEntry(
             host,
             listed.state,
@@ -135,14 +143,14 @@
         )
         return known.entry
 
-    def _id_of(self, listed: ListEntry) -> int:
+    def _id_for(self, listed: ListEntry) -> int:
         if listed.uid not in self.ids:
             self.ids[listed.uid] = self.next_id
             self.hosts[self.next_id] = KnownHost(listed.uid, listed.address)
             self.next_id += 1
         return self.ids[listed.uid]
 
-    def _started_us(self, boot_ms: float) -> int:
+    def _start_time_us(self, boot_ms: float) -> int:
         if not boot_ms:
             return 0
         return max(1, self.clock.from_system_us(round(boot_ms * 1000)))
--- a/plankroute/net/discovery/http_client.py
+++ b/plankroute/net/discovery/http_client.py
@@ -1,4 +1,7 @@
-"""GET over HTTP/1.1, parsed by h11; a failure is a value that says how far the call had come."""
+"""A client for HTTP/1.1 GET requests, based on h11.
+
+`fetch` returns a failed call as a value that states how far the call had progressed.
+"""
 
 import asyncio
 from collections.abc import AsyncGenerator
@@ -13,7 +16,8 @@
 from plankroute.net.process.errors import CallFailure, CallProgress
 
 READ_BYTES = 65536
-# Of a body within the idle timeout: a slow network path brings them, a drip does not.
+# Body bytes that restart the idle timeout. A slow network path delivers that many in time; a server
+# that trickles single bytes does not.
 PROGRESS_BYTES = 4096
 
 
@@ -22,9 +26,10 @@
     """A complete response.
 
     Attributes:
-        status: The HTTP status.
-        body: All of it.
-        served_us: From the request to the end, less a round trip, as long as it took to connect.
+        status: The HTTP status code.
+        body: The complete body.
+        served_us: Service time in microseconds: the time from the request to the end of the
+            response, less one round trip, which is approximated by the time to connect.
     """
 
     status: int
@@ -32,19 +37,19 @@
     served_us: int
 
     def log_fields(self) -> dict[str, str | int]:
-        """Returns the response as fields of a log event, without its body."""
+        """Returns the response as fields of a log event; the body is given by its length."""
         return {"status": self.status, "body_bytes": len(self.body), "served_us": self.served_us}
 
 
 @dataclass(frozen=True, slots=True)
 class CallLimits:
-    """Bounds of a call.
+    """Limits of a call.
 
     Attributes:
-        connect_timeout_s: Until the connection is up.
-        idle_timeout_s: For the head, then for each `PROGRESS_BYTES`, or what the reader of the body
-            takes for progress.
-        max_body_bytes: A longer body fails the call.
+        connect_timeout_s: Timeout for establishing the connection, in seconds.
+        idle_timeout_s: Timeout in seconds for the response head, then for each `PROGRESS_BYTES` of
+            the body. A caller may restart it earlier by `Call.record_progress`.
+        max_body_bytes: Maximum body length; `fetch` fails on a longer body.
     """
 
     connect_timeout_s: float
@@ -53,7 +58,13 @@
 
 
 class Call:
-    """One GET on a connection of its own, closed at its end: calls to one address are rare."""
+    """One GET request on its own connection, since calls to the same address are rare.
+
+    Args:
+        address: Address of the server, as "host:port".
+        target: Request target.
+        limits: Limits of the call.
+    """
 
     def __init__(self, address: str, target: str, limits: CallLimits) -> None:
         self.address = address
@@ -61,53 +72,58 @@
         self.limits = limits
         self.progress = CallProgress.NOT_CONNECTED
         self.status = 0
-        self.retry_after: bytes | None = None  # the header as the response has it
-        self.began_at = 0.0  # on the monotonic clock, in seconds, as is the next one
+        self.retry_after: bytes | None = None  # raw header value, None if absent
+        self.started_at = 0.0  # this and the next: monotonic clock, in seconds
         self.requested_at = 0.0
         self.connect_s = 0.0
         self.idle_deadline = 0.0  # on the event loop's clock
         self.bytes_since_progress = 0
-        self.machine = h11.Connection(h11.CLIENT)
+        self.h11_connection = h11.Connection(h11.CLIENT)
         self.writer: asyncio.StreamWriter | None = None
 
     def failure(self, error: BaseException) -> CallFailure:
-        """Returns the failure that the error means for this call."""
+        """Returns an error of this call as a CallFailure."""
         reason = f"{type(error).__name__}: {error}".strip(": ")
         return CallFailure(self.progress, reason, isinstance(error, TimeoutError))
 
     def record_progress(self) -> None:
-        """Starts the idle timeout anew.
+        """Restarts the idle timeout.
 
-        Guards against a drip of bytes that keeps a call open for good: only complete things count.
+        Called only for a complete head, line or block of bytes, so that a server that trickles
+        single bytes can't keep a call open forever.
         """
         self.idle_deadline = asyncio.get_running_loop().time() + self.limits.idle_timeout_s
         self.bytes_since_progress = 0
 
-    async def pieces(self) -> AsyncGenerator[bytes, None]:
-        """Sends the request and yields the body as it comes.
+    async def stream_body(self) -> AsyncGenerator[bytes, None]:
+        """Sends the request and yields the body in chunks as they arrive.
 
-        Raises OSError, TimeoutError, ValueError or h11.ProtocolError.
+        Raises:
+            OSError: The connection failed.
+            TimeoutError: A timeout of the call expired.
+            ValueError: The address is invalid.
+            h11.ProtocolError: The response is not valid HTTP.
         """
         reader = await self._connect()
         self._send_request()
         while True:
-            event = self.machine.next_event()
+            event = self.h11_connection.next_event()
             if event is h11.NEED_DATA:
-                self.machine.receive_data(await self._read(reader))
+                self.h11_connection.receive_data(await self._read(reader))
             elif isinstance(event, h11.Response):
                 self.record_progress()
                 self.progress = CallProgress.RESPONSE_HEAD
                 self.status = event.status_code
                 self.retry_after = dict(event.headers).get(b"retry-after")
             elif isinstance(event, h11.Data):
-                self._record_data(len(event.data))
+                self._record_body_bytes(len(event.data))
                 yield bytes(event.data)
             elif isinstance(event, (h11.EndOfMessage, h11.ConnectionClosed)):
                 return
 
     async def _connect(self) -> asyncio.StreamReader:
         host, port = host_and_port(self.address)
-        self.began_at = monotonic()
+        self.started_at = monotonic()
         async with tolerant_timeout(self.limits.connect_timeout_s):
             reader, self.writer = await asyncio.open_connection(host, port, limit=READ_BYTES)
         self.progress = CallProgress.CONNECTED
@@ -120,11 +136,13 @@
             target=self.target,
             headers=[("Host", self.address), ("Connection", "close")],
         )
-        sent = (self.machine.send(head) or b"") + (self.machine.send(h11.EndOfMessage()) or b"")
+        sent = (self.h11_connection.send(head) or b"") + (
+            self.h11_connection.send(h11.EndOfMessage()) or b""
+        )
         self.writer.write(sent)
         self.progress = CallProgress.REQUEST_SENT
         self.requested_at = monotonic()
-        self.connect_s = self.requested_at - self.began_at
+        self.connect_s = self.requested_at - self.started_at
         self.record_progress()
 
     async def _read(self, reader: asyncio.StreamReader) -> bytes:
@@ -132,7 +150,7 @@
         async with tolerant_timeout(remaining_s):
             return await reader.read(READ_BYTES)
 
-    def _record_data(self, size: int) -> None:
+    def _record_body_bytes(self, size: int) -> None:
         self.progress = CallProgress.RESPONSE_BODY
         self.bytes_since_progress += size
         if self.bytes_since_progress >= PROGRESS_BYTES:
@@ -144,19 +162,19 @@
             self.writer.transport.abort()
 
 
-CALL_ERRORS = (OSError, TimeoutError, h11.ProtocolError, ValueError)  # what `Call.pieces` raises
+CALL_ERRORS = (OSError, TimeoutError, h11.ProtocolError, ValueError)  # raised by `Call.stream_body`
 
 
 async def fetch(address: str, target: str, limits: CallLimits) -> Response | CallFailure:
-    """Makes one call and returns its response, or why there is none."""
+    """Makes one call and returns the complete response, or the failure."""
     call = Call(address, target, limits)
     body = bytearray()
     try:
-        async with aclosing(call.pieces()) as pieces:
-            async for piece in pieces:
-                body += piece
+        async with aclosing(call.stream_body()) as chunks:
+            async for chunk in chunks:
+                body += chunk
                 if len(body) > limits.max_body_bytes:
-                    return CallFailure(call.progress, "body too long")
+                    return CallFailure(call.progress, "response body too long")
     except CALL_ERRORS as error:
         return call.failure(error)
     finally:
--- a/plankroute/net/discovery/watch.py
+++ b/plankroute/net/discovery/watch.py
@@ -1,4 +1,4 @@
-"""The endpoint list from discovery, by a watch that is renewed whenever it ends or falls silent."""
+"""Obtains the endpoint list from discovery by a watch, renewed when it ends or times out."""
 
 import asyncio
 from collections.abc import AsyncIterator, Callable
@@ -24,34 +24,38 @@
 from plankroute.seeded_random import SeededRandom
 
 CONNECT_TIMEOUT_S = 1.0
-IDLE_TIMEOUT_S = 3.0  # discovery sends a sign of life every 2 s
-# The pause before a new watch, by half either way. The platform allows 6 s for a change.
+IDLE_TIMEOUT_S = 3.0  # discovery sends at least an empty line every 2 s
+# Mean pause before a new watch; actual pauses are 50% to 150% of it. The platform requires that a
+# change takes effect within 6 s.
 RETRY_PAUSE_S = 0.3
-MAX_LOGGED_ENTRIES = 30  # of a list
-NEVER_US = 1 << 40  # the age of a list that never came
+MAX_LOGGED_ENTRIES = 30  # entries of a list in its log event
+NO_CONTACT_AGE_US = 1 << 40  # reported as the age before any contact
 LIST_FAILED = events.HostList(ListKind.FAILED, ())
 
 
 class ListFilter(Protocol):
-    """Changes a list on its way to the core; it knows of drains ahead of lists."""
+    """Modifies a list before it is passed to the core, for drains known ahead of the list."""
 
     def __call__(
         self, revision: int, is_complete: bool, listed: events.HostList, /
     ) -> events.HostList:
-        """Returns what the core is to be told."""
+        """Returns the list to pass to the core."""
 
 
 class Discovery:
-    """Watches by itself where lists are pushed; else as the core orders, which hears of failures.
+    """Obtains endpoint lists and passes them to the core.
+
+    By default a watch runs all the time. With `by_order`, requests are made only on commands of the
+    core, which is informed of failures.
 
     Args:
-        address: Of discovery.
-        max_list_bytes: Of one list.
+        address: Address of discovery, as "host:port".
+        max_list_bytes: Maximum size of one list.
         directory: Records the hosts.
         telemetry: Counters and log.
-        seed: Of the random part of pauses.
-        by_order: It calls only as the core orders.
-        submit: Hands an event to the core.
+        seed: Seed of the jitter of pauses.
+        by_order: Whether to make requests only on commands of the core.
+        submit: Passes an event to the core.
     """
 
     def __init__(
@@ -71,18 +75,18 @@
         self.submit = submit
         self.by_order = by_order
         self.random = SeededRandom(seed)
-        self.revision: int | None = None  # None: the next call is to bring the complete list
-        self.polls = set[asyncio.Task[None]]()
-        self.watching: asyncio.Task[None] | None = None
-        self.has_contact = False  # discovery has sent something
+        self.revision: int | None = None  # None: the complete list is needed next
+        self.poll_tasks = set[asyncio.Task[None]]()
+        self.watch_task: asyncio.Task[None] | None = None
+        self.has_contact = False  # whether discovery has sent something
         self.last_contact_us = 0  # on the monotonic clock
         self.list_filter: ListFilter | None = None
 
     def start(self, initial_list: object) -> None:
-        """Hands the core the list that came with the configuration, and starts to watch."""
+        """Passes the list from the configuration to the core, and starts the watch."""
         message = list_from(initial_list)
         if isinstance(message, Rejection):
-            self.telemetry.reject("discovery", f"known: {message.reason}")
+            self.telemetry.reject("discovery", f"initial list (known): {message.reason}")
             self.submit(events.HostList(ListKind.CACHED, ()))
         else:
             self.revision = message.revision
@@ -91,49 +95,49 @@
             self._restart_watch()
 
     def set_max_list_bytes(self, max_list_bytes: int) -> None:
-        """Changes the bound of a list, from the next call on."""
+        """Changes the maximum size of a list, from the next call on."""
         self.limits = CallLimits(CONNECT_TIMEOUT_S, IDLE_TIMEOUT_S, max_list_bytes)
 
     def move(self, address: str) -> None:
-        """Moves calls under way to a new address; the list and its revision are kept."""
+        """Changes the address and restarts calls in progress; keeps the list and its revision."""
         self.address = address
-        polls = self.polls
-        self.polls = set()
-        for poll in polls:
+        poll_tasks = self.poll_tasks
+        self.poll_tasks = set()
+        for poll in poll_tasks:
             poll.cancel()
             self._start_poll()
-        if self.watching and not self.watching.done():
+        if self.watch_task and not self.watch_task.done():
             self._restart_watch()
 
     def request_list(self, command: commands.PollHostList | commands.SubscribeHostList) -> None:
-        """Carries out a command of the core."""
+        """Executes a command of the core; subscriptions matter only with `by_order`."""
         match command:
             case commands.PollHostList():
                 self._start_poll()
             case commands.SubscribeHostList(on) if self.by_order:
                 if on:
                     self._restart_watch()
-                elif self.watching:
-                    self.watching.cancel()
+                elif self.watch_task:
+                    self.watch_task.cancel()
 
     def _restart_watch(self) -> None:
-        if self.watching:
-            self.watching.cancel()
+        if self.watch_task:
+            self.watch_task.cancel()
         watch = self._watch_once if self.by_order else self.watch_forever
-        self.watching = asyncio.create_task(watch())
+        self.watch_task = asyncio.create_task(watch())
 
     def _start_poll(self) -> None:
         poll = asyncio.create_task(self._poll_once())
-        self.polls.add(poll)
-        poll.add_done_callback(self.polls.discard)
+        self.poll_tasks.add(poll)
+        poll.add_done_callback(self.poll_tasks.discard)
 
     async def watch_forever(self) -> None:
-        """Renews the watch whenever it ends."""
+        """Runs the watch, and renews it after a pause whenever it ends."""
         while True:
             try:
                 await self._watch()
             except Exception as error:
-                # An error of this program must not leave the controller without a list.
+                # A bug here must not stop the watch for good.
                 self.telemetry.count("dropped.watches")
                 reason = f"{type(error).__name__}: {error}"
                 self.telemetry.log.event("error", "discovery_failed", why=reason)
@@ -148,7 +152,7 @@
             self.submit(LIST_FAILED)
 
     async def _poll(self) -> bool:
-        """Fetches the complete list, once; False where it did not come."""
+        """Fetches the complete list once; returns whether that succeeded."""
         response = await fetch(self.address, MEMBERS, self.limits)
         if (
             isinstance(response, Response)
@@ -161,18 +165,18 @@
         return False
 
     async def _watch(self) -> None:
-        """Watches until the response ends, falls silent or can't be read."""
+        """Watches until the response ends, times out or is invalid."""
         if self.revision is None and not await self._poll():
             return
         await self.watch_from(self.revision or 0)
 
     async def watch_from(self, revision: int) -> Call:
-        """Watches once for changes after a revision; returns the call, whose end is logged."""
+        """Watches once for changes after a revision, logs why it ended and returns the call."""
         call = Call(self.address, watch_target(revision), self.limits)
-        failure = CallFailure(CallProgress.RESPONSE_BODY, "ended")
+        failure = CallFailure(CallProgress.RESPONSE_BODY, "response ended")
         try:
-            async with aclosing(call.pieces()) as pieces:
-                failure = await self._follow(call, pieces) or failure
+            async with aclosing(call.stream_body()) as chunks:
+                failure = await self._read_lists(call, chunks) or failure
         except CALL_ERRORS as error:
             failure = call.failure(error)
         finally:
@@ -183,37 +187,40 @@
         )
         return call
 
-    async def _follow(self, call: Call, pieces: AsyncIterator[bytes]) -> CallFailure | None:
-        """Takes the lists of a watch, a line each; returns why it is of no further use, if so."""
+    async def _read_lists(self, call: Call, chunks: AsyncIterator[bytes]) -> CallFailure | None:
+        """Accepts the lists of a watch, one per line; returns why it failed, or None at its end."""
         max_line_bytes = self.limits.max_body_bytes
         line_reader = LineReader(max_line_bytes, MemoryPool(2 * max_line_bytes))
-        async for piece in pieces:
+        async for chunk in chunks:
             if call.status != 200:
-                return CallFailure(call.progress, f"status {call.status}")
-            for line in line_reader.feed(piece):
+                return CallFailure(call.progress, f"HTTP status {call.status}")
+            for line in line_reader.feed(chunk):
                 if isinstance(line, Rejection) or (line.strip() and not self.accept_list(line)):
-                    return CallFailure(call.progress, "what came can't be used")
+                    return CallFailure(call.progress, "response is not a usable list")
                 call.record_progress()
                 self.record_contact()
         return None
 
     def record_contact(self) -> None:
-        """A complete line came, an empty one too: nothing may have changed for hours."""
+        """Records that discovery sent a complete line.
+
+        Empty lines count, since there may be no changes for hours.
+        """
         self.has_contact = True
         self.last_contact_us = monotonic_us()
 
     def age_us(self) -> int:
-        """Returns how long ago discovery sent something."""
-        return monotonic_us() - self.last_contact_us if self.has_contact else NEVER_US
+        """Returns the microseconds since the last contact, `NO_CONTACT_AGE_US` before the first."""
+        return monotonic_us() - self.last_contact_us if self.has_contact else NO_CONTACT_AGE_US
 
     def accept_list(self, text: bytes) -> bool:
-        """Hands a list to the core; False where it can't be used, and the old one stays."""
+        """Passes a list to the core; returns False if it can't be used and the old one is kept."""
         message = parse_list(text)
         if isinstance(message, Rejection):
             self.telemetry.reject("discovery", message.reason)
             return False
         if not message.is_complete and message.revision < (self.revision or 0):
-            # Discovery began anew: changes alone would not tell what is gone.
+            # Discovery was reset. Changes alone do not show which hosts are gone.
             self.revision = None
             return False
         self.revision = message.revision
@@ -225,7 +232,7 @@
         if self.list_filter:
             listed = self.list_filter(message.revision, message.is_complete, listed)
         if rejected:
-            self.telemetry.reject("discovery", "entries that can't be taken", entries=rejected)
+            self.telemetry.reject("discovery", "list has unusable entries", entries=rejected)
         self.telemetry.count("received.lists")
         hosts = [
             [self.directory.uid(entry.host), entry.state.value]
--- a/plankroute/net/probing/prober.py
+++ b/plankroute/net/probing/prober.py
@@ -1,4 +1,4 @@
-"""Health checks of hosts over HTTP, where they are permitted: each call becomes one event."""
+"""Health checks of hosts over HTTP, if permitted; each check results in at most one event."""
 
 import asyncio
 from collections.abc import Callable
@@ -14,31 +14,35 @@
 from plankroute.net.process.telemetry import Telemetry
 from plankroute.net.proxies.line_codec import parse_load_report
 
-# Between starts: of many calls at once the controller's own work would be timed.
-PACE_S = 0.002
-MAX_BODY_BYTES = 4096  # a report is one line
+# Minimum time between the starts of two checks. If many started at once, the measured times would
+# include the controller's own work.
+START_INTERVAL_S = 0.002
+MAX_BODY_BYTES = 4096  # a load report is one line
 
 
 @dataclass(frozen=True, slots=True)
 class CheckedProcess:
-    """The process that a health check was sent to; another address or start is another process."""
+    """Identifies the process that a health check was sent to, by its address and start time."""
 
     address: str
     boot_ms: float
 
 
 class HealthChecker:
-    """Checks each host on a new connection, which costs half a ms; kept ones would lie idle.
+    """Runs health checks and submits their results to the core.
+
+    Each check opens a new connection, which costs half a millisecond. Persistent connections would
+    be idle most of the time.
 
     Args:
-        facts: Whether checks are permitted, and whether they bring load reports.
-        directory: Addresses of hosts.
+        facts: Whether health checks are permitted, and whether responses carry load reports.
+        directory: Names and addresses of hosts.
         clock: The controller's clock.
         telemetry: Counters and log.
-        connect_timeout_us: Until a connection is up; a response may take twice as long, since hosts
-            serve checks like requests.
-        capacity: Returns how many checks may be under way, each of which takes a descriptor.
-        submit: Hands an event to the core.
+        connect_timeout_us: Timeout for establishing the connection, in microseconds. The response
+            may take twice as long, since hosts serve health checks like requests.
+        capacity: Returns how many checks may run concurrently; each needs a file descriptor.
+        submit: Passes an event to the core.
     """
 
     def __init__(
@@ -61,39 +65,52 @@
             connect_timeout_us / 1e6, 2 * connect_timeout_us / 1e6, MAX_BODY_BYTES
         )
         self.running: dict[int, asyncio.Task[None]] = {}
-        self.waiting: dict[int, None] = {}  # an ordered set
-        self.pace_timer: asyncio.TimerHandle | None = None  # until the next may begin
+        self.queued: dict[int, None] = {}  # a dict used as an ordered set of host ids
+        self.start_timer: asyncio.TimerHandle | None = None  # while set, no check starts
         self.health_checks_allowed = facts.health_checks_allowed
 
     def check(self, host: int) -> None:
-        """Starts a health check once there is room, unless one of the host is under way."""
-        if not self.health_checks_allowed or host in self.running or host in self.waiting:
+        """Queues a health check, which starts once there is capacity.
+
+        The check is dropped if health checks are not permitted, or if one of the same host is
+        queued or running.
+        """
+        if not self.health_checks_allowed or host in self.running or host in self.queued:
             self.telemetry.count("dropped.health_checks")
             return
-        self.waiting[host] = None
+        self.queued[host] = None
         self._start_next()
 
     def close(self) -> None:
-        """Guards against checks that begin while the loop ends, where nobody cancels them."""
+        """Drops queued checks and starts no more.
+
+        A check that started while the event loop shuts down would not be cancelled.
+        """
         self.health_checks_allowed = False
-        self.waiting.clear()
+        self.queued.clear()
 
     def _start_next(self) -> None:
-        """Starts one after another, as many as there is room for: proxies come first."""
-        if self.pace_timer or not self.waiting or len(self.running) >= max(1, self.capacity()):
+        """Starts the next queued check if there is capacity and the start interval has passed.
+
+        The capacity depends on the open connections, since proxies have priority. One check may
+        always run.
+        """
+        if self.start_timer or not self.queued or len(self.running) >= max(1, self.capacity()):
             return
-        host = next(iter(self.waiting))
-        del self.waiting[host]
+        host = next(iter(self.queued))
+        del self.queued[host]
         if host in self.directory.hosts:
             self.running[host] = asyncio.create_task(self._run(host))
-        self.pace_timer = asyncio.get_running_loop().call_later(PACE_S, self._on_pace_timer)
+        self.start_timer = asyncio.get_running_loop().call_later(
+            START_INTERVAL_S, self._on_start_timer
+        )
 
-    def _on_pace_timer(self) -> None:
-        self.pace_timer = None
+    def _on_start_timer(self) -> None:
+        self.start_timer = None
         self._start_next()
 
     async def _run(self, host: int) -> None:
-        began_us = self.clock.now_us()
+        started_us = self.clock.now_us()
         known = self.directory.hosts[host]
         checked = CheckedProcess(known.address, known.boot_ms)
         self.telemetry.count("sent.health_checks")
@@ -104,21 +121,20 @@
             self._start_next()
         is_same_host = self.directory.hosts.get(host) is known
         if not is_same_host or checked != CheckedProcess(known.address, known.boot_ms):
-            # Guards against an answer of the previous process that is held against, or for, the new
-            # one.
+            # The result is of the previous process of the host and says nothing about the new one.
             self.telemetry.count("dropped.late_health_checks")
             return
-        self._report(host, result, began_us)
+        self._report(host, result, started_us)
 
     async def _call(self, address: str) -> Response | CallFailure:
-        """Bounds the call as a whole, however its response drips."""
+        """Makes the call with a timeout for the whole of it, in case the response trickles."""
         try:
             async with tolerant_timeout(self.limits.connect_timeout_s + self.limits.idle_timeout_s):
                 return await fetch(address, self.target, self.limits)
         except TimeoutError as error:
             return CallFailure(CallProgress.REQUEST_SENT, str(error), timed_out=True)
 
-    def _report(self, host: int, result: Response | CallFailure, began_us: int) -> None:
+    def _report(self, host: int, result: Response | CallFailure, started_us: int) -> None:
         outcome = outcome_of(result)
         report = load_report_of(result)
         self.telemetry.count(f"health_checks.{outcome.name.lower()}")
@@ -133,24 +149,25 @@
                 **result.log_fields(),
             )
         if isinstance(result, Response):
-            elapsed_us = result.served_us  # guards against far hosts taken for slow ones
+            # Excludes the round trip, so that distant hosts do not appear slow.
+            elapsed_us = result.served_us
         else:
-            elapsed_us = self.clock.now_us() - began_us
+            elapsed_us = self.clock.now_us() - started_us
         self.submit(events.HealthCheckResult(host, outcome, elapsed_us, report))
 
 
 def outcome_of(result: Response | CallFailure) -> HealthCheckOutcome:
-    """Returns what the end of a call says of the host."""
+    """Returns the health check outcome that the result of a call stands for."""
     if isinstance(result, Response):
         return HealthCheckOutcome.ANSWERED if result.status == 200 else HealthCheckOutcome.ERROR
     if result.progress is CallProgress.NOT_CONNECTED:
         return HealthCheckOutcome.UNREACHABLE
-    # Guards against a connection that broke taken for a host out of reach: it was there.
+    # The connection was up, so the host was reachable even if the call failed later.
     return HealthCheckOutcome.TIMED_OUT if result.timed_out else HealthCheckOutcome.ERROR
 
 
 def load_report_of(result: Response | CallFailure) -> LoadReport | None:
-    """Returns the load report that came with a good response, if any."""
+    """Returns the load report in a response with status 200, or None if there is none."""
     if isinstance(result, Response) and result.status == 200:
         return parse_load_report(result.body)
     return None
--- a/plankroute/net/probing/shared_prober.py
+++ b/plankroute/net/probing/shared_prober.py
@@ -1,7 +1,7 @@
-"""Health checks shared among controllers: each checks a part of all, and takes others' results.
+"""Health checks shared among controllers: each checks some hosts and uses the results of others.
 
-Who checks which host is `cold_start.probe_sharing`'s to decide; a result of others goes to the
-controller as an event with its age.
+`cold_start.probe_sharing` decides which controllers check which host. A result of another
+controller is submitted to the core as an event that carries its age.
 """
 
 import asyncio
@@ -21,14 +21,21 @@
 from plankroute.net.process.clock import monotonic_us as now_us
 from plankroute.units import SECOND_US
 
-# Results are sent together: a survey's come some milliseconds apart.
-GATHER_S = 0.02
-MAX_RESULTS_PER_FRAME = 200  # 12 KB
+# Delay before sending, to batch results; those of a survey arrive some milliseconds apart.
+SEND_DELAY_S = 0.02
+MAX_RESULTS_PER_FRAME = 200  # a frame of 12 KB
 
 
 @dataclass(frozen=True, slots=True)
 class UnsentResult:
-    """A result of this controller's own; `checked_us`: steady time."""
+    """A result of this controller that has not been sent to others yet.
+
+    Attributes:
+        host: Name of the host.
+        elapsed_us: Duration of the health check in microseconds.
+        checked_us: When the check ended, on the monotonic clock in microseconds.
+        boot_ms: Unix time of the host's last start, in milliseconds.
+    """
 
     host: str
     elapsed_us: int
@@ -37,13 +44,15 @@
 
 
 class SharedHealthChecker(HealthChecker):
-    """`prepare_survey` before the first health check.
+    """Runs health checks and, in a survey, shares results with other controllers.
+
+    Call `prepare_survey` before the first health check.
 
     Attributes:
-        batch: hosts that were ordered within one turn of the event loop.
-        surveyed: hosts of a survey that this controller checks itself.
-        awaited: by name, hosts whose result is expected from others.
-        unsent: results for the others.
+        batch: Ids of hosts whose checks were ordered within one iteration of the event loop.
+        surveyed: Ids of hosts in a survey that this controller checks itself.
+        awaited: Host ids by name, where the result is expected from another controller.
+        unsent: Results to send to the other controllers.
     """
 
     def prepare_survey(
@@ -53,13 +62,13 @@
         live_controllers: Callable[[], dict[str, str]],
         share: Callable[[HealthCheckResults], None],
     ) -> None:
-        """Set what the constructor, which is HealthChecker's, does not take.
+        """Sets what the constructor inherited from HealthChecker does not take.
 
         Args:
-            survey: results that are known.
-            zones: names of the zones.
-            live_controllers: names of all controllers that are there, with their zones.
-            share: sends results to other controllers.
+            survey: Assigns hosts to controllers and stores known results.
+            zones: Zone names by index.
+            live_controllers: Returns the zone names of all live controllers by controller name.
+            share: Sends results to other controllers.
         """
         self.survey = survey
         self.zone_names = zones
@@ -71,19 +80,19 @@
         self.surveyed = set[int]()
         self.awaited: dict[str, int] = {}
         self.unsent: list[UnsentResult] = []
-        self.sending: asyncio.TimerHandle | None = None
+        self.send_timer: asyncio.TimerHandle | None = None
 
     def check(self, host: int) -> None:
-        """Order a health check.
+        """Orders a health check.
 
-        Orders of one batch come one after another: together they show whether it is a survey.
+        Orders of one event loop iteration form a batch. Its size shows whether it is a survey.
         """
         if not self.batch:
             asyncio.get_running_loop().call_soon(self.start_batch)
         self.batch.append(host)
 
     def start_batch(self) -> None:
-        """Check a few hosts as usual, many as a survey."""
+        """Starts the checks of a batch, as a survey if it has enough hosts."""
         batch = self.batch
         self.batch = []
         if len(batch) < SURVEY_MIN_HOSTS:
@@ -100,7 +109,11 @@
             asyncio.get_running_loop().call_later(wait_s, self.awaited.clear)
 
     def survey_host(self, host: int) -> None:
-        """Check a host, take a result that is fresh, or wait for another controller's."""
+        """Checks a host, uses a fresh result, or waits for the result of another controller.
+
+        Args:
+            host: Id of a host in the directory.
+        """
         known = self.directory.hosts[host]
         zone = self.zone_names[known.entry.zone] if known.entry else ""
         if self.survey.is_assigned(known.uid, zone):
@@ -109,12 +122,12 @@
             return
         result = self.survey.fresh_result(known.uid, known.boot_ms, now_us())
         if result:
-            self.submit_shared(host, result)
+            self.submit_shared_result(host, result)
         else:
             self.awaited[known.uid] = host
 
-    def submit_shared(self, host: int, result: SharedResult) -> None:
-        """Submit a result of another controller with its age."""
+    def submit_shared_result(self, host: int, result: SharedResult) -> None:
+        """Submits a result of another controller with its age."""
         self.telemetry.count("survey.results_used")
         age_us = max(0, now_us() - result.checked_us)
         self.submit_to_controller(
@@ -124,10 +137,10 @@
         )
 
     def on_own_result(self, event: events.Event) -> None:
-        """A health check of this controller's own has ended.
+        """Handles the end of one of this controller's own health checks.
 
-        An answer to a survey is shared. A failure is not: each controller finds that out for itself
-        before it believes it.
+        An answered check of a survey is shared with others. A failed one is not, because each
+        controller must confirm a failure by its own checks.
         """
         if isinstance(event, events.HealthCheckResult) and event.host in self.surveyed:
             self.surveyed.discard(event.host)
@@ -136,24 +149,24 @@
         self.submit_to_controller(event)
 
     def queue_result(self, host: int, elapsed_us: int) -> None:
-        """Keep a result for the others, and send it soon."""
+        """Stores a result and schedules its sending; does nothing if the host is not listed."""
         known = self.directory.hosts.get(host)
         if known is None:
             return
         self.survey.add_result(known.uid, SharedResult(elapsed_us, now_us(), known.boot_ms))
         self.unsent.append(UnsentResult(known.uid, elapsed_us, now_us(), known.boot_ms))
-        if self.sending is None:
+        if self.send_timer is None:
             loop = asyncio.get_running_loop()
-            self.sending = loop.call_later(GATHER_S, self.send_results)
+            self.send_timer = loop.call_later(SEND_DELAY_S, self.send_results)
 
     def send_results(self) -> None:
-        """Send all results with their ages: others' clocks know nothing of this one's."""
-        self.sending = None
+        """Sends unsent results with their ages, since monotonic clocks differ among controllers."""
+        self.send_timer = None
         sent_us = now_us()
         unsent = self.unsent
         self.unsent = []
-        for at in range(0, len(unsent), MAX_RESULTS_PER_FRAME):
-            chunk = unsent[at : at + MAX_RESULTS_PER_FRAME]
+        for start in range(0, len(unsent), MAX_RESULTS_PER_FRAME):
+            chunk = unsent[start : start + MAX_RESULTS_PER_FRAME]
             self.telemetry.count("survey.results_sent", len(chunk))
             self.share(
                 HealthCheckResults(
@@ -171,18 +184,18 @@
             )
 
     def on_results(self, frame: HealthCheckResults) -> None:
-        """Take others' results: answered ones, of hosts that are listed here."""
+        """Handles results of another controller; ignores failed checks and unknown hosts."""
         for check in frame.results:
             host = self.directory.ids.get(check.host)
             is_answered = check.outcome == HealthCheckOutcome.ANSWERED.value
             if host is not None and is_answered and check.elapsed_us > 0 and check.age_us >= 0:
-                self.take_shared(host, check)
+                self.store_shared_result(host, check)
 
-    def take_shared(self, host: int, check: SharedHealthCheck) -> None:
-        """Keep the result of another controller, and submit it where it is awaited."""
+    def store_shared_result(self, host: int, check: SharedHealthCheck) -> None:
+        """Stores a result of another controller, and submits it if it is awaited and fresh."""
         result = SharedResult(check.elapsed_us, now_us() - check.age_us, check.boot_ms)
         if not self.survey.add_result(check.host, result) or check.host not in self.awaited:
             return
         boot_ms = self.directory.hosts[host].boot_ms
         if self.survey.fresh_result(check.host, boot_ms, now_us()):
-            self.submit_shared(self.awaited.pop(check.host), result)
+            self.submit_shared_result(self.awaited.pop(check.host), result)
--- a/tests/net/test_health_checker.py
+++ b/tests/net/test_health_checker.py
@@ -86,8 +86,8 @@
         )
         for host in range(3):
             prober.check(host)
-        assert len(prober.running) == 1 and len(prober.waiting) == 2
-        while prober.waiting or prober.running:
+        assert len(prober.running) == 1 and len(prober.queued) == 2
+        while prober.queued or prober.running:
             await asyncio.sleep(0)
         assert telemetry.counts["sent.health_checks"] == 3
 
@@ -194,10 +194,10 @@
         host.address = running.service.configuration.discovery
         for host_id in (0, 1, 2, 2):
             prober.check(host_id)
-        assert len(prober.running) == 1 and len(prober.waiting) == 2
+        assert len(prober.running) == 1 and len(prober.queued) == 2
         assert running.counts["dropped.health_checks"] == 1
         await running.wait_until(lambda: running.counts["sent.health_checks"] == 2)
 
     running = run_scenario(scenario, log)
-    assert running.counts["sent.health_checks"] == 2 and not running.service.prober.waiting
+    assert running.counts["sent.health_checks"] == 2 and not running.service.prober.queued
     assert not [line for line in log if b"loop_failed" in line]
