--- a/plankroute/net/discovery/watch.py
+++ b/plankroute/net/discovery/watch.py
@@ -98,7 +98,7 @@
         """Changes the maximum size of a list, from the next call on."""
         self.limits = CallLimits(CONNECT_TIMEOUT_S, IDLE_TIMEOUT_S, max_list_bytes)
 
-    def move(self, address: str) -> None:
+    def change_address(self, address: str) -> None:
         """Changes the address and restarts calls in progress; keeps the list and its revision."""
         self.address = address
         poll_tasks = self.poll_tasks
--- a/plankroute/net/process/service.py
+++ b/plankroute/net/process/service.py
@@ -220,7 +220,7 @@
         self.listener.set_limits(new.limits)
         self.discovery.set_max_list_bytes(new.limits.list_bytes)
         if has_moved:
-            self.discovery.move(new.discovery)
+            self.discovery.change_address(new.discovery)
         self.telemetry.count("received.configurations")
         level = "warning" if unchanged else "info"
         self.telemetry.log.event(level, "reloaded", discovery=new.discovery, kept=unchanged)
--- a/tests/support/faulty_discovery.py
+++ b/tests/support/faulty_discovery.py
@@ -95,7 +95,7 @@
         faulty = FaultyDiscovery(FAULTS[fault])
         async with await asyncio.start_server(faulty.serve, "127.0.0.1", 0) as server:
             port = server.sockets[0].getsockname()[1]
-            running.service.discovery.move(f"127.0.0.1:{port}")
+            running.service.discovery.change_address(f"127.0.0.1:{port}")
             await scenario(running, faulty)
 
     run_scenario(inner, log)
