--- a/plankroute/net/discovery/watch.py
+++ b/plankroute/net/discovery/watch.py
@@ -45,8 +45,8 @@
 class Discovery:
     """Obtains endpoint lists and passes them to the core.
 
-    By default a watch runs all the time. With `by_order`, requests are made only on commands of the
-    core, which is informed of failures.
+    By default a watch runs all the time. With `is_command_driven`, requests are made only on
+    commands of the core, which is informed of failures.
 
     Args:
         address: Address of discovery, as "host:port".
@@ -54,7 +54,7 @@
         directory: Records the hosts.
         telemetry: Counters and log.
         seed: Seed of the jitter of pauses.
-        by_order: Whether to make requests only on commands of the core.
+        is_command_driven: Whether to make requests only on commands of the core.
         submit: Passes an event to the core.
     """
 
@@ -65,7 +65,7 @@
         directory: Directory,
         telemetry: Telemetry,
         seed: int,
-        by_order: bool,
+        is_command_driven: bool,
         submit: Callable[[events.Event], None],
     ) -> None:
         self.set_max_list_bytes(max_list_bytes)
@@ -73,7 +73,7 @@
         self.directory = directory
         self.telemetry = telemetry
         self.submit = submit
-        self.by_order = by_order
+        self.is_command_driven = is_command_driven
         self.random = SeededRandom(seed)
         self.revision: int | None = None  # None: the complete list is needed next
         self.poll_tasks = set[asyncio.Task[None]]()
@@ -91,7 +91,7 @@
         else:
             self.revision = message.revision
             self._publish(message, ListKind.CACHED)
-        if not self.by_order:
+        if not self.is_command_driven:
             self._restart_watch()
 
     def set_max_list_bytes(self, max_list_bytes: int) -> None:
@@ -110,11 +110,11 @@
             self._restart_watch()
 
     def request_list(self, command: commands.PollHostList | commands.SubscribeHostList) -> None:
-        """Executes a command of the core; subscriptions matter only with `by_order`."""
+        """Executes a command of the core; subscriptions matter only with `is_command_driven`."""
         match command:
             case commands.PollHostList():
                 self._start_poll()
-            case commands.SubscribeHostList(on) if self.by_order:
+            case commands.SubscribeHostList(on) if self.is_command_driven:
                 if on:
                     self._restart_watch()
                 elif self.watch_task:
@@ -123,7 +123,7 @@
     def _restart_watch(self) -> None:
         if self.watch_task:
             self.watch_task.cancel()
-        watch = self._watch_once if self.by_order else self.watch_forever
+        watch = self._watch_once if self.is_command_driven else self.watch_forever
         self.watch_task = asyncio.create_task(watch())
 
     def _start_poll(self) -> None:
--- a/plankroute/net/process/optional_features.py
+++ b/plankroute/net/process/optional_features.py
@@ -66,24 +66,24 @@
         directory: Directory,
         telemetry: Telemetry,
         seed: int,
-        by_order: bool,
+        is_command_driven: bool,
         put: Callable[[events.Event], None],
     ) -> Discovery:
         """The discovery that the file asks for; takes what `Discovery` takes."""
         section = self.feature_file.coldstart
         if section is None:
-            return Discovery(address, most_list, directory, telemetry, seed, by_order, put)
+            return Discovery(address, most_list, directory, telemetry, seed, is_command_driven, put)
         calls = call_facts(section, self.configuration)
         discovery: BackoffDiscovery
         if section.links is None or self.members is None:
             discovery = BackoffDiscovery(
-                address, most_list, directory, telemetry, seed, by_order, put
+                address, most_list, directory, telemetry, seed, is_command_driven, put
             )
         else:
             from plankroute.net.peers.shared_discovery import SharedDiscovery
 
             discovery = SharedDiscovery(
-                address, most_list, directory, telemetry, seed, by_order, put
+                address, most_list, directory, telemetry, seed, is_command_driven, put
             )
             self.prepare_links(discovery, self.members, section.links, calls)
             self.shared_discovery = discovery
