--- a/plankroute/net/discovery/backoff_watch.py
+++ b/plankroute/net/discovery/backoff_watch.py
@@ -111,9 +111,9 @@
         """Records that the service sent something, which makes the list fresh."""
         super().record_contact()
         self.contact_count += 1
-        self.clear_old()
+        self.mark_list_fresh()
 
-    def clear_old(self) -> None:
+    def mark_list_fresh(self) -> None:
         """Logs that the list is fresh again, if it was old and the last contact is recent."""
         if self.is_old and now_us() - self.last_contact_us < self.list_old_us:
             self.is_old = False
--- a/plankroute/net/peers/shared_discovery.py
+++ b/plankroute/net/peers/shared_discovery.py
@@ -268,7 +268,7 @@
         if not self.election.is_watching:
             self.has_contact = True
             self.last_contact_us = max(self.last_contact_us, now_us() - age_us)
-            self.clear_old()
+            self.mark_list_fresh()
 
     def on_health_checks(self, frame: HealthCheckResults) -> None:
         """Results of another controller, whichever side dialled."""
