--- a/tests/net/test_catalogue.py
+++ b/tests/net/test_catalogue.py
@@ -1,4 +1,4 @@
-"""What is no list, or no entry of one, is rejected."""
+"""Malformed lists are rejected; malformed entries are marked as unreadable."""
 
 import pytest
 from support.endpoint_lists import host_json, list_json
@@ -26,7 +26,7 @@
 
 
 @pytest.mark.parametrize(
-    "wrong",
+    "invalid_field",
     [
         {"uid": 7},
         {"uid": "a b"},
@@ -41,5 +41,7 @@
         {"endpoint": None},
     ],
 )
-def test_malformed_entries_are_unreadable(wrong: dict[str, object]) -> None:
-    assert isinstance(list_from(list_json(host_json("s-1") | wrong)).entries[0], UnreadableEntry)
+def test_malformed_entries_are_unreadable(invalid_field: dict[str, object]) -> None:
+    assert isinstance(
+        list_from(list_json(host_json("s-1") | invalid_field)).entries[0], UnreadableEntry
+    )
--- a/tests/net/test_connection_limits.py
+++ b/tests/net/test_connection_limits.py
@@ -1,4 +1,4 @@
-"""Who may stay and who goes first: unidentified peers, monitors, collectors, stalled sessions."""
+"""Which connections are closed at a limit: unidentified peers, monitors, collectors and proxies."""
 
 import asyncio
 from dataclasses import replace
@@ -8,7 +8,7 @@
 
 from plankroute.net.proxies import connection_table
 
-RETURNED = HELLO.replace("cold=1", "cold=0")
+RETURNING_HELLO = HELLO.replace("cold=1", "cold=0")
 
 
 @pytest.mark.parametrize(
@@ -25,10 +25,12 @@
         b"probe\r\n" * 40,
     ],
 )
-def test_a_peer_that_sends_nonsense_first_gets_an_error_and_is_closed(first_bytes: bytes) -> None:
+def test_a_peer_with_an_invalid_first_message_gets_an_error_and_is_closed(
+    first_bytes: bytes,
+) -> None:
     async def scenario(running: RunningService) -> None:
         client = await running.connect()
-        # What follows the first line no longer counts.
+        # Lines after the first, rejected line are ignored.
         client.writer.write(first_bytes + b"\r\n" + HELLO.encode() + b"\r\n")
         assert await client.receive("error") == "error"
         await running.wait_until(lambda: not running.service.listener.table.connections)
@@ -37,27 +39,27 @@
     run_scenario(scenario)
 
 
-def test_unidentified_peers_are_closed_in_time_and_monitors_stay() -> None:
+def test_unidentified_peers_are_closed_after_a_timeout_and_monitors_stay() -> None:
     async def scenario(running: RunningService) -> None:
         table = running.service.listener.table
         monitor = await running.connect("probe")
         silent = await running.connect()
-        half = await running.connect()
-        half.writer.write(HELLO[:20].encode())
+        partial = await running.connect()
+        partial.writer.write(HELLO[:20].encode())
         await monitor.receive("alive")
         await running.wait_until(
             lambda: len(table.connections) == 3 and running.counts["received.bytes"] == 27
         )
         table.sweep()
-        assert len(table.unidentified) == 2  # in time yet
+        assert len(table.unidentified) == 2  # before the identification timeout
         for connection in table.connections:
             connection.connected_at -= connection_table.IDENTIFICATION_TIMEOUT_S
-        # The time counts from connecting, not from the last byte.
-        half.writer.write(HELLO[20:24].encode())
+        # The timeout counts from the accept, not from the last byte.
+        partial.writer.write(HELLO[20:24].encode())
         await running.wait_until(lambda: running.counts["received.bytes"] == 31)
         table.sweep()
-        assert await silent.receive() == await half.receive() == "error"
-        assert await silent.is_closed() and await half.is_closed()
+        assert await silent.receive() == await partial.receive() == "error"
+        assert await silent.is_closed() and await partial.is_closed()
         monitor.send("probe")
         assert await monitor.receive() == "alive"
 
@@ -101,7 +103,7 @@
         await running.wait_until(lambda: running.counts["received.collector"] == 2)
         await running.connect("agent locality=a")
         await running.wait_until(lambda: running.counts["received.collector"] == 3)
-        assert running.counts["dropped.collectors"] == 0  # heard of a moment ago
+        assert running.counts["dropped.collectors"] == 0  # the old one has sent data recently
         monkeypatch.setattr(connection_table, "COLLECTOR_TIMEOUT_S", -1.0)
         await running.connect("agent locality=a")
         assert await old.is_closed()
@@ -128,7 +130,7 @@
     run_scenario(scenario)
 
 
-def test_returning_proxies_find_room_though_their_stalled_sessions_fill_it() -> None:
+def test_returning_proxies_are_accepted_though_their_stalled_sessions_fill_the_table() -> None:
     async def scenario(running: RunningService) -> None:
         table = running.service.listener.table
         old_proxies = [
@@ -140,20 +142,20 @@
         table.sessions.stall_timeout_s = -1.0
         table.sweep()
         table.sessions.stall_timeout_s = 60.0
-        new_proxies = list[Client]()  # they stay connected
+        new_proxies = list[Client]()  # keeps the connections open
         for proxy in range(6):
-            # Its first line comes later than room has to be found for it.
+            # The connection is accepted, and one is evicted for it, before its hello arrives.
             new = await running.connect()
             new_proxies.append(new)
             await running.wait_until(lambda: len(table.unidentified) == 1)
-            new.send(RETURNED.replace("=3", f"={proxy}"))
+            new.send(RETURNING_HELLO.replace("=3", f"={proxy}"))
             assert await new.receive("replace=1")
         assert len(table.connections) <= 6 and len(table.sessions.joined) == 6
 
     run_scenario(scenario)
 
 
-def test_a_flood_of_collectors_leaves_room_and_the_one_that_reports() -> None:
+def test_a_flood_of_collectors_displaces_neither_proxies_nor_the_reporting_collector() -> None:
     async def scenario(running: RunningService) -> None:
         table = running.service.listener.table
         collector = await running.connect("agent locality=a")
--- a/tests/net/test_directory.py
+++ b/tests/net/test_directory.py
@@ -1,4 +1,4 @@
-"""Hosts keep their ids and their starts; a forgotten host's id is not used again."""
+"""Hosts keep their ids and start times; the id of a forgotten host is not reused."""
 
 from support.controller_model import DRAINING, GONE, READY, SECOND
 from support.endpoint_lists import directory_of, host_json, list_json, new_directory
@@ -38,8 +38,8 @@
     assert [(e.host, e.state) for e in gone.entries] == [(0, GONE)]
 
 
-def test_the_clock_never_steps_and_a_host_starts_once() -> None:
-    """Guards against a host that seems to start again, or in the future, as the time is set."""
+def test_a_step_of_the_system_time_moves_neither_the_clock_nor_a_start_time() -> None:
+    """Otherwise a host would appear to restart or to start in the future."""
     system_ns = [10**18]
     monotonic_ns = [0]
     clock = Clock(lambda: system_ns[0], lambda: monotonic_ns[0])
@@ -78,7 +78,7 @@
     )
     messages = message_builder.build([commands.SetRoute(0, 2, 1.0), commands.BindProxy(0, 1)])
     withdrawn = {message.proxy: message.withdrawn for message in messages}
-    assert withdrawn == {0: {}, 1: {2: False}}  # proxy 1 may have it withdrawn yet
+    assert withdrawn == {0: {}, 1: {2: False}}  # proxy 1 may still have it withdrawn
     listed, rejected = directory.apply_list(
         list_from(list_json(host_json("s-9", "DELETED"), rev=43, whole=False))
     )
--- a/tests/net/test_health_checker.py
+++ b/tests/net/test_health_checker.py
@@ -1,4 +1,4 @@
-"""Health checks: their pace, their outcomes, and what a changed host or a pause makes of them."""
+"""Health checks: start interval, outcomes, hosts that change meanwhile, paused controllers."""
 
 import asyncio
 import time
@@ -52,7 +52,7 @@
 def test_a_failed_health_check_is_logged_as_fields(
     result: Response | CallFailure, fields: dict[str, object]
 ) -> None:
-    """Guards against log lines that hold the text of a Python object."""
+    """The log event must have separate fields, not the text of a Python object."""
     telemetry = Telemetry(EventLog("n", lambda line: None))
     logged: list[dict[str, object]] = []
     telemetry.log.event = (  # type: ignore[method-assign]
@@ -71,8 +71,8 @@
     assert line == fields
 
 
-def test_health_checks_begin_one_after_another() -> None:
-    """Guards against times that are the controller's own work for all of them at once."""
+def test_health_checks_start_one_after_another() -> None:
+    """If all started at once, the measured times would include the controller's own work."""
 
     async def run() -> None:
         telemetry = Telemetry(EventLog("n", lambda line: None))
@@ -97,7 +97,11 @@
 def run_health_check(
     act: Callable[[RunningService, asyncio.StreamWriter], Awaitable[None]],
 ) -> list[events.HealthCheckResult]:
-    """Runs one check of host 0, which does not answer before `act` is called."""
+    """Runs one check of host 0 and returns the submitted results.
+
+    The host does not answer by itself: `act` gets the writer of the connection once the request has
+    arrived.
+    """
     results = list[events.HealthCheckResult]()
 
     async def scenario(running: RunningService) -> None:
@@ -124,18 +128,18 @@
     return results
 
 
-def answer(writer: asyncio.StreamWriter) -> None:
+def send_ok_response(writer: asyncio.StreamWriter) -> None:
     writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 
 
 @pytest.mark.parametrize(
-    "change", ["restarted", "moved", "forgotten", "forgotten, and another of its name"]
+    "change", ["restarted", "moved", "forgotten", "forgotten and listed again"]
 )
 @pytest.mark.parametrize("ends", ["answers", "breaks"])
 def test_a_health_check_that_ends_after_its_host_has_changed_is_dropped(
     change: str, ends: str
 ) -> None:
-    """Guards against the answer of an old process that is held for, or against, the new one."""
+    """The result of the previous process of a host must not be attributed to the new one."""
 
     async def act(running: RunningService, writer: asyncio.StreamWriter) -> None:
         directory = running.service.directory
@@ -146,18 +150,18 @@
             known.address = "127.0.0.1:9"
         else:
             directory.forget(0)
-            if "another" in change:
+            if "again" in change:
                 directory.ids[known.uid] = 7
                 directory.hosts[7] = known
         if ends == "answers":
-            answer(writer)
+            send_ok_response(writer)
         else:
             writer.transport.abort()
 
     assert run_health_check(act) == []
 
 
-def test_a_health_check_is_bounded_however_its_response_drips(
+def test_a_health_check_times_out_though_its_response_keeps_trickling(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def act(running: RunningService, writer: asyncio.StreamWriter) -> None:
@@ -170,26 +174,26 @@
     assert result.outcome is HealthCheckOutcome.TIMED_OUT
 
 
-def test_a_pause_of_the_controller_is_not_held_against_a_host() -> None:
-    """Guards against hosts taken for silent, or out of reach, because this process stood still."""
+def test_a_pause_of_the_controller_does_not_time_out_a_health_check() -> None:
+    """A host must not count as timed out or unreachable because the controller was paused."""
 
     async def act(running: RunningService, writer: asyncio.StreamWriter) -> None:
         limits = running.service.prober.limits
-        # The loop stands still, and timers become due.
+        # Blocks the event loop until the timeouts of the check are due.
         time.sleep(1.2 * (limits.connect_timeout_s + limits.idle_timeout_s))
-        answer(writer)
+        send_ok_response(writer)
 
     (result,) = run_health_check(act)
     assert result.outcome is HealthCheckOutcome.ANSWERED
 
 
-def test_health_checks_wait_for_capacity_and_none_begins_once_the_controller_ends() -> None:
+def test_health_checks_wait_for_capacity_and_none_starts_during_shutdown() -> None:
     log = list[bytes]()
 
     async def scenario(running: RunningService) -> None:
         prober = running.service.prober
         prober.capacity = lambda: 1
-        # Discovery's responses have no end.
+        # The fake discovery never ends its responses, so a check of this host does not complete.
         host = running.service.directory.hosts[1]
         host.address = running.service.configuration.discovery
         for host_id in (0, 1, 2, 2):
--- a/tests/net/test_http_client.py
+++ b/tests/net/test_http_client.py
@@ -1,4 +1,4 @@
-"""Calls over HTTP say how far they came, and how long the response itself took."""
+"""HTTP calls report their progress at a failure, and the service time of the response."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -13,34 +13,38 @@
 ServeConnection = Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
 
 
-def answering(data: bytes, stay: bool = False) -> ServeConnection:
-    """Returns a server that answers with the bytes, one at a time, then closes or falls silent."""
+def handler_sending(data: bytes, stay_silent: bool = False) -> ServeConnection:
+    """Returns a handler that sends the bytes one at a time, then closes or stays silent."""
 
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.readuntil(b"\r\n\r\n")
         for at in range(len(data)):
             writer.write(data[at : at + 1])
             await writer.drain()
-        if stay:
+        if stay_silent:
             await reader.read()
         writer.close()
 
     return serve
 
 
-def call(data: bytes, stay: bool = False) -> Response | CallFailure:
+def call(data: bytes, stay_silent: bool = False) -> Response | CallFailure:
     async def run() -> Response | CallFailure:
-        async with await asyncio.start_server(answering(data, stay), "127.0.0.1", 0) as server:
+        async with await asyncio.start_server(
+            handler_sending(data, stay_silent), "127.0.0.1", 0
+        ) as server:
             address = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
             limits = CallLimits(
-                connect_timeout_s=5.0, idle_timeout_s=0.2 if stay else 5.0, max_body_bytes=100
+                connect_timeout_s=5.0,
+                idle_timeout_s=0.2 if stay_silent else 5.0,
+                max_body_bytes=100,
             )
             return await fetch(address, "/ping", limits)
 
     return asyncio.run(run())
 
 
-def test_a_call_says_how_far_it_came() -> None:
+def test_a_failed_call_reports_its_progress() -> None:
     ok = b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nTEXT"
     assert call(ok) == Response(200, b"TEXT", ANY)
     chunked = (
@@ -56,14 +60,14 @@
         failed = call(data)
         assert isinstance(failed, CallFailure)
         assert failed.progress is progress and not failed.timed_out
-    silent = call(b"HTTP/1.1 200", stay=True)
+    silent = call(b"HTTP/1.1 200", stay_silent=True)
     assert isinstance(silent, CallFailure) and silent.timed_out
 
 
 def test_the_round_trip_to_a_far_host_is_not_counted_as_its_service_time(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A round trip is as long as the connection took: 3 s of the 10 since the request."""
+    """Connecting took 3 s, so 3 s of the 10 s since the request count as the round trip."""
     monkeypatch.setattr(http, "monotonic", iter([0.0, 3.0, 13.0]).__next__)
     answer = call(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
     assert isinstance(answer, Response) and answer.served_us == 7_000_000
--- a/tests/net/test_line_codec.py
+++ b/tests/net/test_line_codec.py
@@ -1,4 +1,4 @@
-"""Lines become typed messages or rejections, load reports too."""
+"""Lines are parsed into typed messages or rejections, and load reports into typed values."""
 
 import pytest
 from support.controller_model import SECOND
@@ -53,7 +53,7 @@
         b"\xe4gent locality=a",
     ],
 )
-def test_a_line_that_can_not_be_parsed_is_rejected(line: bytes) -> None:
+def test_a_line_that_cannot_be_parsed_is_rejected(line: bytes) -> None:
     assert isinstance(parse_line(line + b"\r"), Rejection)
     assert isinstance(parse_line(COLLECTOR_LINE), Rejection)  # no CR
 
@@ -75,13 +75,15 @@
         (b"GET / HTTP/1.1", True),
     ],
 )
-def test_a_bad_field_is_told_from_broken_framing(line: bytes, breaks_framing: bool) -> None:
+def test_an_invalid_field_is_distinguished_from_broken_framing(
+    line: bytes, breaks_framing: bool
+) -> None:
     rejection = parse_line(line + b"\r")
     assert isinstance(rejection, Rejection)
     assert rejection.breaks_framing is breaks_framing
 
 
-def test_an_impossible_load_figure_is_left_out_and_the_outcomes_beside_it_count() -> None:
+def test_an_invalid_load_value_is_left_out_and_the_outcomes_are_kept() -> None:
     line = OUTCOMES_LINE.replace(b"inflight:7", b"inflight:38654705664")
     message = parse_line(line + b"\r")
     assert isinstance(message, OutcomesMessage)
@@ -89,7 +91,7 @@
     assert message.load_report == LoadReport(utilization=0.61)
 
 
-def test_load_reports_of_health_checks() -> None:
+def test_load_reports_in_health_check_responses() -> None:
     assert parse_load_report(
         b"TEXT inflight=7, queue=2, util=0.61, latency_ms=3.5, other=1\n"
     ) == LoadReport(in_flight=7.0, queue_length=2.0, utilization=0.61, service_time_us=3500.0)
@@ -97,10 +99,13 @@
     assert parse_load_report(b"<html>") is None
 
 
-def test_load_reports_use_names_of_the_settings_or_of_the_protocol() -> None:
-    named = [b"rif:7,q:2,busy:0.61,lat_ms:3.5", b"inflight:7,queue:2,util:0.61,latency_ms:3.5"]
-    for figures in named:
-        message = parse_line(OUTCOMES_LINE.rpartition(b"=")[0] + b"=" + figures + b"\r")
+def test_load_reports_may_use_names_of_the_settings_or_of_the_protocol() -> None:
+    reports = [
+        b"rif:7,q:2,busy:0.61,lat_ms:3.5",
+        b"inflight:7,queue:2,util:0.61,latency_ms:3.5",
+    ]
+    for values in reports:
+        message = parse_line(OUTCOMES_LINE.rpartition(b"=")[0] + b"=" + values + b"\r")
         assert isinstance(message, OutcomesMessage)
         assert message.load_report == LoadReport(
             in_flight=7.0, queue_length=2.0, utilization=0.61, service_time_us=3500.0
--- a/tests/net/test_message_admission.py
+++ b/tests/net/test_message_admission.py
@@ -1,4 +1,4 @@
-"""Each peer may send only what is its own; its messages become events."""
+"""Peers may send only the messages of their role, which are converted into events."""
 
 import random
 
@@ -22,7 +22,7 @@
 
 
 @pytest.mark.parametrize("seed", range(30))
-def test_generated_garbage_is_rejected_or_parsed_and_never_raises(seed: int) -> None:
+def test_randomly_corrupted_lines_never_raise(seed: int) -> None:
     random_source = random.Random(seed)
     admission = Admission(directory_of("s-5be2a07c"), 9, 8 * SECOND)
     identity = PeerIdentity()
@@ -36,7 +36,7 @@
             admission.admit(identity, message)
 
 
-def admitted(admission: Admission, identity: PeerIdentity, *lines: bytes) -> list:
+def admit_lines(admission: Admission, identity: PeerIdentity, *lines: bytes) -> list:
     return [admission.admit(identity, parse_line(line + b"\r")) for line in lines]
 
 
@@ -44,17 +44,17 @@
     admission = Admission(directory_of("s-5be2a07c"), 9, 8 * SECOND)
     proxy = PeerIdentity()
     collector = PeerIdentity()
-    assert admitted(admission, proxy, HELLO_LINE) == [events.ProxyJoined(3, 0, 21.5, True)]
+    assert admit_lines(admission, proxy, HELLO_LINE) == [events.ProxyJoined(3, 0, 21.5, True)]
     admission.joined.add(3)
     proxy.unacknowledged.extend((904, 905, 906))
-    assert admitted(admission, proxy, ACK_LINE, DEMAND_LINE) == [
+    assert admit_lines(admission, proxy, ACK_LINE, DEMAND_LINE) == [
         events.Acknowledged(3, 905, 310400),
         events.ProxyRequestStats(3, 0, 19, 0, SECOND),
     ]
     assert list(proxy.unacknowledged) == [906]
-    assert admitted(admission, collector, COLLECTOR_LINE) == [None]
+    assert admit_lines(admission, collector, COLLECTOR_LINE) == [None]
     assert collector.role is Role.COLLECTOR
-    assert admitted(admission, collector, OUTCOMES_LINE, DEMAND_LINE) == [
+    assert admit_lines(admission, collector, OUTCOMES_LINE, DEMAND_LINE) == [
         events.HostRequestStats(
             0, 0, 212, 3, 41700, SECOND, LoadReport(in_flight=7.0, utilization=0.61)
         ),
@@ -89,5 +89,5 @@
     admission = Admission(directory_of("s-5be2a07c"), 9, 8 * SECOND)
     identity = PeerIdentity()
     if first is not None:
-        admitted(admission, identity, first)
-    assert isinstance(admitted(admission, identity, line)[0], Rejection)
+        admit_lines(admission, identity, first)
+    assert isinstance(admit_lines(admission, identity, line)[0], Rejection)
--- a/tests/net/test_sessions.py
+++ b/tests/net/test_sessions.py
@@ -1,4 +1,4 @@
-"""Sessions of proxies: they open in pieces, are replaced, stall, resume and end."""
+"""Sessions of proxies: fragmented hello, replacement, stalls, resumption and end."""
 
 import asyncio
 
@@ -9,25 +9,25 @@
 from plankroute.events import events
 from plankroute.net.proxies.connection import Connection
 
-RETURNED = HELLO.replace("cold=1", "cold=0")
+RETURNING_HELLO = HELLO.replace("cold=1", "cold=0")
 
 
 def submitted_events(running: RunningService) -> list[events.Event]:
-    """Returns a list that gathers the events that sessions submit from here on."""
+    """Returns a list to which the events that sessions submit from now on are appended."""
     sessions = running.service.listener.sessions
     submitted = list[events.Event]()
     submit = sessions.submit
 
-    def keep(event: events.Event) -> None:
+    def record(event: events.Event) -> None:
         submitted.append(event)
         submit(event)
 
-    sessions.submit = keep
+    sessions.submit = record
     return submitted
 
 
 async def stalled_proxy(running: RunningService) -> Client:
-    """Returns a proxy whose session owes an acknowledgement and counts as left."""
+    """Returns a proxy that counts as left because its session is stalled."""
     proxy = await running.connect(HELLO)
     await proxy.receive("replace=1")
     sessions = running.service.listener.sessions
@@ -38,7 +38,7 @@
     return proxy
 
 
-def test_a_proxy_joins_in_pieces_is_bound_and_acknowledges() -> None:
+def test_a_proxy_with_a_fragmented_hello_joins_is_bound_and_acknowledges() -> None:
     async def scenario(running: RunningService) -> None:
         monitor = await running.connect("probe")
         assert await monitor.receive() == "alive"
@@ -68,7 +68,7 @@
     run_scenario(scenario)
 
 
-def test_a_new_session_before_the_end_of_the_old_one_is_no_leaving() -> None:
+def test_the_end_of_a_replaced_session_does_not_count_as_leaving() -> None:
     async def scenario(running: RunningService) -> None:
         old = await running.connect(HELLO)
         await old.receive("replace=1")
@@ -86,7 +86,7 @@
     run_scenario(scenario)
 
 
-def test_a_stalled_session_counts_as_left_until_it_speaks_again() -> None:
+def test_a_stalled_session_counts_as_left_until_data_arrives_again() -> None:
     async def scenario(running: RunningService) -> None:
         proxy = await running.connect(HELLO)
         bound = await proxy.receive("replace=1")
@@ -120,7 +120,7 @@
         await proxy.receive("replace=1")
         good = "demand node=3 route=lookup total=1 errors=0 interval=1000"
         proxy.send("ack node=3 nonce=nan latency=1", good.replace("=1 ", "=-3 "), good)
-        # A line with a bad field costs itself alone.
+        # An invalid field makes only its own line invalid.
         await running.wait_until(lambda: running.counts["received.demand"] == 1)
         assert publisher.zone_of_proxy and running.counts["rejected.parsing"] == 2
         for client in (proxy, collector):
@@ -133,7 +133,7 @@
     run_scenario(scenario)
 
 
-def test_a_proxy_that_does_not_read_blocks_nobody() -> None:
+def test_a_proxy_that_does_not_read_does_not_block_others() -> None:
     async def scenario(running: RunningService) -> None:
         stopped = await running.connect(HELLO)
         proxy = await running.connect(HELLO.replace("=3", "=4"))
@@ -151,32 +151,32 @@
 
 
 @pytest.mark.parametrize(
-    "how", ["ends", "reset", "replaced", "speaks and ends", "speaks and is replaced"]
+    "end", ["closed", "reset", "replaced", "resumed and closed", "resumed and replaced"]
 )
-def test_a_stalled_session_is_reported_as_left_once(how: str) -> None:
-    """Guards against one end that counts twice among those that break together."""
+def test_a_stalled_session_is_reported_as_left_once(end: str) -> None:
+    """A second report would count twice in the detection of a mass disconnect."""
 
     async def scenario(running: RunningService) -> None:
         submitted = submitted_events(running)
         proxy = await stalled_proxy(running)
-        if how.startswith("speaks"):
+        if end.startswith("resumed"):
             proxy.send("probe")
             await proxy.receive("alive")
-        if how == "reset":
+        if end == "reset":
             proxy.writer.transport.abort()
-        elif "replaced" in how:
-            again = await running.connect(RETURNED)
+        elif "replaced" in end:
+            again = await running.connect(RETURNING_HELLO)
             await again.receive("replace=1")
         else:
             proxy.writer.close()
-        remaining = 1 if "replaced" in how else 0
+        remaining = 1 if "replaced" in end else 0
         table = running.service.listener.table
         await running.wait_until(lambda: len(table.connections) == remaining)
         kinds = [type(event).__name__ for event in submitted]
         expected = ["ProxyJoined", "ProxyLeft"]
-        if how.startswith("speaks"):
+        if end.startswith("resumed"):
             expected += ["ProxyJoined", "ProxyLeft"]
-        if "replaced" in how:
+        if "replaced" in end:
             expected.append("ProxyJoined")
         assert kinds == expected
 
@@ -184,7 +184,7 @@
 
 
 @pytest.mark.parametrize("end", ["fin", "reset", "not yet"])
-def test_a_host_drained_between_two_sessions_is_missing_in_the_first_message_of_the_new_one(
+def test_a_host_drained_between_two_sessions_is_not_in_the_first_message_of_the_new_one(
     end: str,
 ) -> None:
     async def scenario(running: RunningService) -> None:
@@ -203,14 +203,14 @@
             await running.wait_until(lambda: not publisher.zone_of_proxy)
         running.discovery.send(watch, DRAINED)
         await running.wait_until(lambda: running.counts["received.lists"] > lists_before)
-        new = await running.connect(RETURNED)
+        new = await running.connect(RETURNING_HELLO)
         first = await new.receive()
         assert "replace=1" in first and "s-2:" in first and "s-1:" not in first
 
     run_scenario(scenario)
 
 
-def test_what_waited_for_the_old_session_is_neither_sent_nor_left_in_the_accounting() -> None:
+def test_pending_lines_of_a_replaced_session_are_neither_sent_nor_left_in_the_accounting() -> None:
     async def scenario(running: RunningService) -> None:
         publisher = running.service.core.controller.publisher
         old = await running.connect(HELLO)
@@ -220,24 +220,24 @@
         while connection.outbound.send(b"push stamp=" + b"9" * 50000 + b"\r\n"):
             await asyncio.sleep(0)
         assert connection.outbound.pending.size > 1 << 20 and publisher.channel.unacknowledged
-        new = await running.connect(RETURNED)
+        new = await running.connect(RETURNING_HELLO)
         bound = await new.receive()
         assert "replace=1" in bound and connection.outbound.pending.size == 0
         new.send(f"ack node=3 nonce={bound.split('stamp=')[1]} latency=1", "probe")
-        assert await new.receive() == "alive"  # nothing of the old one came before it
+        assert await new.receive() == "alive"  # without pending lines of the old session before it
         await running.wait_until(lambda: publisher.channel.unacknowledged == 0)
 
     run_scenario(scenario)
 
 
-def test_one_proxy_that_joins_without_end_raises_no_disconnect_alarm() -> None:
-    """Guards against an alarm, in which one health check ejects a host, by a single proxy."""
+def test_one_proxy_that_rejoins_repeatedly_is_not_taken_for_a_mass_disconnect() -> None:
+    """During a mass disconnect one health check can eject a host; one proxy must not cause that."""
 
     async def scenario(running: RunningService) -> None:
         host_table = running.service.core.controller.host_table
         publisher = running.service.core.controller.publisher
         for _ in range(40):
-            await (await running.connect(RETURNED)).receive()
+            await (await running.connect(RETURNING_HELLO)).receive()
         assert list(publisher.zone_of_proxy) == [3]
         assert len(running.service.listener.sessions.by_proxy) == 1
         assert host_table.mass_disconnect_at_us == 0
--- a/tests/net/test_watch.py
+++ b/tests/net/test_watch.py
@@ -1,4 +1,4 @@
-"""The watch of the endpoint list: changes arrive, faults cost a timeout and a pause."""
+"""The watch of the endpoint list: changes arrive, and a fault delays them by a bounded time."""
 
 import os
 import signal
@@ -11,7 +11,7 @@
 from support.faulty_discovery import DRAINED, FAULTS, FaultyDiscovery, run_with_faulty_discovery
 from support.service_stage import HELLO, RunningService, config, listing, run_scenario
 
-from plankroute.net.discovery import watch as discovery_module
+from plankroute.net.discovery import watch as watch_module
 
 
 def test_changes_of_the_list_reach_the_proxy_and_a_lost_watch_is_renewed() -> None:
@@ -27,13 +27,14 @@
         assert await running.discovery.targets.get() == "/catalog/members?watch=1&after=43"
         watch = await running.discovery.watches.get()
         running.discovery.send(watch, b'{"rev": 44, "all": fal\n')
-        # Nothing of the broken list was taken.
+        # No part of the malformed list was applied.
         assert await running.discovery.targets.get() == "/catalog/members?watch=1&after=43"
         watch = await running.discovery.watches.get()
         running.discovery.send(watch, orjson.dumps(listing(45, "s-1", "s-3")) + b"\n")
         assert "s-2:0" in await proxy.receive("rows")
         running.discovery.send(watch, orjson.dumps(listing(9, "s-1", whole=False)) + b"\n")
-        assert await running.discovery.targets.get() == "/catalog/members"  # it began anew
+        # Discovery was reset, so the complete list is fetched.
+        assert await running.discovery.targets.get() == "/catalog/members"
         poll = await running.discovery.watches.get()
         running.discovery.send(poll, orjson.dumps(listing(9, "s-1")))
         poll.write(b"0\r\n\r\n")
@@ -44,11 +45,11 @@
 
 
 @pytest.mark.parametrize("fault", FAULTS)
-def test_a_faulty_watch_costs_its_timeout_and_a_pause(
+def test_a_faulty_watch_is_renewed_after_its_timeout_and_a_pause(
     fault: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Guards against a watch that is kept for good while it brings nothing."""
-    monkeypatch.setattr(discovery_module, "IDLE_TIMEOUT_S", 0.2)
+    """A watch that hangs or trickles must not be kept open forever."""
+    monkeypatch.setattr(watch_module, "IDLE_TIMEOUT_S", 0.2)
     log = list[bytes]()
 
     async def scenario(running: RunningService, faulty: FaultyDiscovery) -> None:
@@ -67,26 +68,26 @@
 
 
 @pytest.mark.parametrize("fault", ["hangs in a line", "drips in a line", "hangs after the dial"])
-def test_a_change_is_known_within_the_platforms_bound_after_a_faulty_watch(fault: str) -> None:
-    """The longest idle timeout and the longest pause before a new call: 3.45 s and a way."""
-    took = list[float]()
+def test_a_change_arrives_within_the_platforms_limit_after_a_faulty_watch(fault: str) -> None:
+    """The idle timeout and the longest pause before a new call: 3.45 s plus the network delay."""
+    delays_s = list[float]()
 
     async def scenario(running: RunningService, faulty: FaultyDiscovery) -> None:
         proxy = await running.connect(HELLO)
         await proxy.receive("replace=1")
         await faulty.met.wait()
-        began = time.monotonic()
+        started = time.monotonic()
         faulty.send(await faulty.watches.get(), DRAINED)
         assert "s-1:0" in await proxy.receive("rows")
-        took.append(time.monotonic() - began)
+        delays_s.append(time.monotonic() - started)
 
     run_with_faulty_discovery(fault, scenario, [])
-    longest = discovery_module.IDLE_TIMEOUT_S + 1.5 * discovery_module.RETRY_PAUSE_S
-    assert longest < 3.5 and took[0] < longest + 1.0 < 6.0
+    longest = watch_module.IDLE_TIMEOUT_S + 1.5 * watch_module.RETRY_PAUSE_S
+    assert longest < 3.5 and delays_s[0] < longest + 1.0 < 6.0
 
 
 @pytest.mark.parametrize("then", ["fin", "reset"])
-def test_a_drain_in_the_last_line_before_the_connection_breaks_is_known(then: str) -> None:
+def test_a_drain_in_the_last_line_before_the_connection_breaks_is_applied(then: str) -> None:
     async def scenario(running: RunningService) -> None:
         proxy = await running.connect(HELLO)
         await proxy.receive("replace=1")
@@ -105,7 +106,7 @@
 
 
 @pytest.mark.parametrize("fault", ["hangs after the dial", "hangs in a line", "drips in a line"])
-def test_a_new_configuration_moves_discovery_out_of_a_hanging_call(
+def test_a_new_discovery_address_ends_a_hanging_call(
     fault: str, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     path = tmp_path / "config.json"
@@ -116,7 +117,7 @@
         proxy = await running.connect(HELLO)
         await proxy.receive("replace=1")
         path.write_bytes(config(int(running.service.configuration.discovery.rpartition(":")[2])))
-        # As if discovery had been at another address.
+        # Pretends that the previous configuration had another discovery address.
         running.service.configuration = replace(
             running.service.configuration, discovery="127.0.0.1:1"
         )
