--- a/plankroute/events/facts.py
+++ b/plankroute/events/facts.py
@@ -82,7 +82,7 @@
     health_check: float = 0.0
     peer_message: float = 0.0
     late_failure: float = 0.0
-    command_line: float = 0.0
+    channel_line: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
--- a/plankroute/events/settings.py
+++ b/plankroute/events/settings.py
@@ -205,5 +205,5 @@
         health_check=float(prices.get("probe", 0.0)),
         peer_message=float(prices.get("peer", 0.0)),
         late_failure=float(prices.get("lateFail", 0.0)),
-        command_line=float(family.get("costPerLine", 0.0)),
+        channel_line=float(family.get("costPerLine", 0.0)),
     )
--- a/plankroute/policy/flow_control.py
+++ b/plankroute/policy/flow_control.py
@@ -91,7 +91,7 @@
 def line_price(facts: StartFacts) -> float:
     """Returns the price of a line at every proxy, by the penalty rates of the settings."""
     lines_per_s = max(1.0, facts.channel_lines_per_s * facts.controller_count)  # of all controllers
-    penalty = facts.penalty_rates.command_line
+    penalty = facts.penalty_rates.channel_line
     return penalty * facts.proxy_count / lines_per_s * SECOND_US / SLOT_LIFETIME_US
 
 
--- a/tests/events/test_settings.py
+++ b/tests/events/test_settings.py
@@ -88,7 +88,7 @@
         health_check=0.08,
         peer_message=0.07,
         late_failure=0.06,
-        command_line=0.02,
+        channel_line=0.02,
     ),
     channel_lines_per_s=2100.0,
     message_overhead_lines=6,
--- a/tests/support/controller_bench.py
+++ b/tests/support/controller_bench.py
@@ -74,7 +74,7 @@
         backlog_cap_lines=4000,
         drain_grace_us=7 * SECOND,
         max_unbound_us=12 * SECOND,
-        penalty_rates=PenaltyRates(command_line=order),
+        penalty_rates=PenaltyRates(channel_line=order),
     )
     bench = Bench(facts, speed=rng.choice([1.0, 0.7]))
     bench.give(full(*[entry(100 + i, zone=i % 3) for i in range(60)]))
