--- a/plankroute/events/facts.py
+++ b/plankroute/events/facts.py
@@ -114,7 +114,7 @@
         overload_multiple: A host that warms up fails if it is sent more than this many times its
             present capacity for `overload_window_us`.
         overload_window_us: How long it bears that.
-        only_draining_is_binding: Proxies have to stop using hosts listed draining, but need not
+        gone_hosts_stay_usable: Proxies have to stop using hosts listed draining, but need not
             stop using hosts that are no longer listed.
         list_poll_deadline_us: Where `must_subscribe`: without a subscription, the time within which
             the host list has to be asked for.
@@ -154,7 +154,7 @@
     initial_capacity_share: float
     overload_multiple: float
     overload_window_us: int
-    only_draining_is_binding: bool
+    gone_hosts_stay_usable: bool
     list_poll_deadline_us: int
     # What may be done and what is told
     admission_unit: AdmissionUnit
--- a/plankroute/events/settings.py
+++ b/plankroute/events/settings.py
@@ -147,7 +147,7 @@
         initial_capacity_share=float(safety.get("startCapacity", 1.0)),
         overload_multiple=float(safety.get("fallMultiple", 1.0)),
         overload_window_us=_duration_us(safety, "tipAfterMs", 1000),
-        only_draining_is_binding=bool(safety.get("droppedStayOpen", False)),
+        gone_hosts_stay_usable=bool(safety.get("droppedStayOpen", False)),
         list_poll_deadline_us=_duration_us(safety, "mustAskInMs", 10000),
         admission_unit=ADMISSION_UNIT_BY_WORD.get(
             family.get("throttleBy", "silent"), AdmissionUnit.NONE
--- a/tests/support/controller_model.py
+++ b/tests/support/controller_model.py
@@ -64,7 +64,7 @@
         initial_capacity_share=0.2,
         overload_multiple=3.0,
         overload_window_us=2 * SECOND,
-        only_draining_is_binding=False,
+        gone_hosts_stay_usable=False,
         list_poll_deadline_us=10 * SECOND,
         admission_unit=AdmissionUnit.NONE,
         default_retry=1,
