--- a/plankroute/events/settings.py
+++ b/plankroute/events/settings.py
@@ -65,7 +65,7 @@
     return round(ms * US_PER_MS) if math.isfinite(ms) else 0
 
 
-def finite(value: float) -> float:
+def positive_or_zero(value: float) -> float:
     """Returns a figure, or 0 for one that is negative or no number and so says nothing."""
     return value if math.isfinite(value) and value > 0 else 0.0
 
--- a/plankroute/net/discovery/catalogue.py
+++ b/plankroute/net/discovery/catalogue.py
@@ -6,7 +6,7 @@
 import orjson
 
 from plankroute.events.events import HostState
-from plankroute.events.settings import finite
+from plankroute.events.settings import positive_or_zero
 from plankroute.net.process.errors import Rejection, RejectionStage
 from plankroute.units import MAX_UNIX_MS
 
@@ -114,7 +114,7 @@
         machine_type=_text(raw["model"]),
         cell=int(raw["pod_group"]),
         state=STATES[raw["state"]],
-        weight=finite(float(raw["capacity_hint"])),
+        weight=positive_or_zero(float(raw["capacity_hint"])),
         boot_ms=float(raw["boot_ms"]),
     )
 
--- a/plankroute/net/process/configuration.py
+++ b/plankroute/net/process/configuration.py
@@ -7,7 +7,12 @@
 import orjson
 
 from plankroute.events.facts import StartFacts
-from plankroute.events.settings import SettingsError, finite, microseconds, parse_settings
+from plankroute.events.settings import (
+    SettingsError,
+    microseconds,
+    parse_settings,
+    positive_or_zero,
+)
 from plankroute.net.process.address import host_and_port
 from plankroute.net.process.resource_limits import ResourceLimits, resource_limits_for
 
@@ -92,7 +97,7 @@
 
 
 def _limit(value: str | float) -> float:
-    number = finite(float(value))
+    number = positive_or_zero(float(value))
     if number < 1:
         raise ValueError(f"{value!r} is no limit")
     return number
--- a/plankroute/simulator/event_records.py
+++ b/plankroute/simulator/event_records.py
@@ -11,10 +11,10 @@
 from plankroute.events.facts import StartFacts
 from plankroute.events.settings import (
     SettingsError,
-    finite,
     load_report,
     microseconds,
     parse_settings,
+    positive_or_zero,
 )
 from plankroute.simulator.frames import WireError
 
@@ -219,7 +219,7 @@
                 zone,
                 machine_type,
                 cell,
-                finite(weight),
+                positive_or_zero(weight),
                 microseconds(started_ms),
             )
             for started_ms, weight, machine_type, state, zone, host, cell in LIST_ENTRY.iter_unpack(
@@ -255,7 +255,7 @@
 
     def _proxy_joined(self, cursor: RecordCursor) -> Delivered:
         instance, proxy, zone, usual_rate, fresh = cursor.fields(ATTACHED)
-        event = events.ProxyJoined(proxy, zone, finite(usual_rate), bool(fresh))
+        event = events.ProxyJoined(proxy, zone, positive_or_zero(usual_rate), bool(fresh))
         return Delivered(instance, event)
 
     def _proxy_left(self, cursor: RecordCursor) -> Delivered:
@@ -270,7 +270,7 @@
     def _host_request_stats(self, cursor: RecordCursor) -> Delivered:
         instance, zone, mean_ms, failed, attempts, span_ms, host, count = cursor.fields(STATS)
         report = self._load_report(instance, count, cursor)
-        mean_latency_us = finite(mean_ms) * 1000
+        mean_latency_us = positive_or_zero(mean_ms) * 1000
         span_us = microseconds(span_ms)
         event = events.HostRequestStats(
             host, zone, attempts, failed, mean_latency_us, span_us, report
@@ -295,7 +295,7 @@
 
     def _slice_route(self, cursor: RecordCursor) -> Delivered:
         instance, slice_, host, weight = cursor.fields(STORED_LINE)
-        return Delivered(instance, events.SliceRoute(slice_, host, finite(weight)))
+        return Delivered(instance, events.SliceRoute(slice_, host, positive_or_zero(weight)))
 
     def _load_report(
         self, instance: int, count: int, cursor: RecordCursor
