--- a/plankroute/policy/admission.py
+++ b/plankroute/policy/admission.py
@@ -159,7 +159,7 @@
         if math.isnan(stats.mean_latency_us) or stats.mean_latency_us >= NO_CAP:
             return  # no latency was measured
         for table, load in zip(self.tables, self.loads, strict=True):
-            if table.serves_zone(stats.zone) and table.admits(self.host_table, host):
+            if table.serves_zone(stats.zone) and table.may_hold(self.host_table, host):
                 load.attempts += stats.attempts
                 load.failed += stats.failed
                 load.latency += (
--- a/plankroute/policy/fill.py
+++ b/plankroute/policy/fill.py
@@ -43,7 +43,7 @@
     # Hosts that serve the same request classes: others have another mix of work, and other attempts
     # a weight.
     for hosts in group_by(
-        latencies, lambda host: tuple(table.admits(host_table, host) for table in tables)
+        latencies, lambda host: tuple(table.may_hold(host_table, host) for table in tables)
     ):
         usual_latency = sum(latencies[host] for host in hosts) / len(hosts)
         request_rate = rate_per_weight(host_table, hosts, latencies, in_flight)
--- a/plankroute/policy/slots.py
+++ b/plankroute/policy/slots.py
@@ -58,7 +58,7 @@
             for host in host_table.ready()
             if host_table.weight_cap[host]
             and host not in withdrawn
-            and self.admits(host_table, host)
+            and self.may_hold(host_table, host)
         ]
         if subset.share < 1:
             candidates = hosts_of_subset(host_table, self, candidates, subset)
--- a/plankroute/policy/subsetting.py
+++ b/plankroute/policy/subsetting.py
@@ -151,7 +151,7 @@
     The hosts of each zone and machine type are spread evenly over the ring, in the order of their
     names.
     """
-    admitted = [host for host in host_table.ready() if table.admits(host_table, host)]
+    admitted = [host for host in host_table.ready() if table.may_hold(host_table, host)]
     admitted.sort(key=lambda host: host_table.name_order[host])
     groups = group_by(admitted, lambda host: (host_table.zone[host], host_table.machine_type[host]))
     positions = [
--- a/plankroute/state/published_table.py
+++ b/plankroute/state/published_table.py
@@ -29,7 +29,7 @@
     has_limits: bool = True
     published: dict[int, int] = field(default_factory=dict)
 
-    def admits(self, hosts: HostStatistics, index: int) -> bool:
+    def may_hold(self, hosts: HostStatistics, index: int) -> bool:
         """Whether the table may hold the host, by its zone and machine type."""
         zone_allowed = self.zones is None or hosts.zone[index] in self.zones
         return zone_allowed and (
