--- a/plankroute/controller/controller.py
+++ b/plankroute/controller/controller.py
@@ -24,7 +24,7 @@
 
     TURN = 1  # the next turn of the control loop
     HOST_LIST = 2  # a poll or subscription that failed is repeated
-    PULSE = 3  # between turns: whether anything can be written by now
+    PUBLISHER_CHECK = 3  # between turns: whether anything can be written by now
 
 
 class Controller:
@@ -54,7 +54,7 @@
         self._bind_reinstates_hosts = facts.bind_reinstates_hosts
         self._list_request: commands.Command = commands.PollHostList()
         self._set_timer(self.policy.weights.first_us, TimerToken.TURN)
-        self._set_timer(PUBLISHER_PULSE_US, TimerToken.PULSE)
+        self._set_timer(PUBLISHER_PULSE_US, TimerToken.PUBLISHER_CHECK)
         if facts.must_subscribe:
             self._list_request = commands.SubscribeHostList(True)
             self.scheduler.out.append(self._list_request)
@@ -214,8 +214,8 @@
         match token:
             case TimerToken.HOST_LIST:
                 self.scheduler.out.append(self._list_request)
-            case TimerToken.PULSE:
-                self._set_timer(PUBLISHER_PULSE_US, TimerToken.PULSE)
+            case TimerToken.PUBLISHER_CHECK:
+                self._set_timer(PUBLISHER_PULSE_US, TimerToken.PUBLISHER_CHECK)
                 return Tick.CHANGED
             case TimerToken.TURN:
                 self._turn()
--- a/tests/net/test_core_runner.py
+++ b/tests/net/test_core_runner.py
@@ -32,7 +32,7 @@
         runner.submit(full(entry(100)))
         runner.flush()
         tokens = sorted(token for _, _, token in runner.timers.heap)
-        assert tokens == [TimerToken.TURN, TimerToken.PULSE]
+        assert tokens == [TimerToken.TURN, TimerToken.PUBLISHER_CHECK]
         runner.timers.heap = [(0, *rest) for _, *rest in runner.timers.heap]
         runner.submit(events.HostRequestStats(100, 0, None, 0, 1.0, SECOND, None))  # type: ignore[arg-type]
         runner.flush()
@@ -63,7 +63,7 @@
 
     def run_batch(*batch: events.Event) -> None:
         runner.run_batch(
-            now, [*batch, *map(events.TimerExpired, (TimerToken.PULSE, TimerToken.TURN))]
+            now, [*batch, *map(events.TimerExpired, (TimerToken.PUBLISHER_CHECK, TimerToken.TURN))]
         )
 
     first = list_json(*[host_json(f"s-{n}") for n in range(12)])
@@ -128,7 +128,7 @@
 
     def run_batch(*batch: events.Event) -> None:
         runner.run_batch(
-            now, [*batch, *map(events.TimerExpired, (TimerToken.PULSE, TimerToken.TURN))]
+            now, [*batch, *map(events.TimerExpired, (TimerToken.PUBLISHER_CHECK, TimerToken.TURN))]
         )
 
     runner.outputs.send_message = send
--- a/tests/net/test_recorded_days.py
+++ b/tests/net/test_recorded_days.py
@@ -97,7 +97,7 @@
 
     def work(*batch: events.Event) -> None:
         runner.run_batch(
-            now, [*batch, *map(events.TimerExpired, (TimerToken.PULSE, TimerToken.TURN))]
+            now, [*batch, *map(events.TimerExpired, (TimerToken.PUBLISHER_CHECK, TimerToken.TURN))]
         )
 
     def admit(*lines: str) -> list[events.Event]:
