--- a/plankroute/__init__.py
+++ b/plankroute/__init__.py
@@ -1,1 +1,1 @@
-"""plankroute: a steward that publishes routing tables to a fleet of proxies."""
+"""plankroute: a controller that publishes routing tables to a fleet of proxies."""
--- a/plankroute/controller/__init__.py
+++ b/plankroute/controller/__init__.py
@@ -1,1 +1,1 @@
-"""Runs the policy: entry point, scheduler, host statistics, proxy registry, channel accounting."""
+"""Entry point of a controller, and the messages that its commands become."""
--- a/plankroute/controller/controller.py
+++ b/plankroute/controller/controller.py
@@ -1,7 +1,7 @@
-"""Entry point of a controller: events in, commands out. Decides nothing.
+"""Entry point of a controller: takes in events and returns commands.
 
-The parts that decide are actors of :mod:`plankroute.policy`; events are put into their mailboxes
-here, and timers wake them.
+The actors of :mod:`plankroute.policy` make all decisions. This module delivers each event to the
+mailboxes of the actors that handle it, and wakes actors when timers expire.
 """
 
 from collections.abc import Iterable
@@ -22,24 +22,28 @@
 class TimerToken(IntEnum):
     """Tokens of the timers that a controller sets."""
 
-    TURN = 1  # the next turn of the control loop
-    HOST_LIST = 2  # a poll or subscription that failed is repeated
-    PUBLISHER_CHECK = 3  # between turns: whether anything can be written by now
+    TURN = 1  # starts the next turn of the control loop
+    HOST_LIST = 2  # repeats a failed poll of the host list, or subscription to it
+    PUBLISHER_CHECK = 3  # makes the publisher write what it can between two turns
 
 
 class Controller:
-    """One controller: it shares nothing with others, and all its time comes with its events.
+    """One controller instance.
+
+    It shares no state with other instances and reads no clock: the time comes with each batch of
+    events.
 
     Attributes:
-        scheduler: What the actors share.
-        policy: The parts that decide.
-        host_table: The policy's statistics of the hosts.
-        publisher: The policy's joined proxies and published tables.
-        hosts: One actor a host, by its index; of a removed host until the index is used again.
+        scheduler: Clock, random numbers, mailboxes and outgoing commands of the actors.
+        policy: The actors and tables that make the decisions.
+        host_table: Statistics of all hosts; part of the policy.
+        publisher: Joined proxies and published tables; part of the policy.
+        hosts: The actor of each host, by index in the host table. The actor of a removed host
+            stays until its index is reused.
     """
 
     def __init__(self, facts: StartFacts, seed: int) -> None:
-        """Starts; the first `deliver` also returns what was commanded here.
+        """Builds the policy, and issues the first commands, which the first `deliver` returns.
 
         Args:
             facts: What the controller is told at its start.
@@ -60,21 +64,21 @@
             self.scheduler.out.append(self._list_request)
 
     def deliver(self, clock_us: int, batch: Iterable[events.Event]) -> list[commands.Command]:
-        """Takes in a batch of events and decides.
+        """Handles a batch of events.
 
         Args:
-            clock_us: The clock at which all events of the batch happen, in microseconds; it must
-                not go back.
-            batch: The events, in their order.
+            clock_us: Time of all events of the batch, in microseconds; never earlier than that of
+                the previous batch.
+            batch: The events, in the order in which they happened.
 
         Returns:
-            Commands, in the order in which they take effect.
+            The commands, in the order in which they take effect.
         """
         scheduler = self.scheduler
         scheduler.now = clock_us
         ticks: set[Tick] = set()
         for event in batch:
-            tick = self._route(event)
+            tick = self._dispatch(event)
             if tick is not None:
                 ticks.add(tick)
             scheduler.run()
@@ -86,18 +90,19 @@
         return out
 
     def prior_knowledge(self) -> list[events.HostPriorKnowledge]:
-        """Returns what this controller has found out by itself of the hosts that are listed ready.
+        """Returns what this controller knows of hosts that are listed ready.
 
-        What it was told by others is not passed on.
+        Hosts that it has not measured itself since they started are left out, so that prior
+        knowledge from other controllers is not passed on.
         """
         host_table = self.host_table
         return [
-            self._knowledge_of(host, index)
+            self._host_prior_knowledge(host, index)
             for host, index in host_table.index_of.items()
             if host_table.state[index] is HostState.READY and self.hosts[index].has_own_knowledge
         ]
 
-    def _knowledge_of(self, host: int, index: int) -> events.HostPriorKnowledge:
+    def _host_prior_knowledge(self, host: int, index: int) -> events.HostPriorKnowledge:
         host_table = self.host_table
         attempts = host_table.attempts[index]
         age_us = self.scheduler.now - host_table.heard_at_us[index]
@@ -114,7 +119,7 @@
         )
 
     def _wake_publisher(self, tick: Tick) -> None:
-        if tick is Tick.CHANGED:  # at a turn the weights were moved already
+        if tick is Tick.CHANGED:  # on a turn the weight controller was woken by `_start_turn`
             self.scheduler.put(self.policy.weights, Tick.CHANGED)
         self.scheduler.put(self.publisher, tick)
         self.scheduler.run()
@@ -122,16 +127,16 @@
     def _set_timer(self, after_us: int, token: TimerToken) -> None:
         self.scheduler.out.append(commands.SetTimer(after_us, token))
 
-    # Events; each handler returns the tick that the publisher is due for it, if any
+    # Event handlers. Each returns the tick with which the publisher is to be woken, or None.
 
-    def _route(self, event: events.Event) -> Tick | None:
+    def _dispatch(self, event: events.Event) -> Tick | None:
         match event:
             case events.HostRequestStats():
                 self._on_host_request_stats(event)
             case events.HealthCheckResult():
-                self._put_to_host(event.host, event)
+                self._deliver_to_host(event.host, event)
             case events.HostPriorKnowledge():
-                if self._put_to_host(event.host, event):
+                if self._deliver_to_host(event.host, event):
                     return Tick.CHANGED
             case events.ProxyRequestStats():
                 self.scheduler.put(self.policy.admission, event)
@@ -146,12 +151,16 @@
                 return self._on_timer(event.token)
         return None
 
-    def _put_to_host(
+    def _deliver_to_host(
         self,
         host: int,
         event: events.HostRequestStats | events.HealthCheckResult | events.HostPriorKnowledge,
     ) -> bool:
-        """Puts an event into a host's mailbox; returns False if the host isn't known."""
+        """Puts an event into the mailbox of a host's actor.
+
+        Returns:
+            False if the host is not in the host table, in which case the event is dropped.
+        """
         index = self.host_table.index_of.get(host)
         if index is None:
             return False
@@ -159,14 +168,14 @@
         return True
 
     def _on_host_request_stats(self, event: events.HostRequestStats) -> None:
-        if self._put_to_host(event.host, event):
+        if self._deliver_to_host(event.host, event):
             self.scheduler.put(self.policy.admission, event)
 
-    def _on_host_list(self, listed: events.HostList) -> Tick | None:
-        if listed.kind is ListKind.FAILED:
+    def _on_host_list(self, host_list: events.HostList) -> Tick | None:
+        if host_list.kind is ListKind.FAILED:
             self._set_timer(LIST_RETRY_DELAY_US, TimerToken.HOST_LIST)
             return None
-        for entry in self._entries(listed):
+        for entry in self._entries(host_list):
             index = self.host_table.index_of.get(entry.host)
             if index is None:
                 index = self._add_host(entry)
@@ -181,16 +190,19 @@
             self.scheduler.put(host, Tick.CHANGED)
         return Tick.CHANGED
 
-    def _entries(self, listed: events.HostList) -> Iterable[events.HostEntry]:
-        """The list's entries; a known host that a whole list does not name is gone."""
-        entries = {entry.host: entry for entry in listed.entries}
-        if listed.kind is not ListKind.CHANGES:
+    def _entries(self, host_list: events.HostList) -> Iterable[events.HostEntry]:
+        """Returns the entries of a list, with one for each known host that is gone.
+
+        A complete list reports a host as gone by leaving it out.
+        """
+        entries = {entry.host: entry for entry in host_list.entries}
+        if host_list.kind is not ListKind.CHANGES:
             for host, index in self.host_table.index_of.items():
                 if host not in entries:
-                    entries[host] = self._gone_entry(host, index)
+                    entries[host] = self._entry_of_gone_host(host, index)
         return entries.values()
 
-    def _gone_entry(self, host: int, index: int) -> events.HostEntry:
+    def _entry_of_gone_host(self, host: int, index: int) -> events.HostEntry:
         return events.HostEntry(
             host=host,
             state=HostState.GONE,
@@ -218,11 +230,11 @@
                 self._set_timer(PUBLISHER_PULSE_US, TimerToken.PUBLISHER_CHECK)
                 return Tick.CHANGED
             case TimerToken.TURN:
-                self._turn()
+                self._start_turn()
                 return Tick.TURN
         return None
 
-    def _turn(self) -> None:
+    def _start_turn(self) -> None:
         self._set_timer(self.policy.weights.pause_us(), TimerToken.TURN)
         self.host_table.refresh()
         for host in self.hosts:
--- a/plankroute/controller/message_builder.py
+++ b/plankroute/controller/message_builder.py
@@ -1,7 +1,8 @@
-"""Turns the commands of a batch into one message for each proxy concerned; decides nothing.
+"""Builds one message per proxy from the commands of a batch; makes no decisions.
 
-A proxy knows only what reached it on its stream. So tables, admission limits and withdrawn hosts
-are kept here as last commanded: a proxy that is bound gets all of them, the others what changes.
+A proxy knows only what it received on its stream. The builder therefore keeps tables, admission
+limits and withdrawn hosts as last commanded: a bind sends a proxy the whole table with its limit
+and withdrawals, and later messages only the changes.
 """
 
 from collections.abc import Iterable, Sequence
@@ -14,21 +15,24 @@
 from plankroute.events.events import HostState
 
 TablesInUse = tuple[int | None, ...]
-"""The table that a proxy uses for each request class; None: a table unknown to this controller."""
+"""The table that a proxy uses for each request class.
+
+None stands for a table from before the proxy joined, whose hosts this controller does not know.
+"""
 
 
 @dataclass(slots=True)
 class ProxyStream:
-    """What one joined proxy was sent on its present stream.
+    """What one joined proxy was sent on its current stream.
 
-    A proxy keeps hosts withdrawn across streams: one that did not start afresh may still keep out
-    of use any host that this or another controller ever had reason to withdraw.
+    A proxy keeps hosts withdrawn across streams. A proxy that is not fresh may therefore still
+    send nothing to any host that this or another controller ever had reason to withdraw.
 
     Attributes:
-        fresh: The proxy holds nothing of earlier streams.
+        fresh: The proxy holds nothing from earlier streams.
         tables: The tables that it uses.
-        notified: By host, whether it was told that the host is withdrawn (True) or may be used
-            again (False); nothing is certain of hosts that are not in it.
+        notified: By host, the last notice sent on this stream: True if the host was withdrawn,
+            False if it was reinstated. A host without an entry had no notice.
     """
 
     fresh: bool
@@ -37,20 +41,22 @@
 
 
 class MessageBuilder:
-    """Tables, admission limits and withdrawn hosts, and what each joined proxy has of them.
+    """Keeps what was commanded, and what each joined proxy was sent of it.
 
-    Proxies that use the same tables share one draft, so that a command that concerns hundreds of
-    them is applied, and encoded, once. A proxy bound in a batch has a draft of its own in it.
+    Proxies that use the same tables form a group with one draft, so that a command for hundreds of
+    them is applied, and its updates encoded, only once. A proxy that is bound in a batch has its
+    own draft for the rest of that batch.
 
     Attributes:
-        streams: The joined proxies.
+        request_classes: Indexes of all request classes.
+        streams: State of each joined proxy.
         tables: By table, weight by host.
         withdrawn_hosts: Hosts that are withdrawn now.
         ever_withdrawn: Hosts that any controller ever had reason to withdraw.
     """
 
     def __init__(self, request_class_count: int) -> None:
-        """Starts with no proxy, no table and no limit."""
+        """Creates a builder without proxies, tables and limits."""
         self.request_classes = range(request_class_count)
         self.streams: dict[int, ProxyStream] = {}
         self.tables: dict[int, dict[int, float]] = {}
@@ -64,10 +70,13 @@
         self._group_drafts: dict[TablesInUse, TableDraft] = {}
         self._proxy_drafts: dict[int, TableDraft] = {}
         self._withdrawals: dict[int, dict[int, bool]] = {}  # by proxy, as in Message.withdrawn
-        self._recipients: dict[int, None] = {}  # in the order in which commands concern them
+        self._recipients: dict[int, None] = {}  # ordered by the first command for each proxy
 
     def observe(self, event: events.Event) -> None:
-        """Takes in which proxies are joined and which hosts were ever other than ready and warm."""
+        """Records joined proxies, and hosts that controllers may have withdrawn.
+
+        These are the hosts that were ever listed as not ready, or as started recently.
+        """
         match event:
             case events.ProxyJoined():
                 self._remove_stream(event.proxy)
@@ -82,9 +91,10 @@
                         self.ever_withdrawn.add(entry.host)
 
     def forget(self, host: int) -> None:
-        """Drops all that is kept of a host whose id is about to be used for another.
+        """Drops all state of a host that the controller has forgotten.
 
-        Of a proxy that was told to keep it out of use, nothing is certain from then on.
+        A proxy may still keep the host withdrawn when it is listed again under a new id. So a proxy
+        with that notice no longer counts as fresh.
         """
         self.withdrawn_hosts.discard(host)
         self.ever_withdrawn.discard(host)
@@ -94,7 +104,7 @@
                 stream.fresh = False
 
     def build(self, batch: Iterable[commands.Command]) -> list[Message]:
-        """Applies the commands in their order and returns a message for each proxy concerned."""
+        """Applies the commands in order and returns one message for each proxy that they affect."""
         self._start_batch()
         acknowledgement: commands.RequestAcknowledgement | None = None
         for command in batch:
@@ -118,7 +128,11 @@
         return self._messages(acknowledgement.sequence_number)
 
     def _messages(self, sequence_number: int | None) -> list[Message]:
-        """Proxies with the same updates hold the very same list of them: it is encoded once."""
+        """Returns the messages of the batch.
+
+        The messages to all proxies of a group share one list of updates, so that the encoder
+        encodes it only once.
+        """
         group_updates: dict[TablesInUse, list[TableUpdate]] = {}
         messages: list[Message] = []
         for proxy in self._recipients:
@@ -136,7 +150,10 @@
         return messages
 
     def _updates(self, tables: TablesInUse, draft: TableDraft) -> list[TableUpdate]:
-        """The draft's updates; a limit for all tables goes with every message."""
+        """Returns the updates of a draft.
+
+        Where a limit for all tables is set, every message repeats the limit that results.
+        """
         for request_class, table in zip(self.request_classes, tables, strict=True):
             if (ALL_TABLES, request_class) in self._limits:
                 limit = self._effective_limit(table, request_class)
@@ -160,7 +177,11 @@
             self._remove_from_group(proxy, stream.tables)
 
     def _drafts_using(self, table: int) -> list[tuple[TableDraft, list[int]]]:
-        """Drafts for all proxies that use the table, each with the request classes that do."""
+        """Returns the drafts of all proxies that use a table.
+
+        Returns:
+            Pairs of a draft and the request classes for which its proxies use the table.
+        """
         drafts: list[tuple[TableDraft, list[int]]] = []
         for tables, proxies in self._groups.items():
             if table not in tables:
@@ -168,11 +189,11 @@
             if tables not in self._group_drafts:
                 self._group_drafts[tables] = TableDraft()
                 self._recipients |= proxies
-            drafts.append((self._group_drafts[tables], _classes_on(table, tables)))
+            drafts.append((self._group_drafts[tables], _classes_using(table, tables)))
         for proxy, draft in self._proxy_drafts.items():
             tables = self.streams[proxy].tables
             if table in tables:
-                drafts.append((draft, _classes_on(table, tables)))
+                drafts.append((draft, _classes_using(table, tables)))
         return drafts
 
     # Commands
@@ -191,7 +212,7 @@
         for tables, proxies in self._groups.items():
             if command.table in tables:
                 for proxy in proxies:
-                    self._align_withdrawal(proxy, command.host)
+                    self._sync_withdrawal(proxy, command.host)
 
     def _clear_table(self, table: int) -> None:
         self.tables[table] = {}
@@ -202,7 +223,11 @@
                 draft.replace_table(request_class, {}, limit)
 
     def _bind_proxy(self, command: commands.BindProxy) -> None:
-        """From here on in this batch the proxy has its own draft, which begins as its group's."""
+        """Binds a proxy to a table, if it is joined.
+
+        The proxy gets its own draft for the rest of the batch, which starts as a copy of its
+        group's.
+        """
         stream = self.streams.get(command.proxy)
         if stream is None:
             return
@@ -214,7 +239,7 @@
         self._recipients[command.proxy] = None
         routes = self.tables.get(command.table, {})
         new_tables = list(old_tables)
-        for request_class in self._selected(command.request_classes):
+        for request_class in self._selected_classes(command.request_classes):
             new_tables[request_class] = command.table
             limit = self._effective_limit(command.table, request_class)
             draft.replace_table(request_class, routes, limit)
@@ -222,7 +247,7 @@
         stream.tables = tuple(new_tables)
         self._add_to_group(command.proxy)
         for host in routes:
-            self._align_withdrawal(command.proxy, host)
+            self._sync_withdrawal(command.proxy, host)
 
     def _withdraw_host(self, command: commands.WithdrawHost) -> None:
         self.ever_withdrawn.add(command.host)
@@ -238,7 +263,7 @@
                     self._notify_withdrawal(proxy, command.host, command.withdrawn)
 
     def _set_admission_limit(self, command: commands.SetAdmissionLimit) -> None:
-        selected = self._selected(command.request_classes)
+        selected = self._selected_classes(command.request_classes)
         for request_class in selected:
             limit = AdmissionLimit(command.limit, command.retry)
             self._limits[command.table, request_class] = limit
@@ -251,13 +276,17 @@
                 if effective is not None:
                     draft.limits[request_class] = effective
 
-    # What commands rest on
+    # Helpers of the commands
 
-    def _selected(self, request_classes: tuple[int, ...] | None) -> Sequence[int]:
+    def _selected_classes(self, request_classes: tuple[int, ...] | None) -> Sequence[int]:
         return self.request_classes if request_classes is None else request_classes
 
     def _effective_limit(self, table: int | None, request_class: int) -> AdmissionLimit | None:
-        """Of a limit for the table and one for all, the lower, with the table's retry policy."""
+        """Returns the limit in force for a request class on a table, or None if none is set.
+
+        Of the table's own limit and the one for all tables the lower applies. The retry policy is
+        the table's, if it has a limit.
+        """
         own = self._limits.get((table, request_class))
         common = self._limits.get((ALL_TABLES, request_class))
         if own is None:
@@ -267,20 +296,27 @@
         return AdmissionLimit(min(own.limit, common.limit), own.retry)
 
     def _may_use(self, tables: TablesInUse, host: int) -> bool:
-        """Whether proxies on these tables may send to the host; unknown tables may hold any."""
+        """Returns whether proxies on these tables may send to the host.
+
+        Tables that this controller does not know may hold any host.
+        """
         if None in tables:
             return True
         return any(host in self.tables.get(table, {}) for table in tables if table is not None)
 
-    def _align_withdrawal(self, proxy: int, host: int) -> None:
-        """Makes a bound proxy follow this controller alone on a host of its tables."""
+    def _sync_withdrawal(self, proxy: int, host: int) -> None:
+        """Tells a proxy whether a host of its tables is withdrawn, unless it knows that already.
+
+        Without a notice on this stream, a proxy that is not fresh may still keep the host
+        withdrawn, by command of this or another controller.
+        """
         stream = self.streams[proxy]
         withdrawn = host in self.withdrawn_hosts
         if host in stream.notified:
             must_notify = stream.notified[host] != withdrawn
         else:
-            may_keep_it_out = not stream.fresh and host in self.ever_withdrawn
-            must_notify = withdrawn or may_keep_it_out
+            may_keep_it_withdrawn = not stream.fresh and host in self.ever_withdrawn
+            must_notify = withdrawn or may_keep_it_withdrawn
         if must_notify:
             self._notify_withdrawal(proxy, host, withdrawn)
 
@@ -290,5 +326,5 @@
         self._recipients[proxy] = None
 
 
-def _classes_on(table: int, tables: TablesInUse) -> list[int]:
+def _classes_using(table: int, tables: TablesInUse) -> list[int]:
     return [request_class for request_class, number in enumerate(tables) if number == table]
--- a/plankroute/controller/messages.py
+++ b/plankroute/controller/messages.py
@@ -1,4 +1,4 @@
-"""Messages to proxies: what one proxy is sent after one batch of commands."""
+"""Messages to proxies. A proxy gets at most one for each batch of commands."""
 
 from dataclasses import dataclass, field
 from typing import NamedTuple
@@ -10,7 +10,8 @@
     """How much of a request class a proxy admits.
 
     Attributes:
-        limit: A share or a rate in requests a second, by `StartFacts.admission_unit`.
+        limit: The share of requests to admit, or a rate in requests per second; which of the two
+            is set by `StartFacts.admission_unit`.
         retry: When the proxy tries another host.
     """
 
@@ -20,14 +21,15 @@
 
 @dataclass(slots=True)
 class TableUpdate:
-    """Routes and an admission limit for some request classes.
+    """New routes, and possibly an admission limit, for some request classes.
 
     Attributes:
         request_classes: Indexes of the request classes that the update is for.
-        complete: The routes replace the whole table of these request classes and its admission
-            limit; otherwise they change only the hosts that are named.
+        complete: Whether the update replaces the whole table of these request classes and its
+            admission limit. Otherwise it changes only the hosts in `routes`.
         routes: Weight by host; 0 removes the host's route.
-        admission_limit: The new limit, or None if it stays as it is.
+        admission_limit: The new limit. None leaves the limit unchanged, or removes it where the
+            update is complete.
     """
 
     request_classes: tuple[int, ...]
@@ -36,21 +38,22 @@
     admission_limit: AdmissionLimit | None = None
 
     def line_count(self) -> int:
-        """Returns the lines that the channel counts for the update."""
+        """Returns the number of lines that the channel counts for the update."""
         return int(self.complete) + len(self.routes) + int(self.admission_limit is not None)
 
 
 @dataclass(slots=True)
 class Message:
-    """What one proxy is sent in one batch.
+    """The message to one proxy for one batch.
 
     Attributes:
         proxy: The recipient.
-        updates: Table updates in the order in which they take effect. Proxies on the same tables
-            may hold the very same list, so that it is encoded once; it must not be changed.
-        withdrawn: By host, whether the proxy keeps it out of use from now on (True) or may use it
-            again (False).
-        sequence_number: The number that the proxy is to acknowledge, or None.
+        updates: Table updates in the order in which they take effect. Messages to several proxies
+            may share the list, so that it is encoded only once; it must not be modified.
+        withdrawn: By host, True if the proxy must stop sending to it, False if it may send to it
+            again.
+        sequence_number: The number that the proxy is to acknowledge, or None if it sends no
+            acknowledgement.
     """
 
     proxy: int
@@ -59,6 +62,9 @@
     sequence_number: int | None
 
     def line_count(self) -> int:
-        """Returns the lines that the channel counts for the message, its overhead left out."""
+        """Returns the number of lines that the channel counts, without the message overhead.
+
+        A request for an acknowledgement counts as one line.
+        """
         updates = sum(update.line_count() for update in self.updates)
         return updates + len(self.withdrawn) + int(self.sequence_number is not None)
--- a/plankroute/controller/table_draft.py
+++ b/plankroute/controller/table_draft.py
@@ -1,18 +1,18 @@
-"""Draft of a message's table updates, filled while the commands of one batch are applied."""
+"""Draft of the table updates of a message, filled while the commands of a batch are applied."""
 
 from dataclasses import dataclass, field
 
 from plankroute.controller.messages import AdmissionLimit, TableUpdate
 
-_Content = tuple[bool, tuple[tuple[int, float], ...]]  # whether complete, and the routes
+_UpdateContent = tuple[bool, tuple[tuple[int, float], ...]]  # whether complete, and the routes
 
 
 @dataclass(slots=True)
 class TableDraft:
-    """Table updates by request class; a later command replaces what an earlier one set.
+    """Table updates by request class. A later command overrides what an earlier one set.
 
     Attributes:
-        complete: Request classes whose whole table is replaced.
+        complete: Request classes whose table is replaced as a whole.
         routes: By request class, weight by host.
         limits: Admission limit by request class.
     """
@@ -22,7 +22,7 @@
     limits: dict[int, AdmissionLimit] = field(default_factory=dict)
 
     def copy(self) -> "TableDraft":
-        """Returns a draft that can be changed on its own."""
+        """Returns a copy that can be changed without affecting this draft."""
         return TableDraft(
             complete=set(self.complete),
             routes={request_class: dict(routes) for request_class, routes in self.routes.items()},
@@ -32,7 +32,10 @@
     def replace_table(
         self, request_class: int, routes: dict[int, float], limit: AdmissionLimit | None
     ) -> None:
-        """Replaces all that a request class has: its routes and its admission limit."""
+        """Replaces the routes and the admission limit of a request class.
+
+        With `limit` None, the request class has no limit afterwards.
+        """
         self.complete.add(request_class)
         self.routes[request_class] = dict(routes)
         self.limits.pop(request_class, None)
@@ -45,13 +48,13 @@
         if weight or request_class not in self.complete:
             routes[host] = weight
         else:
-            routes.pop(host, None)  # a complete table leaves out what it does not hold
+            routes.pop(host, None)  # a complete table needs no row for a host that it lacks
 
     def updates(self) -> list[TableUpdate]:
-        """Returns the updates; request classes with the same routes share one.
+        """Returns the updates. Request classes with the same routes share one update.
 
-        A limit goes with the routes if all request classes of that update have the same; the
-        others go in updates that hold a limit alone.
+        An update also carries the admission limit if all of its request classes have the same one.
+        The remaining limits follow in updates without routes.
         """
         updates: list[TableUpdate] = []
         with_limit: set[int] = set()
@@ -62,8 +65,8 @@
             updates.append(TableUpdate(tuple(request_classes), complete, dict(routes), limit))
         return updates + self._limit_updates(self.limits.keys() - with_limit)
 
-    def _classes_by_content(self) -> dict[_Content, list[int]]:
-        classes: dict[_Content, list[int]] = {}
+    def _classes_by_content(self) -> dict[_UpdateContent, list[int]]:
+        classes: dict[_UpdateContent, list[int]] = {}
         for request_class in sorted(self.complete | self.routes.keys()):
             routes = tuple(self.routes.get(request_class, {}).items())
             content = (request_class in self.complete, routes)
--- a/plankroute/seeded_random.py
+++ b/plankroute/seeded_random.py
@@ -1,14 +1,14 @@
-"""Random numbers that are the same for the same seed and number of draws, in any process."""
+"""Reproducible random numbers: the seed and the number of draws determine the next one."""
 
 import zlib
 
 
 class SeededRandom:
-    """A stream of random numbers: the checksum of the seed and a counter.
+    """A pseudo-random sequence. Each number is the CRC-32 of the seed and a counter.
 
     Attributes:
-        seed: The seed.
-        draws: How many numbers were drawn.
+        seed: Seed of the sequence.
+        draws: How many numbers were drawn so far.
     """
 
     def __init__(self, seed: int) -> None:
@@ -16,6 +16,6 @@
         self.draws = 0
 
     def draw(self) -> float:
-        """Returns the next number, from 0 to under 1."""
+        """Returns the next number, at least 0 and less than 1."""
         self.draws += 1
         return zlib.crc32(f"{self.seed}:{self.draws}".encode()) / 2**32
