--- a/plankroute/state/apportionment.py
+++ b/plankroute/state/apportionment.py
@@ -1,17 +1,18 @@
-"""Apportionment: splits totals over hosts or proxies. Pure functions, no decision."""
+"""Apportionment: functions that divide a total among hosts or proxies."""
 
 
 def even_rate_cap(rates: list[float], total: float) -> float | None:
-    """Finds the cap for which rates, each cut down to it, add up to a total.
+    """Returns the cap at which the rates, each limited to the cap, add up to a total.
 
-    This is max-min fairness: rates below the cap stay whole, the others share what is left evenly.
+    This is max-min fairness: rates below the cap are granted in full, and the others share the
+    rest evenly.
 
     Args:
-        rates: The wanted rates, none negative.
-        total: What they may add up to.
+        rates: The requested rates, none negative.
+        total: The sum that the capped rates may reach.
 
     Returns:
-        The cap, or None if the rates add up to no more than the total as they are.
+        The cap, or None if the sum of the rates does not exceed the total.
     """
     remaining = total
     for index, rate in enumerate(sorted(rates)):
@@ -23,16 +24,16 @@
 
 
 def round_preserving_sum(exact: dict[int, float]) -> dict[int, int]:
-    """Rounds values to whole numbers that keep their (rounded) sum.
+    """Rounds values to integers whose sum is the rounded sum of the values.
 
-    Method of the largest remainder (Hamilton apportionment): each value is rounded down, and the
-    units that are then missing go to those that lost most; ties go to the lowest key.
+    This is the largest remainder method (Hamilton apportionment): each value is rounded down, and
+    the units still missing go to the values with the largest remainders. Ties go to the lowest key.
 
     Args:
         exact: Values by key, none negative.
 
     Returns:
-        Whole numbers by key, in the order of `exact`.
+        Integers by key, in the order of `exact`.
     """
     counts = {key: int(value) for key, value in exact.items()}
     missing = round(sum(exact.values())) - sum(counts.values())
--- a/plankroute/state/host_statistics.py
+++ b/plankroute/state/host_statistics.py
@@ -1,4 +1,4 @@
-"""Host statistics in parallel arrays under a small dense index; storage only, no decision."""
+"""Host statistics, stored in parallel arrays with a small dense index per host."""
 
 from collections.abc import Callable, Iterable
 from itertools import groupby
@@ -6,17 +6,17 @@
 
 from plankroute.events.events import HostEntry, HostState, LoadReport
 
-NO_CAP = float("inf")  # the weight cap of a host that is not limited
-NO_ZONE = -1  # the zone at an index that no host has
+NO_CAP = float("inf")  # weight cap of a host whose weight is not limited
+NO_ZONE = -1  # zone at the index of a removed host
 
 ValueT = TypeVar("ValueT")
 
 
 class Sortable(Protocol):
-    """A key that can be sorted."""
+    """A type whose values can be sorted."""
 
-    def __lt__(self, other: Any, /) -> bool:  # noqa: ANN401 - what a key compares with is its own matter
-        """Whether this key comes before the other."""
+    def __lt__(self, other: Any, /) -> bool:  # noqa: ANN401 - the key type decides
+        """Returns whether this key sorts before the other."""
         ...
 
 
@@ -24,46 +24,51 @@
 
 
 class HostStatistics:
-    """Arrays of figures, one element a host, and figures of all hosts together.
+    """Arrays with one element per host, and figures over all hosts.
 
-    Host ids are mapped to an index where events come in; an index of a removed host is used again.
-    Times are on the controller's clock, in microseconds. Attempts, failures, latencies and reports
-    are exponentially decayed sums of the recent past: `decayed_at_us` is when each was last scaled.
+    Host ids are mapped to an index when events arrive. The index of a removed host is reused. Times
+    are on the controller's clock, in microseconds. Attempts, failures, latencies and load reports
+    are exponentially decayed sums; `decayed_at_us` is when the sums of a host were last decayed.
 
     Attributes:
         index_of: Index by host id, in the order in which hosts were added.
-        free_indices: Indexes of removed hosts. These are not ready and in no zone.
+        free_indices: Indexes of removed hosts, which are not ready and in no zone.
         host_ids: Host id.
-        name_order: Order of the hosts' names, the same at every controller.
+        name_order: Sort key of the host's name, the same at every controller.
         state: State in the host list.
         zone: Zone in the host list.
         machine_type: Machine type in the host list.
-        listed_weight: Weight in the host list, 1 where that states none.
-        weight: Weight by the control loop; 1 is a usual host.
-        error: Control error of the last turn, or None before the first.
-        integral: Sum of past control errors.
-        effective_weight: The weight that the published slots stand for.
-        heard_since_turn: Request statistics came since the last turn.
-        weight_cap: The most that the weight of a host that warms up counts for, or NO_CAP.
-        ejected: Taken out of use for its health.
-        unreachable: The last health check did not get through.
-        health_check_rate: Health checks a second, by the last one that was answered.
+        listed_weight: Weight in the host list, 1 where the list states none.
+        weight: Weight set by the control loop; the mean is 1.
+        error: Control error of the last turn with statistics, or None before the first.
+        integral: Decayed sum of past control errors.
+        effective_weight: Weight that the published slots represent. 0 if no slots are published, or
+            if they must not bound `weight`.
+        heard_since_turn: Whether request statistics arrived since the last turn.
+        weight_cap: The most that the host's weight counts for while it warms up, or NO_CAP.
+        ejected: Whether the host is out of use because of its health.
+        unreachable: Whether the last health check got no connection. A rejected check does not
+            change it.
+        health_check_rate: Reciprocal of the time that the last answered health check took, per
+            second.
         attempts: Sum of attempts.
         failed: Sum of failed attempts.
-        latency_sum_us: Sum of the attempts' latencies.
-        reports: Sum of load reports.
-        in_flight_sum: Sum of the requests in flight that load reports told.
+        latency_sum_us: Sum of the latencies of attempts.
+        reports: Sum of load reports, each counted as 1.
+        in_flight_sum: Sum of the requests in flight stated by load reports.
         decayed_at_us: When the host's sums were last decayed.
-        heard_at_us: When anything was last heard of the host.
-        last_stats_us: When request statistics last came, of any host.
-        stats_burst_us: When the first of the request statistics came that came together last.
-        possibly_withdrawn: Hosts that proxies back from other controllers may keep withdrawn, where
-            binding a proxy ends that.
+        heard_at_us: When the host was last heard of, for example by statistics or a change of its
+            state.
+        last_stats_us: When request statistics of any host last arrived.
+        stats_burst_us: When the first request statistics of the latest burst arrived.
+        possibly_withdrawn: Hosts that a proxy returning from another controller may still keep
+            withdrawn. Filled only where `StartFacts.bind_reinstates_hosts` is set.
         proxies: Number of joined proxies that are not on interim tables.
-        interim_routes: Hosts in the tables of the others, summed over these.
-        min_slot_change: What a line costs, as a share of a host's usual slots.
-        channel_constrained: Writing all slots takes more than a turn's room in the channel.
-        max_warm_count: The most hosts that were ready and warm at once, at any time so far.
+        interim_routes: Number of hosts in interim tables, counted once per proxy on the table.
+        min_slot_change: Price of a line as a share of a host's usual number of slots.
+        channel_constrained: Whether writing every slot to every proxy would exceed the allowance
+            of the channel.
+        max_warm_count: Largest number of hosts that were ready and warm at the same time so far.
     """
 
     def __init__(self) -> None:
@@ -77,7 +82,7 @@
         self.zone: list[int] = []
         self.machine_type: list[int] = []
         self.listed_weight: list[float] = []
-        # The control loop's
+        # From the control loop
         self.weight: list[float] = []
         self.error: list[float | None] = []
         self.integral: list[float] = []
@@ -96,7 +101,7 @@
         self.in_flight_sum: list[float] = []
         self.decayed_at_us: list[int] = []
         self.heard_at_us: list[int] = []
-        # Of all hosts together
+        # Over all hosts
         self.last_stats_us = 0
         self.stats_burst_us = 0
         self.possibly_withdrawn: set[int] = set()
@@ -107,10 +112,13 @@
         self.max_warm_count = 0
 
     def add(self, entry: HostEntry) -> int:
-        """Adds a host not seen before; it counts as gone until its entry is handled.
+        """Adds a host with the state GONE, which lasts until the host's actor handles its entry.
+
+        Args:
+            entry: The entry of a host that is not in the table.
 
         Returns:
-            Its index.
+            The index of the host.
         """
         index = self.free_indices.pop() if self.free_indices else len(self.host_ids)
         self.index_of[entry.host] = index
@@ -144,10 +152,13 @@
         return index
 
     def remove(self, host: int) -> int:
-        """Removes a host (by id) that is not ready.
+        """Removes a host that is not ready.
+
+        Args:
+            host: Id of the host.
 
         Returns:
-            The index that it had, which is free from now on.
+            The index that the host had, which may now be reused.
         """
         index = self.index_of.pop(host)
         self.free_indices.append(index)
@@ -155,11 +166,11 @@
         return index
 
     def ready(self) -> list[int]:
-        """Returns the hosts that are listed ready."""
+        """Returns the indexes of the hosts that are listed ready."""
         return [index for index, state in enumerate(self.state) if state is HostState.READY]
 
     def eligible(self) -> list[int]:
-        """Returns the hosts that may be sent requests: ready, not ejected, not capped to 0."""
+        """Returns the indexes of hosts that may get requests: ready, not ejected, cap above 0."""
         return [
             index
             for index in self.ready()
@@ -167,17 +178,23 @@
         ]
 
     def removed_share(self, zone: int) -> float:
-        """Returns the share of a zone's known hosts that are listed draining or gone."""
+        """Returns the share of a zone's hosts in the table that are draining or gone.
+
+        For a zone without hosts this is 0.
+        """
         states = [self.state[index] for index in self.index_of.values() if self.zone[index] == zone]
         removed = sum(state is not HostState.READY for state in states)
         return removed / max(1, len(states))
 
     def capped_weight(self, index: int) -> float:
-        """Returns a host's weight, at most its cap."""
+        """Returns the host's weight, or its cap if that is lower."""
         return min(self.weight[index], self.weight_cap[index])
 
     def add_load_report(self, index: int, report: LoadReport | None) -> None:
-        """Adds a load report to a host's sums, if it tells the requests in flight."""
+        """Adds a load report to a host's sums.
+
+        A report without a finite, non-negative number of requests in flight is ignored.
+        """
         if report is None or report.in_flight is None:
             return
         if 0 <= report.in_flight < NO_CAP:
@@ -190,38 +207,48 @@
         for index in indexes:
             self.weight[index] *= scale
 
-    def note_stats_arrival(self, now: int, apart_us: int) -> None:
-        """Notes that request statistics came.
+    def note_stats_arrival(self, now: int, max_gap_us: int) -> None:
+        """Records when request statistics arrived, and whether they start a new burst.
 
         Args:
-            now: Clock in microseconds.
-            apart_us: They belong together with those before if no more time lies between.
+            now: Time of arrival, in microseconds.
+            max_gap_us: Longest time between consecutive arrivals of the same burst.
         """
-        if now - self.last_stats_us > apart_us:
+        if now - self.last_stats_us > max_gap_us:
             self.stats_burst_us = now
         self.last_stats_us = now
 
     def decay(self, index: int, now: int, half_life_us: int) -> None:
-        """Decays a host's sums up to now, exponentially with the half-life."""
+        """Decays a host's sums exponentially up to `now`.
+
+        Args:
+            index: The host.
+            now: Time in microseconds.
+            half_life_us: Half-life of the sums, in microseconds.
+        """
         self.scale_sums(index, 0.5 ** ((now - self.decayed_at_us[index]) / half_life_us))
         self.decayed_at_us[index] = now
 
-    def scale_sums(self, index: int, keep: float) -> None:
-        """Scales a host's sums to the part that is kept of them."""
-        self.attempts[index] *= keep
-        self.failed[index] *= keep
-        self.latency_sum_us[index] *= keep
-        self.reports[index] *= keep
-        self.in_flight_sum[index] *= keep
+    def scale_sums(self, index: int, factor: float) -> None:
+        """Multiplies a host's sums by a factor; 0 clears them."""
+        self.attempts[index] *= factor
+        self.failed[index] *= factor
+        self.latency_sum_us[index] *= factor
+        self.reports[index] *= factor
+        self.in_flight_sum[index] *= factor
 
 
 def group_by(indexes: Iterable[int], key: Callable[[int], KeyT]) -> list[list[int]]:
-    """Groups hosts that have the same key, the groups in the order of their keys."""
+    """Groups hosts by key.
+
+    Returns:
+        The hosts of each group, in the order of the groups' keys.
+    """
     return [list(group) for _, group in groupby(sorted(indexes, key=key), key)]
 
 
 def _store(array: list[ValueT], index: int, value: ValueT) -> None:
-    """Sets the element of a host; appends it if the index is the next one."""
+    """Sets the element at an index, or appends it if the index is the length of the array."""
     if index < len(array):
         array[index] = value
     else:
--- a/plankroute/state/proxy_registry.py
+++ b/plankroute/state/proxy_registry.py
@@ -1,4 +1,4 @@
-"""Proxy registry: joined proxies, the tables as last published, and who is bound to them."""
+"""Proxy registry: joined proxies, the published tables, and which proxies use which tables."""
 
 from collections.abc import Iterable, Sequence
 from dataclasses import dataclass
@@ -17,9 +17,9 @@
     | commands.SetAdmissionLimit
     | Tick
 )
-"""What the actor is sent that keeps the proxies: among it, the limits that it is to publish."""
+"""Events of the actor that keeps the registry. `SetAdmissionLimit` is a limit for it to publish."""
 
-KIND_OF_LINE: dict[type[commands.Command], LineKind] = {
+LINE_KIND_BY_COMMAND: dict[type[commands.Command], LineKind] = {
     commands.SetRoute: LineKind.SLOT,
     commands.BindProxy: LineKind.BIND,
     commands.WithdrawHost: LineKind.WITHDRAWAL,
@@ -33,9 +33,10 @@
     """A joined proxy that is not bound yet.
 
     Attributes:
-        has_older_tables: It holds tables of an earlier stream, not only those that it began with.
-        usual_rate: Requests a second that it usually gets.
-        since_us: Clock in microseconds at which it joined.
+        has_older_tables: Whether it holds tables from an earlier stream, and not only those that it
+            started with.
+        usual_rate: Requests per second that it usually gets.
+        since_us: When it joined, in microseconds.
     """
 
     has_older_tables: bool
@@ -44,29 +45,29 @@
 
     @property
     def bind_order(self) -> tuple[bool, float]:
-        """Sorts those without older tables first, and of them those with the highest rate."""
+        """Sort key: proxies without older tables come first, then those with the highest rate."""
         return self.has_older_tables, -self.usual_rate
 
 
 class ProxyRegistry(Actor[RegistryEvent]):
-    """Joined proxies, the tables and the channel to the proxies; storage, no decision.
+    """Stores the joined proxies, the tables and the accounting of the channel to the proxies.
 
-    A joined proxy is either bound to the complete tables or to interim tables, or unbound: it waits
-    to be bound and uses the tables that it joined with. Hosts are named by their index in the host
-    statistics.
+    A joined proxy is bound to complete tables, bound to interim tables, or unbound. An unbound
+    proxy waits to be bound and uses the tables that it joined with. Hosts are identified by their
+    index in the host statistics.
 
     Attributes:
         tables: The complete tables of this controller.
-        interim_tables: Its interim tables.
+        interim_tables: The interim tables of this controller.
         channel: Accounting of the lines in flight to the proxies.
-        zone_of_proxy: Zone by joined proxy.
+        zone_of_proxy: Zone of each joined proxy.
         bound: Proxies that are bound to complete tables.
-        interim: By proxy on interim tables, its usual rate of requests a second.
+        interim: Proxies on interim tables, with the usual rate of each in requests per second.
         unbound: The unbound proxies.
-        returning: Joined proxies that came with older tables: they may keep hosts withdrawn that
-            others withdrew.
-        notified: By withdrawn host, the proxies that were told so on their present streams.
-        disconnected_at: By proxy, the clock in microseconds at which its stream ended, of late.
+        returning: Joined proxies that came with older tables. They may keep hosts withdrawn by
+            command of another controller.
+        notified: By withdrawn host, the proxies that were told so on their current streams.
+        disconnected_at: When the stream of each recently disconnected proxy ended, in microseconds.
     """
 
     def __init__(
@@ -85,7 +86,7 @@
         self.disconnected_at: dict[int, int] = {}
 
     def join(self, event: events.ProxyJoined) -> None:
-        """Adds a proxy, unbound."""
+        """Adds a proxy as unbound."""
         self.zone_of_proxy[event.proxy] = event.zone
         now = self.scheduler.now
         self.unbound[event.proxy] = WaitingProxy(not event.fresh, event.usual_rate, now)
@@ -93,7 +94,7 @@
             self.returning.add(event.proxy)
 
     def leave(self, proxy: int) -> None:
-        """Removes a proxy, if it is joined."""
+        """Removes a proxy. Does nothing if it is not joined."""
         self.bound.discard(proxy)
         self.leave_interim_tables(proxy)
         self.returning.discard(proxy)
@@ -104,13 +105,13 @@
         self.channel.disconnect(proxy)
 
     def enter_complete_tables(self, proxy: int) -> None:
-        """Notes that a proxy was bound to complete tables."""
+        """Records that a proxy was bound to complete tables."""
         self.unbound.pop(proxy, None)
         self.leave_interim_tables(proxy)
         self.bound.add(proxy)
 
     def enter_interim_tables(self, proxy: int, tables: Iterable[InterimTable]) -> None:
-        """Notes that an unbound proxy was bound to interim tables."""
+        """Records that an unbound proxy was bound to interim tables."""
         rate = self.unbound.pop(proxy).usual_rate
         self.interim[proxy] = rate
         for table in tables:
@@ -118,7 +119,7 @@
             table.rate += rate
 
     def leave_interim_tables(self, proxy: int) -> None:
-        """Notes that a proxy uses interim tables no longer, if it did."""
+        """Records that a proxy no longer uses interim tables, if it used any."""
         rate = self.interim.pop(proxy, None)
         if rate is None:
             return
@@ -128,30 +129,32 @@
                 table.rate -= rate
 
     def unbound_zones(self) -> set[int]:
-        """Returns the zones of unbound proxies that have only the tables that they began with."""
+        """Returns the zones of unbound proxies that have only the tables that they started with."""
         return {
             self.zone_of_proxy[proxy]
             for proxy, waiting in self.unbound.items()
             if not waiting.has_older_tables
         }
 
-    def count_disconnects(self, proxy: int, now: int, span_us: int) -> int:
-        """Notes that a stream ended, and counts the proxies whose streams ended within the span.
-
-        A proxy that joins again and again counts once.
+    def count_disconnects(self, proxy: int, now: int, window_us: int) -> int:
+        """Records that a proxy's stream ended, and counts recent disconnects.
 
         Args:
-            proxy: Whose stream ended.
-            now: Clock in microseconds.
-            span_us: How far back the count goes.
+            proxy: The proxy whose stream ended.
+            now: Time in microseconds.
+            window_us: Length of the counted window up to `now`, in microseconds.
+
+        Returns:
+            The number of proxies whose streams ended within the window. A proxy that disconnected
+            repeatedly counts once.
         """
-        recent = {other: at for other, at in self.disconnected_at.items() if at > now - span_us}
+        recent = {other: at for other, at in self.disconnected_at.items() if at > now - window_us}
         recent[proxy] = now
         self.disconnected_at = recent
         return len(recent)
 
     def users(self, table: PublishedTable) -> list[int]:
-        """Returns the proxies that are bound to the table."""
+        """Returns the proxies that are bound to a table."""
         if isinstance(table, InterimTable):
             return sorted(table.users)
         return [proxy for proxy in self.bound if table.serves_zone(self.zone_of_proxy[proxy])]
@@ -159,13 +162,13 @@
     def recipients(
         self, table: PublishedTable, index: int, possibly_withdrawn: set[int]
     ) -> list[int]:
-        """Returns the proxies that are written a line for a host's new slots.
+        """Returns the proxies that get a line when a host's slots in a table change.
 
-        A proxy that may keep the host withdrawn is listed twice when the host enters the table: a
-        second line ends the withdrawal.
+        When a host enters the table, a proxy that may keep it withdrawn appears twice, because a
+        second line reinstates the host there.
 
         Args:
-            table: Where the slots change.
+            table: The table in which the slots change.
             index: The host.
             possibly_withdrawn: Hosts that returning proxies may keep withdrawn.
         """
@@ -175,33 +178,42 @@
         return users + [proxy for proxy in users if proxy in self.returning]
 
     def command(self, command: commands.Command, proxies: Iterable[int], lines: int = 1) -> None:
-        """Gives out a command that writes so many lines to each of the proxies."""
+        """Issues a command, and counts the lines that it writes.
+
+        Args:
+            command: The command.
+            proxies: The proxies that it writes to.
+            lines: Lines that it writes to each of them.
+        """
         self.scheduler.out.append(command)
-        self.channel.charge(proxies, lines, KIND_OF_LINE[type(command)])
+        self.channel.charge(proxies, lines, LINE_KIND_BY_COMMAND[type(command)])
 
     def request_acknowledgements(self) -> None:
-        """Ends the batch's messages: acknowledgements will tell when they have left the channel."""
+        """Ends the batch in the channel, and requests acknowledgements if it wrote any lines."""
         sequence_number = self.channel.close_batch()
         if sequence_number is not None:
             self.scheduler.out.append(commands.RequestAcknowledgement(sequence_number))
 
     def tables_with(self, host: int) -> list[PublishedTable]:
-        """Returns the complete tables that hold a host (by index)."""
+        """Returns the complete tables that hold a host."""
         return [table for table in self.tables if host in table.published]
 
     def interim_tables_with(self, host: int) -> list[InterimTable]:
-        """Returns the interim tables that hold a host (by index)."""
+        """Returns the interim tables that hold a host."""
         return [table for table in self.interim_tables if host in table.published]
 
     def unnotified_lines(self, host: int) -> int:
-        """Returns the lines that notify the unbound proxies of a host's withdrawal."""
+        """Returns the number of unbound proxies not yet notified of a host's withdrawal.
+
+        Each of them costs a line.
+        """
         return len(self.unbound.keys() - self.notified.get(host, set()))
 
     def mark_notified(self, host: int, proxies: Iterable[int]) -> list[int]:
-        """Marks the proxies as notified of a host's withdrawal.
+        """Marks proxies as notified of a host's withdrawal.
 
         Returns:
-            Those that were not notified on their present streams.
+            Those of them that were not notified before on their current streams.
         """
         notified = self.notified.setdefault(host, set())
         new = [proxy for proxy in proxies if proxy not in notified]
--- a/plankroute/state/publishing_status.py
+++ b/plankroute/state/publishing_status.py
@@ -1,4 +1,4 @@
-"""What waits to be published and what fills the channel, for logs and metrics; no decision."""
+"""Status of publishing, for logs and metrics: waiting proxies, pending lines, channel load."""
 
 from collections import Counter
 from dataclasses import dataclass
@@ -6,7 +6,7 @@
 
 
 class LineKind(Enum):
-    """What a line in the channel carries."""
+    """What a line in the channel carries. Names of metrics and log fields contain the values."""
 
     SLOT = "slots"
     BIND = "binds"
@@ -17,18 +17,19 @@
 
 @dataclass(frozen=True, slots=True)
 class PublishingStatus:
-    """The proxies and the channel at one moment.
+    """State of the proxies and the channel at one point in time.
 
     Attributes:
-        bound_proxies: Joined proxies that use this controller's complete tables.
-        interim_proxies: Joined proxies that use its interim tables.
-        waiting_proxies: Joined proxies that still use the tables they came with.
-        longest_wait_us: How long the first of those has waited.
-        overdue_proxies: Those that have waited longer than the drain grace leaves after the longest
-            one-way delay: hosts that they should no longer use may still be in their tables.
-        pending_withdrawals: Hosts that proxies are still to be notified of.
-        queued_lines: Estimate of the lines that have not left the channel.
-        unacknowledged_lines: Lines that were written and not acknowledged.
+        bound_proxies: Number of joined proxies that use this controller's complete tables.
+        interim_proxies: Number of joined proxies that use its interim tables.
+        waiting_proxies: Number of joined proxies that still use the tables that they joined with.
+        longest_wait_us: Longest time that one of these has waited, or 0 if there are none.
+        overdue_proxies: Number of waiting proxies that have waited longer than the grace slack,
+            which is the drain grace less the longest one-way delay. Their tables may still hold
+            hosts that they must no longer use.
+        pending_withdrawals: Number of hosts whose withdrawal is still to be written.
+        queued_lines: Estimated lines that have not left the channel.
+        unacknowledged_lines: Lines written and not acknowledged.
         written_lines: Lines written so far, by kind.
     """
 
--- a/plankroute/state/scheduler.py
+++ b/plankroute/state/scheduler.py
@@ -1,4 +1,4 @@
-"""Actors with mailboxes and the one loop that empties them; no decision."""
+"""Actors with mailboxes, and the scheduler that delivers events to them."""
 
 from collections import deque
 from enum import Enum
@@ -9,19 +9,23 @@
 
 
 class Tick(Enum):
-    """Wakes an actor without news from outside."""
+    """Wakes an actor that has no event of its own to handle."""
 
-    TURN = 1  # the next turn of the control loop is due
-    CHANGED = 2  # hosts came, went or changed, so tables have to follow
+    TURN = 1  # a turn of the control loop starts
+    CHANGED = 2  # hosts or proxies changed, or the publisher's check between turns is due
 
 
 EventT = TypeVar("EventT")
 
 
 class Actor(Generic[EventT]):
-    """A part of the controller with a mailbox; the scheduler hands it one event at a time.
+    """A component with a mailbox. The scheduler passes it one event at a time.
 
-    Its type parameter is the union of the events that it takes in.
+    The type parameter is the union of the events that it handles.
+
+    Attributes:
+        scheduler: The scheduler that all actors of a controller share.
+        inbox: Events not handled yet, the oldest first.
     """
 
     def __init__(self, scheduler: "Scheduler") -> None:
@@ -29,34 +33,37 @@
         self.inbox: deque[EventT] = deque()
 
     def handle(self, event: EventT) -> None:
-        """Takes in one event; may put events into mailboxes and commands into `scheduler.out`."""
+        """Handles one event; may send events to actors and append to `scheduler.out`."""
         raise NotImplementedError
 
 
 class Scheduler:
-    """What the actors of one controller share.
+    """The clock, random numbers, event queue and outgoing commands of one controller's actors.
 
     Attributes:
-        now: Clock of the batch in hand, in microseconds.
-        random: Draws the next random number, from 0 to under 1. The order of draws is part of
-            what the controller decides.
-        ready: An entry for each event that waits, in the order in which they were put.
-        out: Commands of the batch in hand, in the order in which they take effect.
+        now: Time of the current batch, in microseconds.
+        random: Draws the next random number, at least 0 and less than 1. Decisions depend on the
+            order of the draws.
+        pending: The recipient of each undelivered event, in the order in which they were sent.
+        out: Commands of the current batch, in the order in which they take effect.
     """
 
     def __init__(self, seed: int) -> None:
         self.now = 0
         self.random = SeededRandom(seed).draw
-        self.ready: deque[Actor[Any]] = deque()  # actors of all kinds
+        self.pending: deque[Actor[Any]] = deque()  # actors of all kinds
         self.out: list[Command] = []
 
     def put(self, actor: Actor[EventT], event: EventT) -> None:
-        """Puts an event into an actor's mailbox; `run` will hand it over."""
+        """Puts an event into an actor's mailbox, for `run` to deliver."""
         actor.inbox.append(event)
-        self.ready.append(actor)
+        self.pending.append(actor)
 
     def run(self) -> None:
-        """Hands over all events that wait, and those put meanwhile, first come first served."""
-        while self.ready:
-            actor = self.ready.popleft()
+        """Delivers events in the order in which they were sent, until none is left.
+
+        That includes the events that actors send while handling others.
+        """
+        while self.pending:
+            actor = self.pending.popleft()
             actor.handle(actor.inbox.popleft())
--- a/tests/state/test_channel.py
+++ b/tests/state/test_channel.py
@@ -11,7 +11,9 @@
 
     Its pace is a thousand lines a second; acknowledgements take half a second at most.
     """
-    channel = Channel(message_overhead_lines=4, lines_per_us=1e-3, answer_us=SECOND_US / 2)
+    channel = Channel(
+        message_overhead_lines=4, lines_per_us=1e-3, max_acknowledgement_us=SECOND_US / 2
+    )
     channel.charge(proxies, lines, LineKind.SLOT)
     channel.close_batch()
     return channel
