--- a/plankroute/events/__init__.py
+++ b/plankroute/events/__init__.py
@@ -1,6 +1,6 @@
-"""What a controller is told (start facts, events) and what it may command.
+"""Input and output of a controller: start facts, events and commands.
 
-Plain data only: nothing here decides anything or knows of any wire. The one exception is
-:mod:`plankroute.events.settings`, the codec of the operators' settings, which the network and the
-simulator share.
+These modules hold plain data, without decisions or encodings. The one exception is
+:mod:`plankroute.events.settings`, which parses the operators' settings for the adapters of the
+network and the simulator.
 """
--- a/plankroute/events/commands.py
+++ b/plankroute/events/commands.py
@@ -1,21 +1,22 @@
-"""Commands that a controller gives; they take effect in the order in which they stand.
+"""Commands that a controller issues. They take effect in the order in which it returns them.
 
-Hosts, proxies and tables are named by the ids that their adapter uses outside. Request classes
-(the operators' products) are named by their index in `StartFacts.request_classes`.
+Hosts, proxies and tables are identified by the ids of the adapter, which is the network or the
+simulator. Request classes (the operators' products) are identified by their index in
+`StartFacts.request_classes`.
 """
 
 from dataclasses import dataclass
 from enum import IntEnum
 
-ALL_TABLES = None  # as a table: every one
-ALL_PEERS = None  # as a peer: every one
+ALL_TABLES = None  # stands for every table
+ALL_PEERS = None  # stands for every peer
 
 
 class RetryPolicy(IntEnum):
-    """When a proxy tries another host. The numbers are the protocol's and must not change."""
+    """When a proxy tries another host. The values are part of the protocol and must not change."""
 
     NEVER = 0
-    IF_NOT_EXECUTED = 1  # once, after proof that the first attempt never ran
+    IF_NOT_EXECUTED = 1  # once, after proof that the first attempt was not executed
     ONCE = 2  # once, after any failure
     TWICE = 3  # twice, after any failure
 
@@ -27,7 +28,8 @@
     Attributes:
         table: The table.
         host: The host.
-        weight: Its share of the requests is this over the sum of the table; 0 removes the route.
+        weight: The host gets the share of requests that its weight has in the sum of the table's
+            weights; 0 removes the route.
     """
 
     table: int
@@ -37,18 +39,19 @@
 
 @dataclass(frozen=True, slots=True)
 class ClearTable:
-    """Removes all routes of a table, and its admission limits."""
+    """Removes all routes and admission limits of a table."""
 
     table: int
 
 
 @dataclass(frozen=True, slots=True)
 class WithdrawHost:
-    """Takes a host out of use at all joined proxies, whatever their tables hold, or ends that.
+    """Withdraws or reinstates a host at all joined proxies, whatever their tables hold.
 
     Attributes:
         host: The host.
-        withdrawn: True: proxies send it nothing; False: they may again.
+        withdrawn: True if proxies must send nothing to the host, False if they may send to it
+            again.
     """
 
     host: int
@@ -61,7 +64,7 @@
 
     Attributes:
         table: The table.
-        proxy: The proxy; if it has left meanwhile nothing happens.
+        proxy: The proxy. If it has left in the meantime, nothing happens.
         request_classes: The request classes for which it uses the table, or None for all.
     """
 
@@ -72,12 +75,13 @@
 
 @dataclass(frozen=True, slots=True)
 class SetAdmissionLimit:
-    """Limits what proxies admit; they reject requests beyond it.
+    """Limits the requests that proxies admit. They reject requests beyond the limit.
 
     Attributes:
-        table: Proxies that use this table, or ALL_TABLES.
+        table: The table whose users the limit is for, or ALL_TABLES.
         request_classes: The request classes, or None for all.
-        limit: A share, or requests a second at each proxy, by `StartFacts.admission_unit`.
+        limit: The share of requests to admit, or the requests per second at each proxy; which of
+            the two is set by `StartFacts.admission_unit`.
         retry: When a proxy tries another host.
     """
 
@@ -89,11 +93,11 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestAcknowledgement:
-    """Asks the proxies that this batch writes to for an acknowledgement.
+    """Requests an acknowledgement from the proxies that the current batch writes to.
 
     Attributes:
-        sequence_number: What they answer with, 1 to 65535.
-        all_proxies: Proxies that the batch would not reach are asked too.
+        sequence_number: The number that they return, 1 to 65535.
+        all_proxies: Whether joined proxies that the batch does not write to are asked as well.
     """
 
     sequence_number: int
@@ -109,11 +113,11 @@
 
 @dataclass(frozen=True, slots=True)
 class SendToPeer:
-    """Sends bytes to another controller.
+    """Sends a message to another controller.
 
     Attributes:
-        peer: Its rank, or ALL_PEERS.
-        data: The bytes.
+        peer: Rank of the controller, or ALL_PEERS.
+        data: Content of the message.
     """
 
     peer: int | None
@@ -122,11 +126,11 @@
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
-    """Starts a timer; a `TimerExpired` with the token follows.
+    """Starts a timer; a `TimerExpired` with the same token follows.
 
     Attributes:
-        after_us: When it expires, in microseconds from now.
-        token: What tells it from others.
+        after_us: Time until the timer expires, in microseconds.
+        token: Identifies the timer.
     """
 
     after_us: int
@@ -135,15 +139,15 @@
 
 @dataclass(frozen=True, slots=True)
 class PollHostList:
-    """Asks once for the host list; a `HostList` follows."""
+    """Requests the host list once; a `HostList` follows."""
 
 
 @dataclass(frozen=True, slots=True)
 class SubscribeHostList:
-    """Asks for the host list and its changes from now on, or ends that.
+    """Subscribes to the host list and its changes, or ends the subscription.
 
     Attributes:
-        enabled: Whether changes are wanted.
+        enabled: True to subscribe, False to end the subscription.
     """
 
     enabled: bool
@@ -151,14 +155,17 @@
 
 @dataclass(frozen=True, slots=True)
 class ForgetHost:
-    """The controller keeps nothing of this host any more; listed again, it is a new one."""
+    """Reports that the controller has dropped all state of a host.
+
+    If the host is listed again, it counts as a new one.
+    """
 
     host: int
 
 
 @dataclass(frozen=True, slots=True)
 class LogMessage:
-    """Writes a line to the log of the adapter."""
+    """Writes a line to the adapter's log."""
 
     text: str
 
@@ -178,4 +185,4 @@
     | ForgetHost
     | LogMessage
 )
-"""All that a controller may command."""
+"""Any command that a controller may issue."""
--- a/plankroute/events/events.py
+++ b/plankroute/events/events.py
@@ -1,11 +1,11 @@
-"""Events that reach a controller.
+"""Events that a controller handles.
 
-Hosts, proxies, zones and machine types are named by the numbers that the adapter uses outside;
-request classes (the operators' products) by their index in `StartFacts.request_classes`. Times
-whose name ends in `_us` are in microseconds.
+Hosts, proxies, zones and machine types are identified by the numbers of the adapter, which is the
+network or the simulator. Request classes (the operators' products) are identified by their index in
+`StartFacts.request_classes`. Times whose name ends in `_us` are in microseconds.
 
-The values of `HostState` and `HealthCheckOutcome` are sent between controllers and to the log: they
-must not change, whatever the members are called.
+The values of `HostState` and `HealthCheckOutcome` are sent between controllers and written to the
+log, so they must not change.
 """
 
 from dataclasses import dataclass
@@ -16,40 +16,40 @@
     """State of a host in the host list; values are sent between controllers."""
 
     READY = "ready"
-    DRAINING = "draining"  # it shuts down: no new requests
-    GONE = "gone"  # no longer listed, or said to be gone
+    DRAINING = "draining"  # shutting down: takes no new requests
+    GONE = "gone"  # no longer listed, or listed as gone
 
 
 class ListKind(Enum):
-    """What a host list holds; values appear in the log."""
+    """What a host list contains; values appear in the log."""
 
-    CACHED = "cached"  # the whole list as it was kept from earlier, maybe out of date
-    FULL = "full"  # the whole list as it is now
-    CHANGES = "changes"  # only the entries that have changed
-    FAILED = "failed"  # nothing: the list could not be had
+    CACHED = "cached"  # a stored copy of the complete list, possibly out of date
+    FULL = "full"  # the complete current list
+    CHANGES = "changes"  # only the entries that changed
+    FAILED = "failed"  # no entries: the list could not be fetched
 
 
 class HealthCheckOutcome(Enum):
     """How a health check of a host ended; values are sent between controllers."""
 
     ANSWERED = "answered"
-    ERROR = "error"  # an answer that tells of a fault
-    REJECTED = "turned away"  # it drains, or is asked too often
-    TIMED_OUT = "silent"  # connected, but no answer in time
+    ERROR = "error"  # the response reported an error, or the connection broke
+    REJECTED = "turned away"  # the host is draining, or was checked too often
+    TIMED_OUT = "silent"  # connected, but no response in time
     UNREACHABLE = "unreached"  # no connection
 
 
 @dataclass(frozen=True, slots=True)
 class LoadReport:
-    """A host's own figures; None where the report does not hold one.
+    """Figures that a host reports of itself; None where the report does not state one.
 
     Attributes:
-        in_flight: Requests that it works on.
-        queue_length: Requests that wait in it.
+        in_flight: Requests in progress.
+        queue_length: Requests that wait in the host's queue.
         utilization: Share of its capacity in use.
-        service_time_us: Mean time that it takes for a request, in microseconds.
-        request_rate: Requests a second.
-        error_rate: Failed requests a second.
+        service_time_us: Mean time to serve a request, in microseconds.
+        request_rate: Requests per second.
+        error_rate: Failed requests per second.
     """
 
     in_flight: float | None = None
@@ -62,17 +62,18 @@
 
 @dataclass(frozen=True, slots=True)
 class HostEntry:
-    """One host as the host list has it.
+    """The entry of one host in the host list.
 
     Attributes:
-        host: Its id.
-        state: Whether it may be used.
-        zone: Where it is.
-        machine_type: What it runs on.
-        cell: A few hosts of one zone that share idempotency keys.
-        listed_weight: Its stated size, or 0 if none is stated.
-        started_us: When it started, on the controller's clock; 0 where that lies long ago.
-        name_order: Orders hosts as their names do, the same at every controller; 0: its id does.
+        host: Id of the host.
+        state: Whether the host may be used.
+        zone: Zone of the host.
+        machine_type: Machine type of the host.
+        cell: Number of its cell, a few hosts of one zone that share idempotency keys.
+        listed_weight: Capacity stated in the list, or 0 if none is stated.
+        started_us: When it started, on the controller's clock; 0 if that was long ago.
+        name_order: Number that sorts hosts by name, the same at every controller; 0 to sort the
+            host by its id instead.
     """
 
     host: int
@@ -87,11 +88,11 @@
 
 @dataclass(frozen=True, slots=True)
 class HostList:
-    """The host list, or changes of it.
+    """The host list, or changes to it.
 
     Attributes:
-        kind: What the entries are; a host that a whole list does not name is gone.
-        entries: The hosts.
+        kind: What `entries` contains. A host that a complete list leaves out is gone.
+        entries: The entries of the hosts.
     """
 
     kind: ListKind
@@ -103,11 +104,11 @@
     """A proxy opened its stream to this controller.
 
     Attributes:
-        proxy: Its id.
-        zone: Where it is.
-        usual_rate: Requests a second that it usually gets, or 0 if unknown.
-        fresh: It holds only the tables that it began with; otherwise what this or another
-            controller has sent it before.
+        proxy: Id of the proxy.
+        zone: Zone of the proxy.
+        usual_rate: Requests per second that it usually gets, or 0 if unknown.
+        fresh: True if it holds only the tables that it started with, False if it holds what this
+            or another controller has sent it before.
     """
 
     proxy: int
@@ -125,16 +126,16 @@
 
 @dataclass(frozen=True, slots=True)
 class HostRequestStats:
-    """What the joined proxies of a zone met at a host.
+    """Results of the attempts that the joined proxies of a zone made at a host.
 
     Attributes:
         host: The host.
-        zone: The proxies' zone.
-        attempts: Attempts that ended in the span.
-        failed: Those of them that failed.
-        mean_latency_us: Mean latency of the others, in microseconds.
-        span_us: The time that the sums cover.
-        report: The host's last load report, if its responses carry any.
+        zone: Zone of the proxies.
+        attempts: Attempts that ended in the interval.
+        failed: Attempts among them that failed.
+        mean_latency_us: Mean latency of the attempts that did not fail.
+        span_us: Length of the interval that the counts cover.
+        report: The host's last load report, or None if its responses carry none.
     """
 
     host: int
@@ -148,14 +149,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ProxyRequestStats:
-    """Requests of one class that came to a proxy.
+    """Requests of one class that arrived at a proxy.
 
     Attributes:
         proxy: The proxy.
         request_class: The request class.
-        arrived: Requests that came in the span.
-        failed: Requests that were admitted and not served.
-        span_us: The time that the sums cover.
+        arrived: Requests that arrived in the interval.
+        failed: Requests that were admitted but not served.
+        span_us: Length of the interval that the counts cover.
     """
 
     proxy: int
@@ -167,14 +168,14 @@
 
 @dataclass(frozen=True, slots=True)
 class SliceRequestStats:
-    """Requests of one class whose keys fall into a slice; sites with slices only.
+    """Requests of one class whose keys fall into a slice. Only sites with slices send this.
 
     Attributes:
         slice: The slice of the key space.
         request_class: The request class.
-        arrived: Requests that came in the span.
-        failed: Requests that were admitted and not served.
-        span_us: The time that the sums cover.
+        arrived: Requests that arrived in the interval.
+        failed: Requests that were admitted but not served.
+        span_us: Length of the interval that the counts cover.
     """
 
     slice: int
@@ -186,20 +187,20 @@
 
 @dataclass(frozen=True, slots=True)
 class SliceAssignment:
-    """A slice is assigned to this controller, or taken from it.
+    """A slice was assigned to this controller, or taken from it.
 
     Attributes:
         slice: The slice of the key space.
-        given: Whether it is this controller's from now on.
+        assigned: True if the slice now belongs to this controller, False if it no longer does.
     """
 
     slice: int
-    given: bool
+    assigned: bool
 
 
 @dataclass(frozen=True, slots=True)
 class SliceRoute:
-    """A route that the store already has for a slice that was just assigned.
+    """A route that is already stored for a slice which was just assigned to this controller.
 
     Attributes:
         slice: The slice of the key space.
@@ -214,12 +215,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Acknowledged:
-    """A proxy applied all that was written to it up to a `RequestAcknowledgement`.
+    """A proxy applied everything that was written to it up to a `RequestAcknowledgement`.
 
     Attributes:
         proxy: The proxy.
-        sequence_number: As in the request.
-        elapsed_us: The time from the request to the proxy's having applied it.
+        sequence_number: Sequence number of the request.
+        elapsed_us: Time from the request until the proxy had applied it.
     """
 
     proxy: int
@@ -229,14 +230,14 @@
 
 @dataclass(frozen=True, slots=True)
 class HealthCheckResult:
-    """How a health check ended.
+    """Result of a health check.
 
     Attributes:
         host: The host.
-        outcome: How it ended.
-        elapsed_us: The time that it took.
-        report: The load report in the answer, if there is one.
-        age_us: How long ago it was, where another controller's check told it.
+        outcome: How the check ended.
+        elapsed_us: How long the check took.
+        report: The load report in the response, or None if there is none.
+        age_us: How long ago the check was, if another controller made it; 0 for an own check.
     """
 
     host: int
@@ -248,11 +249,11 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerMessage:
-    """Bytes from another controller.
+    """A message from another controller.
 
     Attributes:
-        sender: Its rank.
-        data: The bytes.
+        sender: Rank of that controller.
+        data: Content of the message.
     """
 
     sender: int
@@ -260,21 +261,23 @@
 
 
 class ControllerState(Enum):
-    """What membership makes of another controller."""
+    """State of another controller according to membership."""
 
     ALIVE = "alive"
     SUSPECTED = "suspected"
-    GONE = "gone"  # held to have crashed or been cut off
-    LEFT = "left"  # it said that it leaves
+    GONE = "gone"  # presumed to have crashed or to be unreachable
+    LEFT = "left"  # announced that it leaves
 
 
 @dataclass(frozen=True, slots=True)
 class ControllerStatus:
-    """What membership makes of another controller. It may be wrong: no decision may rest on it.
+    """State of another controller according to membership.
+
+    Membership may be wrong, so no decision may depend on this event.
 
     Attributes:
-        controller: A number made from its name.
-        state: Its state.
+        controller: Number derived from the controller's name.
+        state: State of the controller.
     """
 
     controller: int
@@ -283,20 +286,20 @@
 
 @dataclass(frozen=True, slots=True)
 class HostPriorKnowledge:
-    """What was known of a host's present start before, here or at another controller.
+    """What this or another controller knew earlier of a host since the host's last start.
 
-    It may be wrong.
+    The knowledge may be out of date or wrong.
 
     Attributes:
         host: The host.
-        weight: Its weight by the control loop; 1 is the mean.
-        attempts: Decayed sum of attempts as it stood then.
-        failed: Decayed sum of failed attempts as it stood then.
-        mean_latency_us: Mean latency, in microseconds.
-        ejected: It was ejected for its health.
-        required_checks: Good health checks in a row that readmit it if it is ejected.
-        health_age_us: Time since its health was last heard of.
-        capacity_age_us: Time since its capacity was last heard of.
+        weight: Weight set by the control loop; the mean is 1.
+        attempts: Decayed sum of attempts at that time.
+        failed: Decayed sum of failed attempts at that time.
+        mean_latency_us: Mean latency of attempts; 0 if there were none.
+        ejected: Whether the host was ejected because of its health.
+        required_checks: Good health checks in a row that readmit the host if it is ejected.
+        health_age_us: Time since the last news of the host's health.
+        capacity_age_us: Time since the last news of the host's capacity.
     """
 
     host: int
@@ -312,7 +315,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TimerExpired:
-    """A timer expired; `token` is that of its `SetTimer`."""
+    """A timer expired; `token` is the token of its `SetTimer`."""
 
     token: int
 
@@ -333,4 +336,4 @@
     | HostPriorKnowledge
     | TimerExpired
 )
-"""All that a controller may be told after its start."""
+"""Any event that a controller handles after its start."""
--- a/plankroute/events/facts.py
+++ b/plankroute/events/facts.py
@@ -1,6 +1,6 @@
-"""Start facts: what a controller is told once, at its start.
+"""Start facts: the configuration that a controller gets once, at its start.
 
-:mod:`plankroute.events.settings` reads them from the operators' settings. Times whose name ends in
+:mod:`plankroute.events.settings` parses them from the operators' settings. Times whose name ends in
 `_us` are whole microseconds.
 """
 
@@ -11,13 +11,13 @@
 class Idempotency(Enum):
     """What happens when a request of a class is executed twice."""
 
-    IDEMPOTENT = "inquiry-like"  # nothing: it is safe to repeat
-    DEDUPLICATED = "referenced"  # hosts drop the repeat by its key
-    NON_IDEMPOTENT = "once-only"  # it takes effect twice
+    IDEMPOTENT = "inquiry-like"  # nothing: the request is safe to repeat
+    DEDUPLICATED = "referenced"  # hosts drop the repeat, which has the same idempotency key
+    NON_IDEMPOTENT = "once-only"  # the request takes effect twice
 
 
 class DeduplicationScope(Enum):
-    """The hosts among which the repeat of a request is dropped by its idempotency key."""
+    """The hosts among which a repeated request is recognised by its idempotency key."""
 
     ALL = "all"
     ZONE = "zone"
@@ -27,35 +27,35 @@
 class AdmissionUnit(Enum):
     """How proxies read an admission limit."""
 
-    NONE = "none"  # they don't
+    NONE = "none"  # they ignore it
     SHARE = "share"  # as the share of requests to admit
-    RATE = "rate"  # as requests a second at each proxy
+    RATE = "rate"  # as requests per second at each proxy
 
 
 class ReportSource(Enum):
     """Where load reports come from."""
 
     NONE = "none"
-    RESPONSES = "answers"  # with the responses to requests
-    HEALTH_CHECKS = "probes"  # with the answers to health checks
+    RESPONSES = "answers"  # from the responses to requests
+    HEALTH_CHECKS = "probes"  # from the responses to health checks
 
 
 @dataclass(frozen=True, slots=True)
 class RequestClassFacts:
-    """One request class; the operators call it a product.
+    """Settings of one request class, which the operators call a product.
 
     Attributes:
-        latency_objective_us: Responses that take longer count as late.
-        deadline_us: Requests that take longer have failed.
-        value: What a request served in time is worth, against those of other classes.
-        late_value_share: The share of its value that a late one keeps.
-        idempotency: What happens when it is executed twice.
+        latency_objective_us: A response that takes longer counts as late.
+        deadline_us: A request that takes longer counts as failed.
+        value: Worth of a request served in time, relative to other request classes.
+        late_value_share: Share of that value that a late response still has.
+        idempotency: What happens when a request is executed twice.
         deduplication_scope: The hosts among which repeats are dropped.
-        deduplication_window_us: How long its key is kept.
-        stays_in_zone: Proxies may send it to hosts of their own zone only.
-        is_write: It changes data.
-        zones: Zones whose hosts may serve it, or None for all.
-        machine_types: Machine types that may serve it, or None for all.
+        deduplication_window_us: How long hosts keep an idempotency key.
+        stays_in_zone: Whether proxies may send requests only to hosts of their own zone.
+        is_write: Whether the requests change data.
+        zones: Zones whose hosts may serve the class, or None for all zones.
+        machine_types: Machine types that may serve the class, or None for all types.
     """
 
     latency_objective_us: int
@@ -73,7 +73,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PenaltyRates:
-    """What the operators take off the service's score, each per share or rate of its cause."""
+    """Deductions from the operators' score of the service, each per share or rate of its cause."""
 
     zone_crossing: float = 0.0
     wasted_attempt: float = 0.0
@@ -87,48 +87,49 @@
 
 @dataclass(frozen=True, slots=True)
 class StartFacts:
-    """All that a controller knows before its first event.
+    """Everything that a controller knows before its first event.
 
     Attributes:
-        request_classes: The request classes; elsewhere each is named by its index in here.
+        request_classes: The request classes. Elsewhere a request class is identified by its index
+            in this tuple.
         zones: Number of zones.
-        own_zone: The controller's zone.
-        controller_rank: Its place among the controllers, from 0.
+        own_zone: Zone of this controller.
+        controller_rank: Position of this controller among all controllers, from 0.
         controller_count: Number of controllers, at least 1.
         proxy_count: Number of proxies of all controllers together.
-        penalty_rates: What the score takes off.
-        channel_lines_per_s: Lines that the channel to the proxies carries a second.
-        message_overhead_lines: Lines that a message costs beside its own.
-        backlog_cap_lines: The most lines that may wait in the channel.
-        max_messages_per_window: The most messages to a proxy within a window; 0: no limit.
+        penalty_rates: Deductions from the score.
+        channel_lines_per_s: Pace of the channel to the proxies, in lines per second.
+        message_overhead_lines: Lines that each message costs in addition to its content.
+        backlog_cap_lines: Most lines that may wait in the channel.
+        max_messages_per_window: Most messages to a proxy within a window; 0 for no limit.
         message_window_us: Length of that window.
-        bind_reinstates_hosts: Binding a proxy ends, for a line each, the withdrawals of hosts that
-            it may keep from another controller.
+        bind_reinstates_hosts: Whether a bind also reinstates, for one line each, hosts that the
+            proxy may keep withdrawn by command of another controller.
         one_way_delay_us: Usual time of a message from the channel to its proxy.
-        max_one_way_delay_us: The longest such time.
-        max_unbound_us: The longest that a proxy may have no route for a request class that a warm
-            host could serve.
-        drain_grace_us: Time in which all proxies have to stop using a host that drains.
-        warmup_us: The longest time that a host takes from its start to its full capacity.
-        initial_capacity_share: Share of its capacity that a host has at its start.
-        overload_multiple: A host that warms up fails if it is sent more than this many times its
-            present capacity for `overload_window_us`.
-        overload_window_us: How long it bears that.
-        gone_hosts_stay_usable: Proxies have to stop using hosts listed draining, but need not
-            stop using hosts that are no longer listed.
-        list_poll_deadline_us: Where `must_subscribe`: without a subscription, the time within which
-            the host list has to be asked for.
+        max_one_way_delay_us: Longest time of a message from the channel to its proxy.
+        max_unbound_us: Longest time for which a proxy may have no route for a request class that a
+            warm host could serve.
+        drain_grace_us: Time within which all proxies must stop using a draining host.
+        warmup_us: Longest time from a host's start until it has its full capacity.
+        initial_capacity_share: Share of its full capacity that a host has when it starts.
+        overload_multiple: A host that is warming up fails if it gets more than this multiple of
+            its current capacity for `overload_window_us`.
+        overload_window_us: How long a host that is warming up withstands such an overload.
+        gone_hosts_stay_usable: Whether proxies may go on using hosts that are no longer listed.
+            They must stop using hosts listed as draining in any case.
+        list_poll_deadline_us: If `must_subscribe` is set, time within which a controller without a
+            subscription must request the host list.
         admission_unit: How proxies read an admission limit.
-        default_retry: Retry policy of proxies without a limit, as in `RetryPolicy`.
-        retry_wait_factor: With retries after any failure, proxies wait this many times the latency
-            objective before they retry.
-        health_checks_allowed: The controller may check hosts' health.
-        peer_messages_allowed: The controller may send to its peers.
+        default_retry: Retry policy of proxies without an admission limit, as a `RetryPolicy` value.
+        retry_wait_factor: Under a policy that retries after any failure, proxies wait this multiple
+            of the latency objective before they retry.
+        health_checks_allowed: Whether the controller may check the health of hosts.
+        peer_messages_allowed: Whether the controller may send messages to other controllers.
         report_source: Where load reports come from.
-        report_period_us: Time from one set of request statistics to the next.
-        must_subscribe: The host list is subscribed to, not polled.
-        slices: Number of slices into which request keys fall; 0 at sites without.
-        slices_exclusive: Each slice is one controller's alone.
+        report_period_us: Time between two sets of request statistics.
+        must_subscribe: Whether the host list is subscribed to instead of polled.
+        slices: Number of slices of the request key space; 0 for sites without slices.
+        slices_exclusive: Whether each slice belongs to one controller only.
     """
 
     request_classes: tuple[RequestClassFacts, ...]
@@ -147,7 +148,7 @@
     bind_reinstates_hosts: bool
     one_way_delay_us: int
     max_one_way_delay_us: int
-    # The rules' figures
+    # Limits and host behaviour that the safety rules are based on
     max_unbound_us: int
     drain_grace_us: int
     warmup_us: int
@@ -156,7 +157,7 @@
     overload_window_us: int
     gone_hosts_stay_usable: bool
     list_poll_deadline_us: int
-    # What may be done and what is told
+    # Permissions, admission, and sources of information
     admission_unit: AdmissionUnit
     default_retry: int
     retry_wait_factor: float
--- a/plankroute/events/settings.py
+++ b/plankroute/events/settings.py
@@ -1,8 +1,8 @@
-"""Codec of the settings that operators hand a controller: JSON with themed keys to start facts.
+"""Parser of the operators' settings: turns their JSON into start facts.
 
-This is the one place that knows the settings' keys and words; both adapters, the network's and the
-simulator's, use it. Each key stands once, beside the fact that it becomes. A missing key takes its
-safe meaning: nothing is permitted, and names that are not known assume nothing.
+Only this module knows the keys and values of the settings; the adapters of the network and the
+simulator both use it. Each key appears once, next to the start fact that it sets. A missing key or
+an unknown value gets a safe default, which permits nothing and assumes nothing.
 """
 
 import math
@@ -22,30 +22,30 @@
 
 US_PER_MS = 1000
 
-JsonObject = dict[str, Any]  # of settings, which hold values of any kind
+JsonObject = dict[str, Any]  # an object of the settings, with values of any type
 
-# The settings' words for our enums
-IDEMPOTENCY_BY_WORD = {
+# Enum members by their names in the settings
+IDEMPOTENCY_BY_NAME = {
     "retryable": Idempotency.IDEMPOTENT,
     "dedup": Idempotency.DEDUPLICATED,
     "fragile": Idempotency.NON_IDEMPOTENT,
 }
-SCOPE_BY_WORD = {
+DEDUPLICATION_SCOPE_BY_NAME = {
     "all": DeduplicationScope.ALL,
     "zone": DeduplicationScope.ZONE,
     "cell": DeduplicationScope.CELL,
 }
-ADMISSION_UNIT_BY_WORD = {
+ADMISSION_UNIT_BY_NAME = {
     "ratio": AdmissionUnit.SHARE,
     "rps": AdmissionUnit.RATE,
     "silent": AdmissionUnit.NONE,
 }
-REPORT_SOURCE_BY_WORD = {
+REPORT_SOURCE_BY_NAME = {
     "piggyback": ReportSource.RESPONSES,
     "pull": ReportSource.HEALTH_CHECKS,
     "silent": ReportSource.NONE,
 }
-REPORT_FIELDS = {  # fields of a load report by the settings' names
+REPORT_FIELDS = {  # fields of `LoadReport` by their names in the settings
     "rif": "in_flight",
     "q": "queue_length",
     "busy": "utilization",
@@ -57,25 +57,28 @@
 
 
 class SettingsError(Exception):
-    """What a controller is handed at its start can't be read."""
+    """The configuration of a controller cannot be read."""
 
 
 def microseconds(ms: float) -> int:
-    """Converts milliseconds to whole microseconds; what is no number says nothing: 0."""
+    """Converts milliseconds to whole microseconds; returns 0 for NaN and infinity."""
     return round(ms * US_PER_MS) if math.isfinite(ms) else 0
 
 
 def positive_or_zero(value: float) -> float:
-    """Returns a figure, or 0 for one that is negative or no number and so says nothing."""
+    """Returns the value, or 0 if it is negative, NaN or infinite and so not a usable figure."""
     return value if math.isfinite(value) and value > 0 else 0.0
 
 
 def load_report(named: Iterable[tuple[str, float]]) -> LoadReport:
-    """Makes a load report.
+    """Builds a load report.
 
     Args:
-        named: Pairs of a field's name in `LoadReport`, or UNKNOWN_REPORT_FIELD, and its value; the
-            service time is in milliseconds. Values that are negative or no number are left out.
+        named: Pairs of a field name in `LoadReport`, or UNKNOWN_REPORT_FIELD, and a value. The
+            service time is in milliseconds.
+
+    Returns:
+        The report. Fields that are unknown, negative, NaN or infinite are left out.
     """
     fields: dict[str, float] = {}
     for name, value in named:
@@ -86,17 +89,17 @@
 
 
 def parse_settings(raw: object) -> tuple[StartFacts, tuple[str, ...]]:
-    """Reads the settings.
+    """Parses the settings.
 
     Args:
         raw: The settings as decoded from JSON.
 
     Returns:
-        The start facts, and the names in `LoadReport` of the fields of the load reports that the
-        simulator sends as bare numbers, in their order; UNKNOWN_REPORT_FIELD for those not known.
+        The start facts, and the fields of a load report in the order in which the simulator sends
+        their values. Fields are named as in `LoadReport`, or UNKNOWN_REPORT_FIELD if unknown.
 
     Raises:
-        SettingsError: The settings hold a value of the wrong kind.
+        SettingsError: The settings are not a JSON object, or hold a value of the wrong type.
     """
     if not isinstance(raw, dict):
         raise SettingsError("settings are not a JSON object")
@@ -105,7 +108,7 @@
         fields = tuple(REPORT_FIELDS.get(name, UNKNOWN_REPORT_FIELD) for name in names)
         return _start_facts(raw), fields
     except (TypeError, ValueError, AttributeError) as error:
-        raise SettingsError(f"settings hold a value of the wrong kind: {error}") from error
+        raise SettingsError(f"settings hold a value of the wrong type: {error}") from error
 
 
 def _section(raw: JsonObject, name: str) -> JsonObject:
@@ -138,7 +141,7 @@
         backlog_cap_lines=int(family.get("queueCap", 1000)),
         max_messages_per_window=int(family.get("reloadsMax", 0)),
         message_window_us=_duration_us(family, "updateWindowMs", 10000),
-        bind_reinstates_hosts=False,  # on sockets only, where the network's adapter sets it
+        bind_reinstates_hosts=False,  # only the network adapter sets this
         one_way_delay_us=_duration_us(family, "lateMs", 0),
         max_one_way_delay_us=_duration_us(family, "transitMaxMs", 0),
         max_unbound_us=_duration_us(family, "bareMs", 1000),
@@ -149,14 +152,14 @@
         overload_window_us=_duration_us(safety, "tipAfterMs", 1000),
         gone_hosts_stay_usable=bool(safety.get("droppedStayOpen", False)),
         list_poll_deadline_us=_duration_us(safety, "mustAskInMs", 10000),
-        admission_unit=ADMISSION_UNIT_BY_WORD.get(
+        admission_unit=ADMISSION_UNIT_BY_NAME.get(
             family.get("throttleBy", "silent"), AdmissionUnit.NONE
         ),
         default_retry=int(family.get("usualHow", 0)),
         retry_wait_factor=float(family.get("tryFactor", 1.0)),
         health_checks_allowed=bool(permissions.get("mayProbe", False)),
         peer_messages_allowed=bool(permissions.get("mayTell", False)),
-        report_source=REPORT_SOURCE_BY_WORD.get(report.get("via", "silent"), ReportSource.NONE),
+        report_source=REPORT_SOURCE_BY_NAME.get(report.get("via", "silent"), ReportSource.NONE),
         report_period_us=_duration_us(family, "cycleMs", 1000),
         must_subscribe=raw.get("discovery") == "subscribe",
         slices=int(family.get("keyRanges", 0)),
@@ -170,10 +173,10 @@
         deadline_us=_duration_us(item, "deadlineMs", 1000),
         value=float(item.get("importance", 1.0)),
         late_value_share=float(item.get("lateWorth", 0.0)),
-        idempotency=IDEMPOTENCY_BY_WORD.get(
+        idempotency=IDEMPOTENCY_BY_NAME.get(
             item.get("idempotency", "fragile"), Idempotency.NON_IDEMPOTENT
         ),
-        deduplication_scope=SCOPE_BY_WORD.get(
+        deduplication_scope=DEDUPLICATION_SCOPE_BY_NAME.get(
             item.get("keyScope", "cell"), DeduplicationScope.CELL
         ),
         deduplication_window_us=_duration_us(item, "windowMs", 0),
@@ -185,13 +188,13 @@
 
 
 def _flag_of_class(family: JsonObject, key: str, index: int) -> bool:
-    """Reads a flag that stands in a list with one element a request class, which may be short."""
+    """Reads a request class's flag from a list; returns False if the list is too short."""
     flags = family.get(key) or ()
     return index < len(flags) and bool(flags[index])
 
 
 def _allowed_numbers(item: JsonObject, key: str) -> tuple[int, ...] | None:
-    """Reads a list of allowed numbers; one that is missing or empty allows all: None."""
+    """Reads a list of allowed numbers; a missing or empty list gives None, which allows all."""
     numbers = item.get(key)
     return tuple(int(number) for number in numbers) if numbers else None
 
--- a/plankroute/simulator/event_records.py
+++ b/plankroute/simulator/event_records.py
@@ -290,8 +290,8 @@
         return Delivered(instance, event)
 
     def _slice_assignment(self, cursor: RecordCursor) -> Delivered:
-        instance, slice_, given = cursor.fields(MANDATE)
-        return Delivered(instance, events.SliceAssignment(slice_, bool(given)))
+        instance, slice_, assigned = cursor.fields(MANDATE)
+        return Delivered(instance, events.SliceAssignment(slice_, bool(assigned)))
 
     def _slice_route(self, cursor: RecordCursor) -> Delivered:
         instance, slice_, host, weight = cursor.fields(STORED_LINE)
