--- a/plankroute/simulator/__init__.py
+++ b/plankroute/simulator/__init__.py
@@ -1,5 +1,5 @@
-"""The simulator's adapter: framed batches of events in, commands out. Decides nothing.
+"""Adapter of the simulator: reads framed batches of events and writes framed commands.
 
-`python -m plankroute.simulator` runs any number of controllers in one process. The wire is the
-operators' (their page on it names each record); only this package knows it.
+`python -m plankroute.simulator` runs any number of controllers in one process. The operators
+specify the wire format and name its records; no other package depends on it.
 """
--- a/plankroute/simulator/__main__.py
+++ b/plankroute/simulator/__main__.py
@@ -1,4 +1,4 @@
-"""Reads batches on standard input, lets the instances decide, writes one reply a batch."""
+"""Runs controllers for the simulator: batches on standard input, one reply each on output."""
 
 import gc
 import sys
@@ -19,12 +19,12 @@
 from plankroute.simulator.frames import WireError, read_batch, write_reply
 
 
-class InstanceHost:
-    """The instances (controllers) of this process; they share nothing but the decoder's lists.
+class InstancePool:
+    """The instances (controllers) of this process. They share only the decoder's host lists.
 
     Attributes:
-        decoder: Decodes their events.
-        controllers: The instances that were started and not killed, by their number.
+        decoder: Decodes the events of all instances.
+        controllers: The instances that were started and not killed, by instance number.
     """
 
     def __init__(self) -> None:
@@ -32,36 +32,36 @@
         self.controllers: dict[int, Controller] = {}
 
     def reply(self, clock_us: int, records: bytes) -> list[bytes]:
-        """Lets each instance that has an event in a batch decide once, after all of its events.
+        """Delivers the events of a batch to their instances, all events of an instance at once.
 
         Args:
-            clock_us: Clock of the batch, in microseconds.
-            records: The batch's records of events.
+            clock_us: Time of the batch, in microseconds.
+            records: Event records of the batch.
 
         Returns:
-            The records of the reply.
+            The command records of the reply.
 
         Raises:
-            WireError: A record can't be read.
+            WireError: A record cannot be decoded.
         """
         pending: dict[int, list[Event]] = {}
-        for occurrence in self.decoder.decode(records):
-            match occurrence:
+        for decoded in self.decoder.decode(records):
+            match decoded:
                 case Delivered():
-                    pending.setdefault(occurrence.instance, []).append(occurrence.event)
+                    pending.setdefault(decoded.instance, []).append(decoded.event)
                 case InstanceStarted():
-                    controller = Controller(occurrence.facts, occurrence.seed)
-                    self.controllers[occurrence.instance] = controller
-                    pending[occurrence.instance] = []
+                    controller = Controller(decoded.facts, decoded.seed)
+                    self.controllers[decoded.instance] = controller
+                    pending[decoded.instance] = []
                 case InstanceKilled():
-                    self.controllers.pop(occurrence.instance, None)
-                    pending.pop(occurrence.instance, None)
+                    self.controllers.pop(decoded.instance, None)
+                    pending.pop(decoded.instance, None)
         reply: list[bytes] = []
         for instance, events in pending.items():
-            reply += self._decide(instance, clock_us, events)
+            reply += self._deliver(instance, clock_us, events)
         return reply
 
-    def _decide(self, instance: int, clock_us: int, events: list[Event]) -> list[bytes]:
+    def _deliver(self, instance: int, clock_us: int, events: list[Event]) -> list[bytes]:
         controller = self.controllers.get(instance)
         if controller is None:
             return []
@@ -69,30 +69,30 @@
             return [
                 encode_command(instance, command)
                 for command in controller.deliver(clock_us, events)
-                if not isinstance(command, ForgetHost)  # the wire keeps every host
+                if not isinstance(command, ForgetHost)  # the simulator never drops a host
             ]
-        except Exception as error:  # the wire asks for a record of any failure of a decision
-            place = traceback.extract_tb(error.__traceback__)[-1]
-            text = f"{type(error).__name__}: {error} at {place.name}:{place.lineno}"
+        except Exception as error:  # the protocol requires a record for any failed instance
+            frame = traceback.extract_tb(error.__traceback__)[-1]
+            text = f"{type(error).__name__}: {error} at {frame.name}:{frame.lineno}"
             return [encode_failure(instance, text)]
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
-    """Answers batches until the input ends.
+    """Reads batches and writes a reply to each, until the input ends.
 
     Raises:
         WireError: The input is malformed.
-        BrokenPipeError: Nobody reads the replies any more.
+        BrokenPipeError: The reader of the replies closed the pipe.
     """
-    host = InstanceHost()
+    pool = InstancePool()
     while (batch := read_batch(source)) is not None:
-        records = host.reply(microseconds(batch.clock_ms), batch.records)
+        records = pool.reply(microseconds(batch.clock_ms), batch.records)
         write_reply(sink, batch.number, records)
 
 
 def main() -> int:
-    """Serves standard input and output; returns the exit status."""
-    gc.freeze()  # what the imports left will never be garbage: collections needn't look at it
+    """Serves standard input and output, and returns the exit status."""
+    gc.freeze()  # imported objects never become garbage, so collections need not scan them
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
     except WireError as error:
--- a/plankroute/simulator/command_records.py
+++ b/plankroute/simulator/command_records.py
@@ -7,12 +7,12 @@
 
 ALL_TABLES = 0xFFFF
 ALL_PEERS = 0xFFFF
-ALL_REQUEST_CLASSES = 0  # as a set of bits
-MAX_TEXT_BYTES = 60_000  # well below the 65,535 that the length field can tell
+ALL_REQUEST_CLASSES = 0  # an empty bit set stands for all
+MAX_TEXT_BYTES = 60_000  # well below the 65,535 that fit the length field
 
 
 class CommandCode(IntEnum):
-    """Codes of command records, under the names that the wire's description gives them."""
+    """Codes of command records, named as in the simulator's protocol specification."""
 
     RESET_TABLE = 64
     SET_ALARM = 65
@@ -29,7 +29,7 @@
     BUG = 76
 
 
-# Each begins with the code and the instance
+# Layouts of the records. Each begins with the command code and the instance number.
 RESET_TABLE = struct.Struct("<BHH")
 SET_ALARM = struct.Struct("<BHdI")
 GET_LIST = struct.Struct("<BH")
@@ -50,7 +50,7 @@
     """Encodes one command.
 
     Raises:
-        TypeError: The wire has no record for it (`ForgetHost`).
+        TypeError: The protocol has no record for the command, which is a `ForgetHost`.
     """
     match command:
         case commands.SetRoute():
@@ -92,11 +92,11 @@
         case commands.LogMessage():
             return _encode_text(CommandCode.TRACE, instance, command.text)
         case commands.ForgetHost():
-            raise TypeError("no record for ForgetHost: the wire keeps every host")
+            raise TypeError("ForgetHost has no record: the simulator never drops a host")
 
 
 def encode_failure(instance: int, text: str) -> bytes:
-    """Encodes that an instance has failed and why; the simulator ends the day with it."""
+    """Encodes the failure of an instance and its cause; the simulator then ends the run."""
     return _encode_text(CommandCode.BUG, instance, text)
 
 
--- a/plankroute/simulator/event_records.py
+++ b/plankroute/simulator/event_records.py
@@ -20,7 +20,7 @@
 
 
 class EventCode(IntEnum):
-    """Codes of event records, under the names that the wire's description gives them."""
+    """Codes of event records, named as in the simulator's protocol specification."""
 
     ENLIST = 0
     SYNC = 1
@@ -39,7 +39,8 @@
     LIST = 14
 
 
-# Fixed parts of the records after their code; content of variable length follows some of them
+# Layouts of the fixed part that follows a record's code. Some records have content of variable
+# length after it.
 ENLIST = struct.Struct("<HQI")
 SYNC = struct.Struct("<HBQI")
 RING = struct.Struct("<HI")
@@ -73,7 +74,7 @@
     0: events.HealthCheckOutcome.ANSWERED,
     5: events.HealthCheckOutcome.ERROR,
     11: events.HealthCheckOutcome.REJECTED,
-    104: events.HealthCheckOutcome.ERROR,  # the connection broke: it was there
+    104: events.HealthCheckOutcome.ERROR,  # connection reset: the host was reachable
     110: events.HealthCheckOutcome.TIMED_OUT,
     111: events.HealthCheckOutcome.UNREACHABLE,
 }
@@ -84,9 +85,9 @@
     """An instance starts.
 
     Attributes:
-        instance: Its number.
-        seed: The seed of its random numbers.
-        facts: What it is told at its start.
+        instance: Number of the instance.
+        seed: Seed of its random numbers.
+        facts: Its start facts.
     """
 
     instance: int
@@ -113,11 +114,11 @@
 
 
 class RecordCursor:
-    """Place in the records of a batch.
+    """A read position in the records of a batch.
 
     Attributes:
         data: The records.
-        position: Of the next byte to read.
+        position: Offset of the next byte to read.
     """
 
     __slots__ = ("data", "position")
@@ -127,28 +128,28 @@
         self.position = 0
 
     def fields(self, layout: struct.Struct) -> tuple[Any, ...]:
-        """Reads a fixed part; raises struct.error if it is cut short."""
+        """Reads the fixed part of a record; raises struct.error if it is truncated."""
         values = layout.unpack_from(self.data, self.position)
         self.position += layout.size
         return values
 
     def content(self, size: int) -> bytes:
-        """Reads content whose size a fixed part has told; raises WireError if it is cut short."""
+        """Reads content after a fixed part; raises WireError if fewer than `size` bytes remain."""
         start = self.position
         end = start + size
         if end > len(self.data):
             present = len(self.data) - start
-            raise WireError(f"{size} bytes promised at byte {start}, {present} there")
+            raise WireError(f"content at byte {start} is truncated: {present} of {size} bytes")
         self.position = end
         return self.data[start:end]
 
 
 class EventDecoder:
-    """Decoder of event records; holds what outlives a batch.
+    """Decoder of event records, with the state that it keeps between batches.
 
     Attributes:
-        lists: Numbered host lists, which belong to the whole process.
-        report_fields: By instance, names of its load reports' values, as `parse_settings` tells.
+        lists: Host lists by number, shared by all instances.
+        report_fields: By instance, the fields of its load reports as `parse_settings` returns them.
     """
 
     def __init__(self) -> None:
@@ -173,10 +174,12 @@
         }
 
     def decode(self, records: bytes) -> Iterator[InstanceEvent]:
-        """Decodes the records of a batch, in their order.
+        """Decodes the records of a batch in order.
+
+        A record that defines a host list yields nothing.
 
         Raises:
-            WireError: A record is of an unknown code, cut short or contradicts the description.
+            WireError: A record has an unknown code, is truncated, or has invalid content.
         """
         cursor = RecordCursor(records)
         while cursor.position < len(records):
@@ -184,17 +187,17 @@
             code = records[start]
             reader = self._readers.get(code)
             if reader is None:
-                raise WireError(f"event code {code} at byte {start} is not known")
+                raise WireError(f"unknown event code {code} at byte {start}")
             cursor.position = start + 1
             try:
                 event = reader(cursor)
             except struct.error as error:
                 name = EventCode(code).name.lower()
-                raise WireError(f"{name} at byte {start} is cut short") from error
+                raise WireError(f"{name} record at byte {start} is truncated") from error
             if event is not None:
                 yield event
 
-    # One method a record, named for what it becomes
+    # One method per record, named after the event that it returns
 
     def _instance_started(self, cursor: RecordCursor) -> InstanceStarted:
         instance, seed, size = cursor.fields(ENLIST)
@@ -202,7 +205,7 @@
             settings = json.loads(cursor.content(size))
             facts, self.report_fields[instance] = parse_settings(settings)
         except (ValueError, SettingsError) as error:
-            raise WireError(f"the settings can't be read: {error}") from error
+            raise WireError(f"invalid settings: {error}") from error
         return InstanceStarted(instance, seed, facts)
 
     def _instance_killed(self, cursor: RecordCursor) -> InstanceKilled:
@@ -231,11 +234,11 @@
         instance, kind_code, _version, number = cursor.fields(SYNC)
         kind = LIST_KIND_BY_CODE.get(kind_code)
         if kind is None:
-            raise WireError(f"sync of unknown kind {kind_code}")
+            raise WireError(f"sync record has unknown list kind {kind_code}")
         if kind is events.ListKind.FAILED:
             return Delivered(instance, events.HostList(kind, ()))
         if number not in self.lists:
-            raise WireError(f"sync names list {number}, which was never sent")
+            raise WireError(f"sync record refers to list {number}, which was never defined")
         return Delivered(instance, events.HostList(kind, self.lists[number]))
 
     def _timer_expired(self, cursor: RecordCursor) -> Delivered:
@@ -300,10 +303,10 @@
     def _load_report(
         self, instance: int, count: int, cursor: RecordCursor
     ) -> events.LoadReport | None:
-        """Reads a load report of so many values; None where there are none."""
+        """Reads a load report of `count` values; returns None if there are none."""
         if not count:
             return None
         values = struct.unpack(f"<{count}f", cursor.content(REPORT_VALUE_SIZE * count))
-        # Values beyond the names that the settings gave are left out, and the other way round.
+        # Values without a field in the settings are ignored, and so are fields without a value.
         names = self.report_fields.get(instance, ())
         return load_report(zip(names, values, strict=False))
--- a/plankroute/simulator/frames.py
+++ b/plankroute/simulator/frames.py
@@ -1,7 +1,8 @@
-"""Frames on the byte streams, all little-endian: batches in, replies out.
+"""Framing of the input and output streams; all integers and floats are little-endian.
 
-A batch is a header (number, bytes that follow), the clock and the records of events; a reply is a
-header (number, bytes that follow, count of records) and the records of commands.
+A batch is a header (number, count of the bytes that follow), the clock and the event records. A
+reply is a header (number, count of the bytes that follow, count of records) and the command
+records.
 """
 
 import struct
@@ -10,20 +11,20 @@
 BATCH_HEADER = struct.Struct("<II")
 CLOCK = struct.Struct("<d")
 REPLY_HEADER = struct.Struct("<III")
-RECORD_COUNT_SIZE = 4  # of the reply's header, counted with the bytes that follow
+RECORD_COUNT_SIZE = 4  # bytes; a reply's byte count includes the record count in its header
 
 
 class WireError(Exception):
-    """The input is not what the wire's description promises."""
+    """The input violates the simulator's protocol specification."""
 
 
 class Batch(NamedTuple):
     """One batch of events.
 
     Attributes:
-        number: The number that the reply repeats.
-        clock_ms: The clock at which all its events happen, in milliseconds.
-        records: The records of events, one behind another.
+        number: Number of the batch, which the reply repeats.
+        clock_ms: Time of all its events, in milliseconds.
+        records: The concatenated event records.
     """
 
     number: int
@@ -32,7 +33,7 @@
 
 
 def read_exactly(stream: BinaryIO, size: int) -> bytes:
-    """Reads so many bytes; fewer only where the input ends."""
+    """Reads `size` bytes, or fewer if the input ends before."""
     parts: list[bytes] = []
     missing = size
     while missing:
@@ -51,7 +52,7 @@
         The batch, or None at the end of input.
 
     Raises:
-        WireError: The input ends within a batch, or a batch is too short for its clock.
+        WireError: The input ends within a batch, or a batch is too short to hold its clock.
     """
     header = read_exactly(stream, BATCH_HEADER.size)
     if not header:
@@ -60,7 +61,7 @@
         raise WireError(f"input ends within a batch header ({len(header)} bytes)")
     number, length = BATCH_HEADER.unpack(header)
     if length < CLOCK.size:
-        raise WireError(f"batch {number} is {length} bytes long, too short for its clock")
+        raise WireError(f"batch {number} is too short to hold its clock ({length} bytes)")
     body = read_exactly(stream, length)
     if len(body) < length:
         raise WireError(f"input ends within batch {number} ({len(body)} of {length} bytes)")
@@ -69,7 +70,13 @@
 
 
 def write_reply(stream: BinaryIO, number: int, records: list[bytes]) -> None:
-    """Writes the reply to the batch of that number and flushes the stream."""
+    """Writes the reply to a batch and flushes the stream.
+
+    Args:
+        stream: The output.
+        number: Number of the batch.
+        records: The command records.
+    """
     body = b"".join(records)
     header = REPLY_HEADER.pack(number, RECORD_COUNT_SIZE + len(body), len(records))
     stream.write(header + body)
