--- a/tests/controller/test_message_builder.py
+++ b/tests/controller/test_message_builder.py
@@ -1,4 +1,4 @@
-"""Commands become messages, beside a plain replay of what the protocol says that commands mean."""
+"""Messages that are built from commands, checked against a simple model of the protocol."""
 
 import random
 
@@ -28,12 +28,12 @@
 
 
 class CommandReplay:
-    """What joined proxies do by the commands' own meaning, one command after another.
+    """Reference model: what joined proxies should do after each command, by its definition.
 
     Attributes:
         tables: By table, weight by host.
-        limits: Admission limit by table (None: all) and request class.
-        bound: By joined proxy, the table of each request class.
+        limits: Admission limit by table (ALL_TABLES for all) and request class.
+        bound: By joined proxy, the table that it is bound to for each request class.
         withdrawn: Hosts that are withdrawn.
     """
 
@@ -62,7 +62,7 @@
                     self.limits[limited_table, request_class] = (limit, int(retry))
 
     def usable_hosts(self, proxy: int, request_class: int) -> dict[int, float]:
-        """Weights of the hosts that the proxy may send a request class to."""
+        """Returns the weights of the hosts to which the proxy may send a request class."""
         routes = self.tables.get(self.bound[proxy][request_class], {})
         return {
             host: weight for host, weight in routes.items() if weight and host not in self.withdrawn
@@ -81,14 +81,16 @@
 
 
 class ModelProxy:
-    """A proxy as the protocol describes it; withdrawn hosts outlive its streams.
+    """Model of a proxy, which applies the messages that it receives.
+
+    As in the protocol, withdrawals stay in force when its stream ends.
 
     Attributes:
         routes: By request class, weight by host.
         limits: Admission limit by request class.
-        withdrawn: Hosts that it keeps out of use.
+        withdrawn: Hosts to which it sends nothing.
         acknowledgements: Sequence numbers that it was asked to acknowledge.
-        message_count: Messages that it got; one in several parts counts once.
+        message_count: Messages received; a message in several parts counts once.
     """
 
     def __init__(self) -> None:
@@ -99,7 +101,7 @@
         self.message_count = 0
 
     def read(self, data: bytes) -> int:
-        """Applies what came; returns the lines that the channel counts for it."""
+        """Applies received messages, and returns the lines that the channel counts for them."""
         return sum(self._read_line(line) for line in data.decode().split("\r\n")[:-1])
 
     def _read_line(self, line: str) -> int:
@@ -139,7 +141,7 @@
 
 
 class ControllerSide:
-    """One controller's message builder and encoder, beside the replay of its commands."""
+    """Message builder and encoder of one controller, with the reference model of its commands."""
 
     def __init__(self) -> None:
         self.message_builder = MessageBuilder(len(REQUEST_CLASSES))
@@ -157,7 +159,7 @@
         del self.replay.bound[number]
 
     def command(self, batch: list[commands.Command], proxies: dict[int, ModelProxy]) -> None:
-        """Sends a batch, and checks that proxies then do what the commands mean."""
+        """Sends a batch, and checks that the proxies then match the reference model."""
         for command in batch:
             self.replay.apply(command)
         for message in self.message_builder.build(batch):
@@ -209,8 +211,11 @@
 
 
 @pytest.mark.parametrize("seed", range(60))
-def test_proxies_do_by_their_messages_what_the_commands_mean(seed: int) -> None:
-    """Two controllers, between which proxies move with the hosts that they keep withdrawn."""
+def test_proxies_follow_the_commands_of_their_controller(seed: int) -> None:
+    """Guards against withdrawals that survive a move to another controller.
+
+    Proxies move at random between two controllers, and keep their withdrawn hosts as they do.
+    """
     rng = random.Random(seed)
     sides = (ControllerSide(), ControllerSide())
     proxies = {number: ModelProxy() for number in range(4)}
@@ -250,7 +255,7 @@
     assert encode(message) == (
         b"push replace=1 rows=s-00000007:3,s-00000008:1.5 gate=1 again=1 stamp=905\r\n"
     )
-    # The bind's line, two routes, a limit and the sequence number, as the protocol counts
+    # One line each for the bind, the two routes, the limit and the sequence number
     assert message.line_count() == 5
 
 
@@ -260,13 +265,13 @@
     assert [message.proxy for message in messages] == [1]
 
 
-def test_a_sequence_number_reaches_all_proxies_if_so_commanded() -> None:
+def test_a_sequence_number_reaches_all_proxies_if_the_command_says_so() -> None:
     batch = [commands.BindProxy(0, 1), commands.SetRoute(0, 7, 3.0)]
     messages = messages_for(*batch, commands.RequestAcknowledgement(1, all_proxies=True))
     assert {message.proxy: message.sequence_number for message in messages} == {0: 1, 1: 1}
 
 
-def test_a_host_is_withdrawn_only_where_its_routes_are_or_may_be() -> None:
+def test_a_withdrawal_reaches_only_proxies_that_may_have_a_route_to_the_host() -> None:
     message_builder = MessageBuilder(1)
     for proxy in (0, 1, 2):
         message_builder.observe(joined(proxy))
@@ -283,7 +288,11 @@
 
 
 def test_a_host_reinstated_while_out_of_the_table_is_reinstated_with_its_next_route() -> None:
-    """Guards against a host that stays withdrawn for good: the proxy keeps what it was told."""
+    """Guards against a host that stays withdrawn for good.
+
+    The proxy is not told of the reinstatement while its table lacks the host, so the message with
+    the next route to the host has to carry it.
+    """
     message_builder = MessageBuilder(1)
     message_builder.observe(joined(0))
     message_builder.build(
@@ -296,7 +305,7 @@
     assert message.updates[0].routes == {7: 2.0}
 
 
-def test_an_update_too_long_for_one_part_goes_on_in_further_parts() -> None:
+def test_an_update_too_long_for_one_part_is_split_into_several_parts() -> None:
     routes = {host: 1.0 for host in range(2 * ROWS_PER_PART + 1)}
     data = encode(Message(0, [TableUpdate((0, 1, 2), True, routes)], {}, 5))
     assert [b"part=1" in line for line in data.split(b"\r\n")] == [True, True, False, False]
@@ -306,7 +315,7 @@
     assert proxy.message_count == 1
 
 
-def test_more_updates_than_a_message_may_have_parts_go_on_in_a_second_message() -> None:
+def test_updates_beyond_the_maximum_number_of_parts_go_into_a_second_message() -> None:
     routes = {host: 1.0 for host in range(2 * ROWS_PER_PART + 1)}
     proxy = ModelProxy()
     proxy.read(encode(Message(0, [TableUpdate((0, 1, 2), True, routes)], {}, 5)))
--- a/tests/events/test_settings.py
+++ b/tests/events/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings become start facts: every key, every word, and what a missing key means."""
+"""Parsing of the settings: every key, every enum value, and the defaults of missing keys."""
 
 import json
 
@@ -16,7 +16,8 @@
 )
 from plankroute.events.settings import SettingsError, load_report, parse_settings
 
-# As an operator writes them; figures within a section differ, so that no two keys can be mixed up.
+# Settings as an operator writes them. All figures of a section differ, so that a parser that mixes
+# up two keys fails the test.
 STORED_SETTINGS = b"""{
  "rank": 2, "instances": 5, "zone": 1, "dcs": ["wien", "graz", "linz"], "discovery": "subscribe",
  "caps": {"mayProbe": true, "mayTell": true, "dialTimeoutMs": 300.0},
@@ -165,7 +166,7 @@
 )
 
 
-def test_stored_settings_become_the_same_facts_as_ever() -> None:
+def test_stored_settings_are_parsed_to_the_expected_facts() -> None:
     facts, report_fields = parse_settings(json.loads(STORED_SETTINGS))
     assert facts == STORED_FACTS
     assert report_fields == ("in_flight", "", "service_time_us", "queue_length")
@@ -180,41 +181,41 @@
         {"familyInfo": {"throttleBy": "new word"}, "report": {"via": "new word"}},
     ],
 )
-def test_missing_keys_and_unknown_words_permit_and_assume_nothing(
+def test_missing_keys_and_unknown_values_get_safe_defaults(
     sections: dict[str, object],
 ) -> None:
     assert parse_settings(sections) == (FACTS_WITHOUT_SETTINGS, ())
 
 
 @pytest.mark.parametrize("item", [{}, {"idempotency": "new word", "keyScope": "new word"}])
-def test_a_request_class_without_settings_is_never_repeated(item: dict[str, object]) -> None:
+def test_a_request_class_without_settings_is_not_idempotent(item: dict[str, object]) -> None:
     facts, _ = parse_settings({"classes": [item]})
     assert facts.request_classes == (CLASS_WITHOUT_SETTINGS,)
 
 
 @pytest.mark.parametrize(
-    ("word", "unit"),
+    ("name", "unit"),
     [
         ("ratio", AdmissionUnit.SHARE),
         ("rps", AdmissionUnit.RATE),
         ("silent", AdmissionUnit.NONE),
     ],
 )
-def test_words_of_the_admission_unit(word: str, unit: AdmissionUnit) -> None:
-    facts, _ = parse_settings({"familyInfo": {"throttleBy": word}})
+def test_admission_unit_values(name: str, unit: AdmissionUnit) -> None:
+    facts, _ = parse_settings({"familyInfo": {"throttleBy": name}})
     assert facts.admission_unit is unit
 
 
 @pytest.mark.parametrize(
-    ("word", "source"),
+    ("name", "source"),
     [
         ("piggyback", ReportSource.RESPONSES),
         ("pull", ReportSource.HEALTH_CHECKS),
         ("silent", ReportSource.NONE),
     ],
 )
-def test_words_of_the_report_source(word: str, source: ReportSource) -> None:
-    facts, _ = parse_settings({"report": {"via": word}})
+def test_report_source_values(name: str, source: ReportSource) -> None:
+    facts, _ = parse_settings({"report": {"via": name}})
     assert facts.report_source is source
 
 
@@ -232,12 +233,12 @@
         {"familyInfo": {"throttleBy": []}},
     ],
 )
-def test_values_of_the_wrong_kind_are_refused(raw: object) -> None:
+def test_values_of_the_wrong_type_raise_settings_error(raw: object) -> None:
     with pytest.raises(SettingsError):
         parse_settings(raw)
 
 
-def test_load_reports_leave_out_what_is_unknown_negative_or_no_number() -> None:
+def test_load_reports_leave_out_unknown_negative_and_non_finite_fields() -> None:
     pairs = [
         ("in_flight", 7.0),
         ("", 3.0),
--- a/tests/simulator/test_simulator_wire.py
+++ b/tests/simulator/test_simulator_wire.py
@@ -1,4 +1,4 @@
-"""The codec on records written out by hand, and the process of the instances on batches."""
+"""The record codec on hand-written records, and the simulator's process on whole batches."""
 
 import io
 import struct
@@ -31,13 +31,13 @@
 
 
 def delivered(data: bytes) -> list[events.Event]:
-    """The events that records deliver to instance 3."""
+    """Decodes records that must all be events of instance 3."""
     decoded = decode(data)
     assert all(isinstance(item, Delivered) and item.instance == 3 for item in decoded)
     return [item.event for item in decoded if isinstance(item, Delivered)]
 
 
-def test_a_host_list_is_delivered_with_the_entries_of_its_number() -> None:
+def test_a_host_list_is_delivered_with_the_entries_of_the_list_it_refers_to() -> None:
     ready = events.HostState.READY
     entries = (
         events.HostEntry(HOST_A, ready, 0, 0, 0, 1.0, 0),
@@ -46,7 +46,7 @@
     assert delivered(LIST + SYNC) == [events.HostList(events.ListKind.CACHED, entries)]
 
 
-def test_events() -> None:
+def test_statistics_joins_and_timers_are_decoded() -> None:
     stats = record(
         "09 0300 0000 0000000000204840 01000000 0e000000 0000000000408f40 074a1203 01 0000e040"
     )
@@ -92,11 +92,11 @@
         ("01 0300 03 2900000000000000 09000000", events.HostList(events.ListKind.FAILED, ())),
     ],
 )
-def test_further_events(text: str, event: events.Event) -> None:
+def test_each_event_record_is_decoded(text: str, event: events.Event) -> None:
     assert delivered(record(text)) == [event]
 
 
-def test_list_numbers_are_used_again_in_event_order() -> None:
+def test_a_list_number_that_is_reused_refers_to_the_latest_list() -> None:
     other = LIST.replace(record("074a1203"), record("01000000"))
     first, second = delivered(LIST + SYNC + other + SYNC)
     assert isinstance(first, events.HostList)
@@ -128,15 +128,15 @@
 
 
 @pytest.mark.parametrize(("text", "command"), COMMAND_RECORDS.items())
-def test_commands(text: str, command: commands.Command) -> None:
+def test_each_command_is_encoded(text: str, command: commands.Command) -> None:
     assert encode_command(3, command) == record(text)
 
 
-def test_a_failure_is_told_with_its_text() -> None:
+def test_a_failure_is_encoded_with_its_text() -> None:
     assert encode_failure(5, "no") == record("4c 0500 0200 6e6f")
 
 
-def test_a_command_that_the_wire_does_not_know_is_an_error() -> None:
+def test_a_command_without_a_record_raises_type_error() -> None:
     with pytest.raises(TypeError):
         encode_command(3, commands.ForgetHost(7))
 
@@ -151,12 +151,12 @@
         record("00 0300 0100000000000000 02000000 7b7b"),
     ],
 )
-def test_malformed_records_end_with_a_plain_word(data: bytes) -> None:
+def test_malformed_records_raise_wire_error(data: bytes) -> None:
     with pytest.raises(WireError):
         decode(data)
 
 
-def test_frames() -> None:
+def test_frames_are_read_and_written_and_truncated_ones_raise_wire_error() -> None:
     batch = record("01000000 08000000 00000000206ec040")
     assert read_batch(io.BytesIO(batch)) == (1, 8412.25, b"")
     for cut in (4, 12):
--- a/tests/state/test_apportionment.py
+++ b/tests/state/test_apportionment.py
@@ -1,4 +1,4 @@
-"""Totals are split over hosts and proxies without a remainder."""
+"""Apportionment divides a total without losing or adding any of it."""
 
 import pytest
 
@@ -17,7 +17,7 @@
 )
 def test_rounded_values_keep_their_sum(exact: dict[int, float], rounded: dict[int, int]) -> None:
     assert round_preserving_sum(exact) == rounded
-    assert list(round_preserving_sum(exact)) == list(exact)  # callers rest on the order
+    assert list(round_preserving_sum(exact)) == list(exact)  # callers depend on the order
 
 
 @pytest.mark.parametrize(
@@ -30,7 +30,7 @@
         ([1.0, 9.0, 9.0], 9.0, 4.0),
     ],
 )
-def test_rates_cut_down_to_the_cap_add_up_to_the_total(
+def test_rates_limited_to_the_cap_add_up_to_the_total(
     rates: list[float], total: float, cap: float | None
 ) -> None:
     assert even_rate_cap(rates, total) == cap
--- a/tests/state/test_channel.py
+++ b/tests/state/test_channel.py
@@ -1,4 +1,4 @@
-"""Accounting of a controller's channel: what waits in it, as far as acknowledgements tell."""
+"""Accounting of a controller's channel: the estimate of the lines that are still queued."""
 
 from plankroute.state.channel import Channel
 from plankroute.state.publishing_status import LineKind
@@ -7,9 +7,9 @@
 
 
 def channel_with(lines: int, proxies: range) -> Channel:
-    """A channel with one message to each proxy in it.
+    """Returns a channel after one message to each of the proxies.
 
-    Its pace is a thousand lines a second; acknowledgements take half a second at most.
+    Its pace is 1000 lines per second, and acknowledgements take at most half a second.
     """
     channel = Channel(
         message_overhead_lines=4, lines_per_us=1e-3, max_acknowledgement_us=SECOND_US / 2
@@ -26,10 +26,10 @@
     assert channel.queued == 750
 
 
-def test_lines_to_streams_that_ended_are_queued_no_longer() -> None:
-    """Guards against a queue that stays full for good after many proxies left at once.
+def test_lines_to_streams_that_ended_are_no_longer_queued() -> None:
+    """Guards against an estimate that stays high for good after many proxies left at once.
 
-    Nothing but urgent changes would be written from then on.
+    The controller would then write nothing but urgent changes.
     """
     channel = channel_with(lines=995, proxies=range(10))
     for proxy in range(9):
@@ -39,10 +39,10 @@
 
 
 def test_a_channel_slower_than_stated_keeps_lines_queued() -> None:
-    """Guards against a slow channel that is filled to its cap, so that drains wait in it."""
+    """Guards against a slow channel that is filled to its backlog cap, so that drains wait."""
     channel = channel_with(lines=95, proxies=range(10))
     channel.advance(20 * SECOND_US)
-    assert channel.queued == 500  # of a thousand unacknowledged half can be in flight
+    assert channel.queued == 500  # at the stated pace only half of the 1000 lines can be in flight
     channel.acknowledge(9, channel.sequence_number)
     channel.advance(21 * SECOND_US)
     assert channel.queued == 400
