--- a/plankroute/policy/__init__.py
+++ b/plankroute/policy/__init__.py
@@ -1,1 +1,1 @@
-"""Every decision of a controller, one module a mechanism."""
+"""Policy of a controller: all of its decisions, with one module per mechanism."""
--- a/plankroute/policy/fill.py
+++ b/plankroute/policy/fill.py
@@ -1,10 +1,14 @@
-"""Fill: which part of its capacity a host's present weight takes, compared to the other hosts.
+"""Fill: how much of a host's capacity its current weight uses, relative to the other hosts.
 
-The source of the method has queue length over capacity. Here hosts are unlike, their queues are
-unknown and statistics come seconds late. A host's capacity is the requests in flight at it, or
-those that it works on at once if fewer wait, over its mean latency. Its stress is the rate that its
-present weight brings over that capacity; its fill is stress over stress plus the mean stress, so 0
-to 1. Capacity hardly depends on the weight, so late reports do not make the loop swing
+In the original method, fill is queue length divided by capacity. Here hosts differ, the lengths of
+their queues are unknown and statistics arrive seconds late, so fill is derived as follows:
+
+- The capacity of a host is the number of requests in flight, or the host's concurrency if that is
+  greater, divided by its mean latency.
+- The load of a host is the request rate that its current weight attracts, divided by its capacity.
+- The fill of a host is load / (load + mean load), which is between 0 and 1.
+
+Capacity hardly depends on the weight, so late reports do not make the control loop oscillate
 (docs/design.md).
 """
 
@@ -13,23 +17,25 @@
 from plankroute.state.host_statistics import group_by
 from plankroute.state.published_table import PublishedTable
 
-# Surcharge for slow hosts, as a power of the latency relative to the usual one (docs/design.md).
-SLOWNESS_EXPONENT = 0.3
-# Surcharge for queues, as a power of the requests in flight over the concurrency; a greater one
-# makes queues swing (docs/design.md).
-QUEUE_EXPONENT = 0.45
-# Requests that a usual host works on before any waits. With more in flight these show its capacity.
-USUAL_CONCURRENCY = 3.0
-# Least attempts, as a decayed sum, at which a machine type's latency is known.
+# Exponent of the penalty for slow hosts: applies to the host's latency over the mean latency of its
+# group (docs/design.md).
+LATENCY_PENALTY_EXPONENT = 0.3
+# Exponent of the penalty for queues: applies to the requests in flight over the concurrency. A
+# greater exponent makes queue lengths oscillate (docs/design.md).
+QUEUE_PENALTY_EXPONENT = 0.45
+# Requests that a host of mean listed weight processes concurrently. If more are in flight, their
+# number determines the host's capacity.
+MEAN_CONCURRENCY = 3.0
+# Minimum attempts, as a decayed sum, for the mean latency of a machine type to count as known.
 MIN_TYPE_ATTEMPTS = 0.5
-# Least load reports, as a decayed sum, that show the requests in flight.
+# Minimum load reports, as a decayed sum, for the requests in flight at a host to count as known.
 MIN_REPORTS = 0.1
 
 
 def fills(
     host_table: HostTable, tables: list[PublishedTable], eligible: list[int]
 ) -> dict[int, float]:
-    """Returns the fill of the eligible hosts whose machine type has statistics, by host."""
+    """Returns the fill by host, for the eligible hosts whose machine type has statistics."""
     latencies = mean_latencies(host_table, eligible)
     if not latencies:
         return {}
@@ -39,22 +45,22 @@
         for host in latencies
         if host_table.reports[host] > MIN_REPORTS
     }
-    stress: dict[int, float] = {}
-    # Hosts that serve the same request classes: others have another mix of work, and other attempts
-    # a weight.
+    load: dict[int, float] = {}
+    # Hosts are compared within groups that serve the same request classes: other groups process
+    # another mix of requests, and get another number of attempts per weight.
     for hosts in group_by(
         latencies, lambda host: tuple(table.admits(host_table, host) for table in tables)
     ):
-        usual_latency = sum(latencies[host] for host in hosts) / len(hosts)
+        group_latency = sum(latencies[host] for host in hosts) / len(hosts)
         request_rate = rate_per_weight(host_table, hosts, latencies, in_flight)
         for host in hosts:
-            concurrency = USUAL_CONCURRENCY * host_table.listed_weight[host] / mean_listed_weight
-            queueing = max(1.0, in_flight.get(host, 0.0) / concurrency)
-            slowness = (latencies[host] / usual_latency) ** SLOWNESS_EXPONENT
-            utilisation = request_rate * host_table.weight[host] * latencies[host] / concurrency
-            stress[host] = utilisation * queueing ** (QUEUE_EXPONENT - 1) * slowness
-    mean_stress = sum(stress.values()) / len(stress)
-    return {host: value / (value + mean_stress) for host, value in stress.items()}
+            concurrency = MEAN_CONCURRENCY * host_table.listed_weight[host] / mean_listed_weight
+            queue_ratio = max(1.0, in_flight.get(host, 0.0) / concurrency)
+            latency_penalty = (latencies[host] / group_latency) ** LATENCY_PENALTY_EXPONENT
+            utilization = request_rate * host_table.weight[host] * latencies[host] / concurrency
+            load[host] = utilization * queue_ratio ** (QUEUE_PENALTY_EXPONENT - 1) * latency_penalty
+    mean_load = sum(load.values()) / len(load)
+    return {host: value / (value + mean_load) for host, value in load.items()}
 
 
 def rate_per_weight(
@@ -63,10 +69,11 @@
     latencies: dict[int, float],
     in_flight: dict[int, float],
 ) -> float:
-    """Returns the requests a microsecond that a weight of one brings.
+    """Returns the requests per microsecond that a weight of 1 attracts.
 
-    By the requests in flight that hosts report, which come from all proxies, so that controllers do
-    not drift apart; without reports by the attempts of this controller's proxies alone.
+    Derived from the requests in flight that hosts report: these come from the proxies of all
+    controllers, so that the weights of controllers do not drift apart. If no host reports any, it
+    is derived from the attempts of this controller's proxies alone.
     """
     reporting = [host for host in hosts if in_flight.get(host, 0.0) > 0]
     if reporting:
@@ -79,7 +86,7 @@
 
 
 def mean_latencies(host_table: HostTable, eligible: list[int]) -> dict[int, float]:
-    """Returns the mean latency of hosts in microseconds, shrunk to their machine type's.
+    """Returns the mean latency by host, in microseconds, shrunk towards that of its machine type.
 
     Hosts of a machine type without statistics are left out.
     """
--- a/plankroute/policy/host.py
+++ b/plankroute/policy/host.py
@@ -1,4 +1,4 @@
-"""The actor of one host: feeds its statistics, and joins health, warm-up and prior knowledge."""
+"""Actor of one host: updates its statistics, health, warm-up and prior knowledge."""
 
 from plankroute.events import events
 from plankroute.events.events import HostState
@@ -16,7 +16,7 @@
 from plankroute.state.scheduler import Actor, Scheduler, Tick
 from plankroute.units import SECOND_US
 
-# Statistics that are no further apart come from one round of reports.
+# Statistics that arrive no further apart than this belong to the same round of reports.
 STATS_BURST_GAP_US = SECOND_US // 4
 
 HostEvent = (
@@ -29,14 +29,14 @@
 
 
 class HostActor(Actor[HostEvent]):
-    """One host of the table.
+    """Handles the events of one host of the host table.
 
     Attributes:
-        index: Index of the host in the table.
-        health: Its health checks and ejection.
-        ramp: Its warm-up.
-        has_own_knowledge: Whether this controller has found out anything of the host's present
-            process by itself. Prior knowledge is not passed on.
+        index: Index of the host in the host table.
+        health: Health checks and ejection of the host.
+        ramp: Warm-up and recovery ramp of the host.
+        has_own_knowledge: Whether this controller has observed the host's current process itself.
+            Only own observations are passed on to other controllers, prior knowledge is not.
     """
 
     def __init__(
@@ -60,11 +60,11 @@
 
     @property
     def required_checks(self) -> int:
-        """Good health checks in a row that the host's next readmission takes."""
+        """Consecutive good health checks that the host's next readmission requires."""
         return self.health.required_checks
 
     def handle(self, event: HostEvent) -> None:
-        """Takes in one event of this host, or a tick."""
+        """Handles one event of this host, or a tick."""
         match event:
             case events.HostRequestStats():
                 self.on_request_stats(event)
@@ -80,12 +80,12 @@
                 self.on_prior_knowledge(event)
 
     def update_cap(self) -> None:
-        """Works out anew what the host's weight may count for."""
+        """Recomputes the cap on the host's weight."""
         cap = self.ramp.weight_cap(self.host_table, self.index, self.scheduler.now)
         self.host_table.weight_cap[self.index] = cap
 
     def on_entry(self, entry: events.HostEntry) -> None:
-        """Takes over the entry of the endpoint list."""
+        """Applies the host's entry in the endpoint list; resets the host if it has restarted."""
         host_table = self.host_table
         index = self.index
         if entry.state is not host_table.state[index]:
@@ -101,7 +101,7 @@
         self.update_cap()
 
     def reset(self) -> None:
-        """Forgets the process before a restart: nothing of it counts for the new one."""
+        """Discards the state of the process before a restart, which says nothing of the new one."""
         host_table = self.host_table
         index = self.index
         host_table.scale_sums(index, 0.0)
@@ -113,14 +113,14 @@
         self.health.required_checks = GOOD_CHECKS_TO_READMIT
         self.has_own_knowledge = False
         self.prior.discard(index)
-        if host_table.usual_weight_by_type:
-            host_table.weight[index] = host_table.usual_weight_of_type(index)
+        if host_table.mean_weight_by_type:
+            host_table.weight[index] = host_table.mean_weight_of_type(index)
 
     def on_request_stats(self, stats: events.HostRequestStats) -> None:
-        """Adds what proxies met at the host to its decayed sums.
+        """Adds the attempts of proxies at the host to its decayed sums.
 
-        Guards against hosts that fail requests fast and so look idle: a failed attempt counts as
-        one that took the latency objective.
+        A failed attempt counts as one that took the latency objective: otherwise, a host that fails
+        requests quickly would appear idle.
         """
         host_table = self.host_table
         index = self.index
@@ -148,24 +148,28 @@
         host_table.add_load_report(index, stats.report)
 
     def on_health_check(self, result: events.HealthCheckResult) -> None:
-        """Takes in the result of a health check, unless it is an old one of another controller."""
+        """Handles a health check result; ignores an outdated one of another controller."""
         if result.age_us > STATS_HALF_LIFE_US:
             return
         if self.health.on_check(result):
             self.has_own_knowledge = True
 
     def on_prior_knowledge(self, event: events.HostPriorKnowledge) -> None:
-        """Starts from prior knowledge, as long as the controller knows nothing better itself."""
+        """Applies prior knowledge, unless the controller has better knowledge itself.
+
+        Prior knowledge is ignored if the host is not ready, if enough attempts at it have been
+        measured, or once prior knowledge of any host has been compared with own findings.
+        """
         host_table = self.host_table
         index = self.index
         is_ready = host_table.state[index] is HostState.READY
         is_measured = host_table.attempts[index] >= MIN_MEASURED_ATTEMPTS
-        if not is_ready or is_measured or self.prior.judged:
+        if not is_ready or is_measured or self.prior.compared:
             return
         is_unhealthy = self.prior.record(index, event)
         if self.first_weights.is_decided:
             host_table.weight[index] = self.prior.weights[index]
-            host_table.effective_weight[index] = 0.0  # no published slot holds the weight back
+            host_table.effective_weight[index] = 0.0  # the published slot does not bound it
         was_ejected = is_unhealthy and event.ejected
         if (
             was_ejected
@@ -176,7 +180,7 @@
             self.health.request_check()
 
     def on_turn(self) -> None:
-        """Goes on by one turn: decays the sums, readmits or ramps up, asks for a health check."""
+        """Runs a turn: decays the sums, readmits or ramps up the host, requests a health check."""
         host_table = self.host_table
         index = self.index
         if host_table.state[index] is not HostState.READY:
--- a/plankroute/policy/host_table.py
+++ b/plankroute/policy/host_table.py
@@ -1,4 +1,4 @@
-"""Host statistics, with the aggregates that single hosts are compared to."""
+"""Host statistics, with the aggregates that single hosts are compared with."""
 
 from collections.abc import Iterable
 from statistics import fmean
@@ -9,32 +9,35 @@
 from plankroute.state.host_statistics import NO_CAP, HostStatistics, group_by
 from plankroute.units import SECOND_US
 
-# The best hosts are one in this many: two zones of three may be out of reach.
+# One host in this many counts as best: two zones of three may be unreachable.
 BEST_HOSTS_DIVISOR = 3
 
 
 class HostTable(HostStatistics):
-    """Statistics of single hosts, and aggregates that are derived once a turn and once a list.
+    """Statistics of single hosts, and aggregates of all hosts.
+
+    The aggregates are recomputed once per turn and after each update of the endpoint list.
 
     Attributes:
         warmup_us: Time for which a host counts as cold after its start.
         initial_capacity_share: Share of its capacity that a host has at its start.
         health_checks_allowed: Whether the settings permit health checks.
-        always_health_check: Whether every host is checked each turn, as load reports come no other
-            way.
-        latency_objective_us: Mean latency objective over the request classes; a failed attempt
-            counts as one that took this long.
-        failure_ratio: Failed attempts over attempts, of all hosts listed ready.
+        always_health_check: Whether every host is checked each turn, because load reports are only
+            available from health checks.
+        latency_objective_us: Mean latency objective of the request classes; a failed attempt counts
+            as one that took this long.
+        failure_ratio: Failed attempts divided by attempts, over all hosts listed ready.
         best_failure_ratio: The same over the third of the eligible hosts that fails least.
         mean_latency_us: Mean latency of attempts at hosts listed ready.
-        attempts_per_weight: Attempts, as a decayed sum, that a weight of one brings.
-        attempt_rate_per_proxy: Attempts a second of one proxy at one host.
-        others_heard_at_us: Time since which a third of the eligible hosts had statistics.
-        warm_count: Hosts listed ready without a cap.
-        warming_count: Hosts listed ready with a cap.
-        usual_weight_by_type: Mean weight of the warm hosts, ejected ones included, by machine type.
-        mass_disconnect_at_us: When many proxies last disconnected together; 0 for never.
-        outside_subset: Hosts listed ready that are left to other controllers.
+        attempts_per_weight: Attempts, as a decayed sum, that a weight of 1 attracts.
+        attempt_rate_per_proxy: Attempts per second of one proxy at one host.
+        others_heard_at_us: Time since which at least a third of the eligible hosts with attempts
+            have reported statistics.
+        warm_count: Hosts listed ready without a weight cap.
+        warming_count: Hosts listed ready with a weight cap.
+        mean_weight_by_type: Mean weight of the warm hosts, ejected ones included, by machine type.
+        mass_disconnect_at_us: Time of the last mass disconnect; 0 if there was none.
+        outside_subset: Hosts listed ready that are not in this controller's subset.
     """
 
     def __init__(self, facts: StartFacts) -> None:
@@ -55,38 +58,39 @@
         self.others_heard_at_us = 0
         self.warm_count = 0
         self.warming_count = 0
-        self.usual_weight_by_type: dict[int, float] = {}
+        self.mean_weight_by_type: dict[int, float] = {}
         self.mass_disconnect_at_us = 0
         self.outside_subset: set[int] = set()
 
     def refresh(self) -> None:
-        """Derives the aggregates from the statistics of single hosts."""
+        """Recomputes the aggregates from the statistics of single hosts."""
         ready = self.ready()
-        self._refresh_totals(ready)
-        self._refresh_heard([host for host in self.eligible() if self.attempts[host] > 0])
-        self._refresh_warm(ready)
+        self._refresh_from_ready(ready)
+        self._refresh_from_reporting([host for host in self.eligible() if self.attempts[host] > 0])
+        self._refresh_weights_by_type(ready)
 
-    def usual_weight_of_type(self, index: int) -> float:
-        """Returns the usual weight of a host's machine type.
+    def mean_weight_of_type(self, index: int) -> float:
+        """Returns the mean weight of the warm hosts of a host's machine type.
 
-        A type without warm hosts counts as the smallest type that has some: it may be small.
+        For a type without warm hosts, returns the smallest mean of any type, because the hosts may
+        be small; if no host is warm, returns 1.
         """
-        smallest = min(self.usual_weight_by_type.values(), default=1.0)
-        return self.usual_weight_by_type.get(self.machine_type[index], smallest)
+        smallest = min(self.mean_weight_by_type.values(), default=1.0)
+        return self.mean_weight_by_type.get(self.machine_type[index], smallest)
 
     def may_eject_another(self, max_share: float) -> bool:
-        """Whether one more host may be ejected, if this share of the ready ones is the most."""
+        """Whether the ejected share of the ready hosts stays within the limit with one more."""
         ready = self.ready()
         ejected = sum(self.ejected[host] for host in ready)
         return ejected + 1 <= max_share * len(ready)
 
     def health_checks(self, hosts: Iterable[int]) -> list[commands.Command]:
-        """Returns commands to check these hosts; none where the settings do not permit checks."""
+        """Returns commands to check these hosts; none if the settings forbid health checks."""
         if not self.health_checks_allowed:
             return []
         return [commands.CheckHealth(self.host_ids[host]) for host in hosts]
 
-    def _refresh_totals(self, ready: list[int]) -> None:
+    def _refresh_from_ready(self, ready: list[int]) -> None:
         attempts = sum(self.attempts[host] for host in ready) or 1.0
         in_subset = sum(host not in self.outside_subset for host in ready)
         attempts_per_s = attempts * LN_2 * SECOND_US / STATS_HALF_LIFE_US
@@ -95,22 +99,24 @@
         self.attempt_rate_per_proxy = attempts_per_s / max(1, routes)
         self.mean_latency_us = sum(self.latency_sum_us[host] for host in ready) / attempts
 
-    def _refresh_heard(self, heard: list[int]) -> None:
-        attempts = sum(self.attempts[host] for host in heard)
-        self.attempts_per_weight = attempts / (sum(self.weight[host] for host in heard) or 1.0)
-        by_failure_ratio = sorted(heard, key=lambda host: self.failed[host] / self.attempts[host])
-        best = by_failure_ratio[: max(1, len(heard) // BEST_HOSTS_DIVISOR)]
+    def _refresh_from_reporting(self, reporting: list[int]) -> None:
+        attempts = sum(self.attempts[host] for host in reporting)
+        self.attempts_per_weight = attempts / (sum(self.weight[host] for host in reporting) or 1.0)
+        by_failure_ratio = sorted(
+            reporting, key=lambda host: self.failed[host] / self.attempts[host]
+        )
+        best = by_failure_ratio[: max(1, len(reporting) // BEST_HOSTS_DIVISOR)]
         best_attempts = sum(self.attempts[host] for host in best) or 1.0
         self.best_failure_ratio = sum(self.failed[host] for host in best) / best_attempts
-        heard_at_us = sorted(self.heard_at_us[host] for host in heard)
-        self.others_heard_at_us = heard_at_us[len(heard) * 2 // 3] if heard else 0
+        heard_at_us = sorted(self.heard_at_us[host] for host in reporting)
+        self.others_heard_at_us = heard_at_us[len(reporting) * 2 // 3] if reporting else 0
 
-    def _refresh_warm(self, ready: list[int]) -> None:
+    def _refresh_weights_by_type(self, ready: list[int]) -> None:
         warm = [host for host in ready if self.weight_cap[host] == NO_CAP]
         self.warm_count = len(warm)
         self.warming_count = len(ready) - len(warm)
         self.max_warm_count = max(self.max_warm_count, self.warm_count)
-        self.usual_weight_by_type = {
+        self.mean_weight_by_type = {
             self.machine_type[hosts[0]]: sum(self.weight[host] for host in hosts) / len(hosts)
             for hosts in group_by(warm, lambda host: self.machine_type[host])
         }
--- a/plankroute/policy/prior_knowledge.py
+++ b/plankroute/policy/prior_knowledge.py
@@ -34,7 +34,7 @@
         weights: Weights to start from.
         unhealthy: Hosts that were known to fail.
         ejected: Hosts that are ejected on prior knowledge alone.
-        judged: Hosts whose prior knowledge has been compared.
+        compared: Hosts whose prior knowledge has been compared.
         confirmations: Comparisons that confirmed it.
         contradictions: Comparisons that contradicted it.
     """
@@ -42,7 +42,7 @@
     weights: dict[int, float] = field(default_factory=dict)
     unhealthy: set[int] = field(default_factory=set)
     ejected: set[int] = field(default_factory=set)
-    judged: set[int] = field(default_factory=set)
+    compared: set[int] = field(default_factory=set)
     confirmations: int = 0
     contradictions: int = 0
 
@@ -74,8 +74,8 @@
         """
         confirms = is_unhealthy == (index in self.unhealthy)
         is_evidence = is_unhealthy or not confirms
-        if index in self.weights and index not in self.judged and is_evidence:
-            self.judged.add(index)
+        if index in self.weights and index not in self.compared and is_evidence:
+            self.compared.add(index)
             if confirms:
                 self.confirmations += 1
             else:
--- a/plankroute/policy/slots.py
+++ b/plankroute/policy/slots.py
@@ -1,8 +1,8 @@
-"""Integer slots: what a routing table has for each host, from the weights by largest remainders.
+"""Integer slots: converts host weights into routing tables by the largest remainder method.
 
-Request classes that may use the same hosts share a table. Proxies spread requests over a table in
-proportion to its slots. Only changed slots are written, so hosts that stay keep the sum of their
-slots: one that comes or goes moves no other's.
+Request classes that may use the same hosts share a table. Proxies distribute requests over the
+hosts of a table in proportion to their slots. Only changed slots are written, so the slots of the
+hosts that stay keep their sum: a host that is added or removed does not change the slots of others.
 """
 
 from dataclasses import dataclass
@@ -14,24 +14,25 @@
 from plankroute.state.host_statistics import NO_CAP
 from plankroute.state.published_table import PublishedTable
 
-# Slots of a usual host (docs/design.md): steps of 3% of a usual weight; finer ones cost lines and
-# move nothing.
+# Slots of a host of mean weight (docs/design.md). A slot is 3% of the mean weight; a finer
+# resolution would cost lines without moving requests.
 SLOTS_PER_HOST = 32
 
 
 class RoutingTable(PublishedTable):
-    """A table of slots for the hosts that some request classes may use."""
+    """A complete routing table: slots of all hosts that its request classes may use."""
 
     def slots(
         self, host_table: HostTable, withdrawn: set[int], subset: Subset = ALL_HOSTS
     ) -> dict[int, int]:
-        """Returns the slots that the table should have, by host: at least one each.
+        """Returns the target slots by host, at least one for each host of the table.
 
-        Sets the effective weight of the hosts whose slots are published.
+        Also sets the effective weight of each host that has published slots: the weight that these
+        slots represent.
 
         Args:
             host_table: Statistics of all hosts.
-            withdrawn: Hosts that are withdrawn, or about to be.
+            withdrawn: Withdrawn hosts and those with a pending withdrawal.
             subset: The part of the hosts that this controller's tables hold.
         """
         weights = {
@@ -49,9 +50,10 @@
     ) -> list[int]:
         """Returns the hosts that the table should hold.
 
-        Guards against a table without hosts, and against all requests on a few hosts or on cold
-        ones: where ejected hosts are at least twice as many as warm ones, those within reach are
-        used all the same.
+        Ejected hosts are left out, with two exceptions that prevent an empty table and keep
+        requests from concentrating on a few hosts or on cold ones. If there are at least twice as
+        many ejected hosts as warm ones, the ejected hosts that are reachable are added. If the
+        table would still be empty, it holds all ejected hosts.
         """
         candidates = [
             host
@@ -70,28 +72,30 @@
         return hosts or ejected
 
     def _slots_per_weight(self, host_table: HostTable, weights: dict[int, float]) -> float:
-        """Returns the scale that keeps the sum of slots of the hosts that stay.
+        """Returns the factor from weight to slots that preserves the slot sum of staying hosts.
 
-        Where that is off by a factor of two it starts anew, as it does where none stay.
+        Staying hosts are the warm hosts that are already published. If there are none, or if the
+        factor deviates by a factor of two or more from the default of SLOTS_PER_HOST slots for the
+        mean weight, returns the default. Returns 0 if there are no weights.
         """
         if not weights:
             return 0.0
-        usual = SLOTS_PER_HOST * len(weights) / sum(weights.values())
+        default_scale = SLOTS_PER_HOST * len(weights) / sum(weights.values())
         staying = [
             host
             for host in weights
             if host in self.published and host_table.weight_cap[host] == NO_CAP
         ]
         if not staying:
-            return usual
+            return default_scale
         published_slots = sum(self.published[host] for host in staying)
         scale = published_slots / sum(weights[host] for host in staying)
-        return scale if usual / 2 < scale < 2 * usual else usual
+        return scale if default_scale / 2 < scale < 2 * default_scale else default_scale
 
 
 @dataclass(frozen=True, slots=True)
 class TableScope:
-    """Which hosts a table admits and which proxies it serves; None for all.
+    """The hosts that a table admits and the proxies that it serves; None means no restriction.
 
     Attributes:
         zones: Zones of its hosts.
@@ -105,7 +109,7 @@
 
 
 def build_tables(facts: StartFacts) -> list[RoutingTable]:
-    """Returns one table, and further ones for request classes that may not use every host."""
+    """Returns the complete tables, one for each distinct scope of the request classes."""
     tables: dict[TableScope, RoutingTable] = {}
     for request_class, class_facts in enumerate(facts.request_classes):
         for scope in table_scopes(class_facts, facts.zones):
@@ -118,7 +122,7 @@
 
 
 def table_scopes(class_facts: RequestClassFacts, zones: int) -> list[TableScope]:
-    """Returns the scopes of a request class: one, or one a zone if requests stay in their zone."""
+    """Returns the scopes of a request class: one, or one per zone if requests stay in zone."""
     if not class_facts.stays_in_zone:
         return [TableScope(class_facts.zones, class_facts.machine_types, None)]
     scopes = []
--- a/plankroute/policy/warmup.py
+++ b/plankroute/policy/warmup.py
@@ -67,7 +67,7 @@
             return 0.0
         failed = host_table.failure_ratio
         bearable = share * (1 - failed) / (1 + HERD_FACTOR * failed**3)
-        return max(MIN_CAPACITY_SHARE, bearable) * host_table.usual_weight_of_type(index)
+        return max(MIN_CAPACITY_SHARE, bearable) * host_table.mean_weight_of_type(index)
 
 
 def is_overloaded(host_table: HostTable, share: float) -> bool:
