--- a/plankroute/policy/health.py
+++ b/plankroute/policy/health.py
@@ -1,9 +1,9 @@
-"""Outlier detection: a suspected host is checked, ejected if it fails its checks, and readmitted.
+"""Outlier detection: checks suspected hosts, ejects those that fail and readmits them later.
 
-A host is suspected by its symptoms, whatever their cause: it fails far more attempts than the
-others, or no statistics of it arrive while those of others do. Only a failed health check ejects a
-suspect. An ejected host is readmitted after good checks in a row, and needs twice as many after
-each ejection.
+A host is suspected by its symptoms, whatever their cause: it fails far more attempts than the other
+hosts, or it has no statistics while other hosts do. Only a failed health check ejects a suspected
+host. An ejected host is readmitted after a number of consecutive good checks, which doubles with
+each readmission.
 """
 
 from plankroute.events import events
@@ -14,26 +14,27 @@
 from plankroute.state.scheduler import Scheduler
 from plankroute.units import SECOND_US
 
-# A host is an outlier by its failures if its failure ratio exceeds the usual one, times this, ...
-# (where all fail much, a host that fails more is only fuller)
-USUAL_FAILURES_FACTOR = 3.0
-# ... by more than this ...
+# A host is an outlier by its failures if its failure ratio exceeds this multiple of the reference
+# ratio by more than MAX_EXCESS_FAILURE_RATIO, with at least MIN_FAILURES failed attempts. It is a
+# multiple because, where all hosts fail often, a host that fails more is only more heavily loaded.
+FAILURE_RATIO_FACTOR = 3.0
+# Margin of the failure ratio over that multiple.
 MAX_EXCESS_FAILURE_RATIO = 0.25
-# ... and it has failed this often, as a decayed sum: together they are beyond chance.
+# Minimum failed attempts, as a decayed sum. Together with the margin, this rules out chance.
 MIN_FAILURES = 3.0
-# Attempts that are expected of a host without any being reported: by chance one time in fifty, and
-# all that follows is a health check.
+# Expected but unreported attempts above which a host counts as silent. By chance this happens one
+# time in fifty, and the only consequence is a health check.
 MAX_SILENT_ATTEMPTS = 4.0
-# Bad checks in a row that eject a suspect.
+# Consecutive bad checks that eject a suspected host.
 BAD_CHECKS_TO_EJECT = 2
-# Good checks in a row that readmit it the first time.
+# Consecutive good checks that the first readmission requires.
 GOOD_CHECKS_TO_READMIT = 2
-# Bound on these as they double: half a minute of checks.
+# Upper bound on the required good checks as they double: half a minute of checks.
 MAX_REQUIRED_CHECKS = 32
-# Share of the ready hosts that may be ejected: two zones of three may be out of reach, and fewer
-# hosts would only be overloaded.
+# Maximum share of the ready hosts that may be ejected. Two of three zones may be unreachable; if
+# fewer hosts were left, they would only be overloaded.
 MAX_EJECTED_SHARE = 0.75
-# Time after a mass disconnect in which one check that does not get through is enough.
+# Time after a mass disconnect in which a single health check that cannot reach a host ejects it.
 PARTITION_SUSPICION_US = 3 * SECOND_US
 
 
@@ -41,10 +42,10 @@
     """Health checks and ejection of one host.
 
     Attributes:
-        good_checks: Good checks in a row.
-        bad_checks: Bad checks in a row.
-        required_checks: Good checks in a row that the next readmission takes.
-        ejected_at_us: When the host was last ejected.
+        good_checks: Number of consecutive good checks.
+        bad_checks: Number of consecutive bad checks.
+        required_checks: Consecutive good checks that the next readmission requires.
+        ejected_at_us: When the host was last ejected; set at creation if it never was.
     """
 
     def __init__(
@@ -60,11 +61,11 @@
         self.ejected_at_us = scheduler.now
 
     def request_check(self) -> None:
-        """Asks for a health check of this host."""
+        """Requests a health check of this host."""
         self.scheduler.out += self.host_table.health_checks([self.index])
 
     def on_check(self, result: events.HealthCheckResult) -> bool:
-        """Takes in the result of a health check; returns whether it ejects the host."""
+        """Handles the result of a health check; returns whether it ejected the host."""
         host_table = self.host_table
         match result.outcome:
             case HealthCheckOutcome.ANSWERED:
@@ -75,7 +76,7 @@
                 host_table.health_check_rate[self.index] = SECOND_US / max(1, result.elapsed_us)
                 return False
             case HealthCheckOutcome.REJECTED:
-                return False  # an overloaded host that sheds load may be healthy
+                return False  # a host that sheds load under overload may be healthy
         self.good_checks = 0
         self.bad_checks += 1
         host_table.unreachable[self.index] = result.outcome is HealthCheckOutcome.UNREACHABLE
@@ -83,7 +84,12 @@
         return self._eject_or_check_again()
 
     def eject_on_prior_knowledge(self, required_checks: int) -> None:
-        """Ejects a host that was known as ejected; it is readmitted as it would have been then."""
+        """Ejects a host that the source of the prior knowledge had ejected.
+
+        Args:
+            required_checks: Consecutive good checks that the source required for readmission; they
+                are required here too, within bounds.
+        """
         self.host_table.ejected[self.index] = True
         self.ejected_at_us = self.scheduler.now
         self.prior.ejected.add(self.index)
@@ -92,7 +98,7 @@
         )
 
     def needs_check(self) -> bool:
-        """Whether the host is to be checked this turn."""
+        """Whether the host needs a health check in this turn."""
         host_table = self.host_table
         return (
             host_table.always_health_check
@@ -103,7 +109,7 @@
     def readmit_if_recovered(self) -> bool:
         """Readmits the ejected host after enough good checks; returns whether it did.
 
-        Where the settings permit no checks it waits for as many seconds instead.
+        If the settings forbid health checks, the host is readmitted after as many seconds instead.
         """
         host_table = self.host_table
         waited_us = self.scheduler.now - self.ejected_at_us
@@ -118,15 +124,23 @@
         self.required_checks = min(MAX_REQUIRED_CHECKS, self.required_checks * 2)
         return True
 
-    def is_suspect(self, usual_failure_ratio: float) -> bool:
-        """Whether the host is an outlier, compared to a usual failure ratio."""
+    def is_suspect(self, reference_ratio: float) -> bool:
+        """Whether the host is suspected: it is an outlier by its failures, or silent.
+
+        Args:
+            reference_ratio: Failure ratio of the hosts that the host is compared with.
+        """
         failed = self.host_table.failed[self.index]
-        allowed_ratio = USUAL_FAILURES_FACTOR * usual_failure_ratio + MAX_EXCESS_FAILURE_RATIO
+        allowed_ratio = FAILURE_RATIO_FACTOR * reference_ratio + MAX_EXCESS_FAILURE_RATIO
         excess = failed - allowed_ratio * self.host_table.attempts[self.index]
         return (excess > 0 and failed >= MIN_FAILURES) or self.is_silent()
 
     def is_silent(self) -> bool:
-        """Whether no statistics of the host arrive, unlike others, although its weight is high."""
+        """Whether the host has no statistics although its weight is high and other hosts do.
+
+        Always false for hosts outside the subset, which get no requests by this controller's
+        tables.
+        """
         host_table = self.host_table
         weight = host_table.capped_weight(self.index)
         attempts_per_us = host_table.attempts_per_weight * weight * LN_2 / STATS_HALF_LIFE_US
@@ -135,29 +149,35 @@
         return is_expected and self.index not in host_table.outside_subset
 
     def _eject_or_check_again(self) -> bool:
-        """After a bad check: ejects a suspect that failed enough, or asks for the next check."""
+        """Handles a bad check: ejects a suspected host, or requests a further check if needed.
+
+        Returns:
+            Whether the host was ejected.
+        """
         host_table = self.host_table
         if self.index not in host_table.eligible():
             return False
-        is_cut_off = self._is_cut_off()
-        needed = 1 if is_cut_off or self.is_silent() else BAD_CHECKS_TO_EJECT
-        if self.bad_checks < needed:
+        may_be_partitioned = self._may_be_partitioned()
+        required_bad_checks = 1 if may_be_partitioned or self.is_silent() else BAD_CHECKS_TO_EJECT
+        if self.bad_checks < required_bad_checks:
             if self.is_suspect(host_table.best_failure_ratio):
                 self.request_check()
             return False
         if not host_table.may_eject_another(MAX_EJECTED_SHARE):
             return False
-        # In an overload health checks get through, and a host that fails more is but fuller.
-        usual = host_table.failure_ratio
+        # A host that health checks still reach is compared with the mean of all hosts: in an
+        # overload, a host that fails more is only more heavily loaded.
+        reference_ratio = host_table.failure_ratio
         if host_table.unreachable[self.index]:
-            usual = host_table.best_failure_ratio
-        if not (is_cut_off or self.is_suspect(usual)):
+            reference_ratio = host_table.best_failure_ratio
+        if not (may_be_partitioned or self.is_suspect(reference_ratio)):
             return False
         host_table.ejected[self.index] = True
         self.ejected_at_us = self.scheduler.now
         self.prior.ejected.discard(self.index)
         return True
 
-    def _is_cut_off(self) -> bool:
+    def _may_be_partitioned(self) -> bool:
+        """Whether the host is unreachable shortly after a mass disconnect."""
         age_us = self.scheduler.now - self.host_table.mass_disconnect_at_us
         return self.host_table.unreachable[self.index] and age_us < PARTITION_SUSPICION_US
--- a/plankroute/policy/weights.py
+++ b/plankroute/policy/weights.py
@@ -1,9 +1,9 @@
-"""Weights: a leaky PID controller on fill moves the weight of each host once a turn.
+"""Weights: a leaky PID controller adjusts the weight of each host once per turn by its fill.
 
-The method is Howard et al., "Control Simulation for an ESnet-JLab FPGA Accelerated Transport Load
-Balancer"; docs/design.md has what is kept of it, what is changed and why. The error of a host is
-the mean fill less its own fill. Statistics trail the published slots, so a weight stays near the
-slot that is in force.
+The method is that of Howard et al., "Control Simulation for an ESnet-JLab FPGA Accelerated
+Transport Load Balancer"; docs/design.md states what was adopted, what was changed and why. The
+error of a host is the mean fill minus its own fill. Statistics lag behind the published slots, so a
+weight is kept close to the slot that is in force.
 """
 
 from dataclasses import dataclass
@@ -18,44 +18,47 @@
 from plankroute.state.scheduler import Actor, Scheduler, Tick
 from plankroute.units import SECOND_US
 
-# Gains of the PID controller (docs/design.md, gains). Fill is that of the present weight, so late
-# statistics bound the gains less than in the source of the method.
+# Gains of the PID controller (docs/design.md, gains). Fill is computed for the current weight, so
+# late statistics limit the gains less than in the original method.
 PROPORTIONAL_GAIN = 0.12
 INTEGRAL_GAIN = 0.01
 DERIVATIVE_GAIN = 0.02
-# Part of the integral that leaks away a turn: the design's value.
+# Share of the integral that is removed per turn (leaky integrator).
 INTEGRAL_LEAK = 0.10
-# Factor from the controller's output to weight, in mean weights: the design's value.
+# Factor from the PID output to a change of weight, in units of the mean weight.
 OUTPUT_SCALE = 4
-# Additional gain in the first turn where the list gives no sizes, so that all is to be learned; it
-# falls with the number of the turn (docs/design.md, eagerness).
+# Additional gain in the first turn if the endpoint list states no host sizes, so that all weights
+# have to be learned. It is divided by the number of the turn (docs/design.md, eagerness).
 FIRST_TURN_GAIN = 6.0
-# Turn to go on from where weights were taken over from old tables: those have learned already.
+# Turn number to continue from if weights were taken over from old tables, which are already
+# adjusted to the hosts.
 TURN_AFTER_OLD_TABLES = 6
-# How far a weight may be ahead of its published slot, as a part of it (docs/design.md).
+# Maximum lead: how far a weight may deviate from its published slot, relative to the slot
+# (docs/design.md).
 MAX_LEAD = 0.6
-# The same where a turn can not write all slots: a longer lead makes weights swing between zones
+# The same if a turn cannot write all slots: a greater lead makes weights oscillate between zones
 # (docs/incidents/full-size.md).
 MAX_LEAD_CONSTRAINED = 0.3
-# The lead covers the least change that is worth its line times this: a shorter one would keep a
-# slot forever. See docs/design.md.
+# Minimum lead, as a multiple of the smallest slot change that is worth its line: with a smaller
+# lead, a slot would never change (docs/design.md).
 LEAD_OVER_MIN_CHANGE = 1.2
-# Fill from which on a host that falls silent counts as still overloaded and not as idle: a stress
-# of three times the mean.
+# Fill above which a host without new statistics counts as still overloaded instead of idle. It
+# corresponds to a load of three times the mean.
 STALLED_FILL = 0.75
-# Turns keep this far behind the statistics that come together.
+# Delay from the start of a round of statistics to the turn that uses them.
 LAG_BEHIND_STATS_US = SECOND_US // 10
 
 
 @dataclass(frozen=True, slots=True)
 class TurnScale:
-    """What the weights of a turn are scaled by.
+    """Quantities that scale the weight changes of one turn.
 
     Attributes:
         mean_fill: Mean fill of the hosts that have one.
         mean_weight: Mean weight of the eligible hosts.
-        gain: Factor on gains and leads; over 1 in the first turns.
-        lead: How far a weight may be ahead of its published slot, before the gain.
+        gain: Factor on the PID output and on the lead; above 1 in the first turns if the endpoint
+            list states no host sizes.
+        lead: Maximum deviation of a weight from its published slot, before the gain.
     """
 
     mean_fill: float
@@ -65,7 +68,7 @@
 
 
 class WeightController(Actor[Tick]):
-    """Moves the weights of all eligible hosts once a turn."""
+    """Adjusts the weights of all eligible hosts once per turn."""
 
     def __init__(
         self,
@@ -81,14 +84,14 @@
         self.prior = prior
         self.first_weights = first_weights
         self.turns = 0
-        # Controllers should not take their turns in step.
+        # Random, so that the controllers do not all run their turns at the same time.
         self.first_us = int(TURN_US * (0.5 + scheduler.random() / 2))
 
     def pause_us(self) -> int:
-        """Returns the time to the next turn.
+        """Returns the time to the next turn, in microseconds.
 
-        Guards against statistics that wait up to a turn: turns keep just behind those that come
-        together.
+        Turns are aligned to run shortly after each round of statistics; otherwise, statistics could
+        wait for up to a turn.
         """
         if self.host_table.stats_burst_us <= 0:
             return TURN_US
@@ -97,20 +100,20 @@
         return TURN_US - ((behind_us + half) % TURN_US - half)
 
     def handle(self, event: Tick) -> None:
-        """Decides the first weights if proxies wait for them; moves the weights on a turn."""
+        """Decides the first weights if proxies wait for them; adjusts the weights on a turn."""
         outside_subset = self.host_table.outside_subset
         eligible = [host for host in self.host_table.eligible() if host not in outside_subset]
         if self.first_weights.is_waiting and eligible:
             self._decide_first_weights(eligible)
         if event is Tick.TURN and not self.first_weights.is_waiting:
-            self._move_weights(eligible)
+            self._adjust_weights(eligible)
 
     def _decide_first_weights(self, eligible: list[int]) -> None:
         now = self.scheduler.now
         if self.first_weights.try_decide(self.host_table, self.prior, eligible, now):
             self.turns = TURN_AFTER_OLD_TABLES if self.first_weights.from_old_tables else 0
 
-    def _move_weights(self, eligible: list[int]) -> None:
+    def _adjust_weights(self, eligible: list[int]) -> None:
         host_table = self.host_table
         fill_of = fills(host_table, self.tables, eligible)
         if not fill_of or not any(host_table.heard_since_turn[host] for host in eligible):
@@ -118,9 +121,9 @@
         self.turns += 1
         scale = self._turn_scale(eligible, fill_of)
         for host in eligible:
-            # No statistics, no error: hosts without new ones count as average, so the weights
-            # of a controller that hears nothing stay. A stalled host is silent because it still is
-            # stalled.
+            # A host without new statistics has an error of 0, so a controller that gets no
+            # statistics keeps its weights. The exception is a stalled host, which has no new
+            # statistics because it is still stalled.
             fill = fill_of.get(host)
             is_stalled = fill is not None and fill > STALLED_FILL
             error = 0.0
@@ -141,7 +144,7 @@
         return TurnScale(mean_fill, mean_weight, gain, lead)
 
     def _pid_output(self, host: int, error: float) -> float:
-        """Returns the controller's output; only new statistics have a derivative."""
+        """Returns the output of the PID controller; the derivative is 0 without new statistics."""
         host_table = self.host_table
         change = 0.0
         host_table.integral[host] = host_table.integral[host] * (1 - INTEGRAL_LEAK) + error
@@ -158,14 +161,14 @@
         )
 
     def _bounded_weight(self, host: int, output: float, scale: TurnScale) -> float:
-        """Returns the new weight, within the floor and, for a warm host, near its published slot.
+        """Returns the new weight: at least the floor and, for a warm host, close to its slot.
 
-        Guards against a weight that runs on while its slot waits: statistics are of the published
-        slot.
+        The bound prevents a weight from running away while its slot waits to be written, since the
+        statistics are those of the published slot.
         """
         host_table = self.host_table
-        moved = host_table.weight[host] + OUTPUT_SCALE * scale.mean_weight * scale.gain * output
-        weight = max(moved, WEIGHT_FLOOR * scale.mean_weight)
+        adjusted = host_table.weight[host] + OUTPUT_SCALE * scale.mean_weight * scale.gain * output
+        weight = max(adjusted, WEIGHT_FLOOR * scale.mean_weight)
         published = host_table.effective_weight[host]
         if host_table.weight_cap[host] != NO_CAP or not published:
             return weight
--- a/tests/policy/test_outlier_detection.py
+++ b/tests/policy/test_outlier_detection.py
@@ -64,7 +64,7 @@
         feed(bench, 1, skip=tuple(range(100, 106)))
     assert bench.lines[0].keys() == set(range(106, 112))
     ejected = bench.controller.host_table.ejected
-    monkeypatch.setattr(HostHealth, "is_suspect", lambda self, usual: True)
+    monkeypatch.setattr(HostHealth, "is_suspect", lambda self, reference_ratio: True)
     for others, spared in ((9, False), (8, True)):
         ejected[:] = [True] * others + [False] * (12 - others)
         bench.give(
