--- a/plankroute/policy/admission.py
+++ b/plankroute/policy/admission.py
@@ -1,8 +1,7 @@
-"""Admission control: limits what proxies admit while answers are late, table by table.
+"""Admission control: limits what proxies admit while responses are late, table by table.
 
-Load is shed early, so that the requests which are admitted are answered in time. No limit falls
-below the part of the requests that is served just now. Where proxies heed no limits nothing is
-decided.
+Load is shed early, so that the admitted requests are answered in time. No limit falls below the
+share of requests that is currently served. If proxies do not support limits, none are set.
 """
 
 import math
@@ -20,35 +19,35 @@
 from plankroute.state.scheduler import Actor, Scheduler, Tick
 from plankroute.units import SECOND_US
 
-# Limits that admit everything, by their unit; the rate is one that no proxy reaches.
+# Limits that admit everything, by unit; no proxy reaches the rate.
 OPEN_LIMITS = {AdmissionUnit.NONE: 1.0, AdmissionUnit.SHARE: 1.0, AdmissionUnit.RATE: 1e6}
-# A proxy retries only on proof that the first attempt never ran: other retries doubled the load of
-# late hosts (docs/design.md).
+# A proxy retries only if the first attempt was certainly not executed: other retries doubled the
+# load of late hosts (docs/design.md).
 RETRY_POLICY = commands.RetryPolicy.IF_NOT_EXECUTED
-# Mean latency, in latency objectives, beyond which load is shed: a mean near the objective leaves a
-# long tail past it. See docs/design.md.
-LATE_MEAN = 0.55
-# Mean latency below which more is admitted (docs/design.md).
-TIMELY_MEAN = 0.45
-# Factors a turn on the admitted share: quick enough for a burst, slow enough for late reports. See
-# docs/design.md.
-DECREASE = 0.7
-INCREASE = 1.15
-# The least share that is admitted.
+# Mean latency, as a share of the latency objective, above which load is shed: if the mean is close
+# to the objective, a long tail of responses exceeds it (docs/design.md).
+DECREASE_LATENCY = 0.55
+# Mean latency, as a share of the latency objective, below which more is admitted (docs/design.md).
+INCREASE_LATENCY = 0.45
+# Factors per turn on the admitted share: fast enough for a burst of requests, slow enough for
+# reports that arrive late (docs/design.md).
+DECREASE_FACTOR = 0.7
+INCREASE_FACTOR = 1.15
+# Minimum admitted share.
 MIN_SHARE = 0.1
-# Turns until a limit shows in the statistics: a decrease is counted from the share that was then in
-# force.
-TURNS_OF_DELAY = 4
-# Relative changes of a limit that are not worth their lines.
+# Turns until the effect of a limit shows in the statistics. A decrease is relative to the share
+# that was set this many turns ago, which the statistics reflect.
+FEEDBACK_DELAY_TURNS = 4
+# Relative changes of a limit up to this size are not worth their lines.
 MIN_CHANGE = 0.05
-# The least rate a second at a proxy.
+# Minimum rate limit of a proxy, in requests per second.
 MIN_RATE = 0.1
 
 
 def open_limits(
     tables: Sequence[PublishedTable], unit: AdmissionUnit
 ) -> list[commands.SetAdmissionLimit]:
-    """Returns the commands that start each table with all requests admitted."""
+    """Returns the commands that initialize each table to admit all requests."""
     return [
         commands.SetAdmissionLimit(table.number, None, OPEN_LIMITS[unit], RETRY_POLICY)
         for table in tables
@@ -57,17 +56,17 @@
 
 @dataclass(slots=True)
 class TableLoad:
-    """What the proxies of a table met since the last turn.
+    """Load of the proxies of one table since the last turn.
 
     Attributes:
         shares: Admitted shares of the last turns, the newest last.
-        attempts: Attempts.
-        failed: Failed attempts.
-        latency: Sum of the latencies of served requests, in latency objectives.
+        attempts: Number of attempts.
+        failed: Number of failed attempts.
+        latency: Sum of the latencies of served requests, in units of the latency objective.
     """
 
     shares: deque[float] = field(
-        default_factory=lambda: deque([1.0] * TURNS_OF_DELAY, TURNS_OF_DELAY)
+        default_factory=lambda: deque([1.0] * FEEDBACK_DELAY_TURNS, FEEDBACK_DELAY_TURNS)
     )
     attempts: float = 0.0
     failed: float = 0.0
@@ -76,27 +75,28 @@
     def next_share(self, served_share: float) -> float:
         """Returns the share to admit from this turn on.
 
-        Turn by turn: in a decayed sum the many late requests of an overload would outlast it.
+        Only statistics of the last turn count: in a decayed sum, the many late requests of an
+        overload would still count after the overload has ended.
 
         Args:
-            served_share: Part of the arrived requests that was served in the last turns.
+            served_share: Served requests divided by arrived requests, over the last turns.
         """
         share = self.shares[-1]
         share_in_force = self.shares[0]
         attempts = max(1.0, self.attempts)
         success_ratio = 1 - self.failed / attempts
         served = attempts - self.failed
-        mean_latency = self.latency / served if served else TIMELY_MEAN
-        if mean_latency > LATE_MEAN:
+        mean_latency = self.latency / served if served else INCREASE_LATENCY
+        if mean_latency > DECREASE_LATENCY:
             floor = max(MIN_SHARE, min(1.0, served_share))
-            decreased = min(share, share_in_force * min(DECREASE, success_ratio))
+            decreased = min(share, share_in_force * min(DECREASE_FACTOR, success_ratio))
             return max(floor, decreased)
-        if mean_latency < TIMELY_MEAN:
-            return min(1.0, share * INCREASE)
+        if mean_latency < INCREASE_LATENCY:
+            return min(1.0, share * INCREASE_FACTOR)
         return share
 
     def start_turn(self, share: float) -> None:
-        """Notes the admitted share and starts the sums of the next turn."""
+        """Records the admitted share and resets the sums for the next turn."""
         self.shares.append(share)
         self.attempts = 0.0
         self.failed = 0.0
@@ -104,7 +104,7 @@
 
 
 class AdmissionController(Actor[events.ProxyRequestStats | events.HostRequestStats | Tick]):
-    """Sets the admission limits of all tables once a turn."""
+    """Sets the admission limits of all tables once per turn."""
 
     def __init__(
         self,
@@ -122,14 +122,16 @@
         if self.unit is not AdmissionUnit.NONE:
             self.tables = publisher.tables
         self.loads = [TableLoad() for _ in self.tables]
-        # Requests of the last turns over all tables: a sum that is halved each turn.
+        # Requests of the last turns over all tables, as sums that are halved each turn.
         self.served = 0.0
         self.arrived = 0.0
-        self.limits: dict[tuple[int, int], float] = {}  # by table and request class, if ever set
-        self.rates: dict[tuple[int, int], float] = {}  # a second, by proxy and request class
+        # By table and request class; only the limits that were set at least once.
+        self.limits: dict[tuple[int, int], float] = {}
+        # Requests per second, by proxy and request class.
+        self.rates: dict[tuple[int, int], float] = {}
 
     def handle(self, event: events.ProxyRequestStats | events.HostRequestStats | Tick) -> None:
-        """Takes in request statistics; sets limits on a turn."""
+        """Handles request statistics; sets the limits on a turn."""
         match event:
             case events.ProxyRequestStats():
                 self.on_proxy_stats(event)
@@ -139,7 +141,7 @@
                 self.on_turn()
 
     def on_proxy_stats(self, stats: events.ProxyRequestStats) -> None:
-        """Follows the rate at which requests of a class arrive at a proxy."""
+        """Updates the rate at which requests of a class arrive at a proxy."""
         if stats.span_us <= 0 or not self.tables:
             return
         self.arrived += stats.arrived
@@ -148,10 +150,10 @@
         self.rates[key] = (self.rates.get(key, rate) + rate) / 2
 
     def on_host_stats(self, stats: events.HostRequestStats) -> None:
-        """Adds what proxies met at a host to the load of their tables.
+        """Adds the attempts of proxies at a host to the load of their tables.
 
-        A table goes by what its own proxies met: a zone behind a network partition may serve its
-        own requests all the same.
+        The load of a table includes the attempts of its own proxies only: a zone behind a network
+        partition may still serve the requests of its own proxies.
         """
         host = self.host_table.index_of[stats.host]
         served = stats.attempts - stats.failed
@@ -167,7 +169,7 @@
                 )
 
     def on_turn(self) -> None:
-        """Sets the limits of all tables."""
+        """Updates the limits of all tables."""
         served_share = self.served / max(1.0, self.arrived)
         for table, load in zip(self.tables, self.loads, strict=True):
             share = load.next_share(served_share)
@@ -178,16 +180,16 @@
         self.arrived = self.arrived / 2
 
     def _set_limit(self, table: PublishedTable, request_class: int, share: float) -> None:
-        """Has a limit written if it has changed by enough, or admits everything again."""
+        """Sends a limit to the publisher if it changed enough, or if it admits everything again."""
         limit = self.open_limit
         if share < 1 and self.unit is AdmissionUnit.SHARE:
             limit = share
         elif share < 1:
             limit = self._rate_limit(table, request_class, share)
         key = (table.number, request_class)
-        before = self.limits.get(key, self.open_limit)
-        has_moved = abs(limit - before) > MIN_CHANGE * before
-        has_opened = limit == self.open_limit and before != self.open_limit
+        previous = self.limits.get(key, self.open_limit)
+        has_moved = abs(limit - previous) > MIN_CHANGE * previous
+        has_opened = limit == self.open_limit and previous != self.open_limit
         if has_moved or has_opened:
             self.limits[key] = limit
             command = commands.SetAdmissionLimit(
@@ -196,7 +198,7 @@
             self.scheduler.put(self.publisher, command)
 
     def _rate_limit(self, table: PublishedTable, request_class: int, share: float) -> float:
-        """Returns the rate at which every proxy is capped; proxies below it lose nothing."""
+        """Returns the rate limit of every proxy; proxies with a lower rate are not limited."""
         rates = [
             self.rates.get((proxy, request_class), 0.0)
             for proxy, zone in self.publisher.zone_of_proxy.items()
--- a/plankroute/policy/prior_knowledge.py
+++ b/plankroute/policy/prior_knowledge.py
@@ -1,8 +1,9 @@
-"""Prior knowledge of hosts: what an earlier run of this controller, or another controller, knew.
+"""Prior knowledge of hosts, from an earlier run of this controller or from another controller.
 
-It moves where the controller starts from and no more: own request statistics know better. Hosts
-that fail every request would otherwise get their full share again after a restart. Harm: a host
-that recovered meanwhile waits for its health checks, or grows back from a small weight.
+Prior knowledge only sets the starting point; the controller's own request statistics take
+precedence. Without it, hosts that fail every request would get their full share again after a
+restart. The drawback is that a host which has recovered in the meantime has to pass its health
+checks first, or grows from a small weight.
 """
 
 from dataclasses import dataclass, field
@@ -12,31 +13,32 @@
 from plankroute.state.host_statistics import HostStatistics
 from plankroute.units import SECOND_US
 
-# Half-life of what was known; faults of hosts last about so long.
+# Half-life of the certainty of prior knowledge; host faults last about this long.
 PRIOR_HALF_LIFE_US = 60 * SECOND_US
-# Knowledge of a fault counts while more than this of its certainty is left: one half-life.
+# Knowledge of a fault counts while its certainty is above this value, which is for one half-life.
 MIN_CERTAINTY = 0.5
-# Share of the ready hosts that prior knowledge alone may eject; beyond it the knowledge is wrong.
+# Maximum share of the ready hosts that may be ejected by prior knowledge alone. Knowledge that
+# would eject more is assumed to be wrong.
 MAX_EJECTED_SHARE = 1 / 3
-# Attempts, as a decayed sum, from which on own statistics of a host are compared to prior knowledge
-# and stand above it: as many as make a host suspect by its failures.
+# Attempts, as a decayed sum, from which on own statistics of a host take precedence over prior
+# knowledge and are compared with it. As many failed attempts are required to suspect a host.
 MIN_MEASURED_ATTEMPTS = 3.0
-# Contradictions from which on all prior knowledge is dropped if they outnumber the confirmations; a
-# single one may be chance.
+# Minimum number of contradictions at which all prior knowledge is dropped, if they outnumber the
+# confirmations. A single contradiction may be due to chance.
 MIN_CONTRADICTIONS = 2
 
 
 @dataclass(slots=True)
 class PriorKnowledge:
-    """Prior knowledge by host index, and how it compared to what the controller found out.
+    """Prior knowledge by host index, and how well it agrees with the controller's own findings.
 
     Attributes:
         weights: Weights to start from.
         unhealthy: Hosts that were known to fail.
         ejected: Hosts that are ejected on prior knowledge alone.
-        compared: Hosts whose prior knowledge has been compared.
-        confirmations: Comparisons that confirmed it.
-        contradictions: Comparisons that contradicted it.
+        compared: Hosts whose prior knowledge has been compared with own findings.
+        confirmations: Number of comparisons that confirmed the prior knowledge.
+        contradictions: Number of comparisons that contradicted it.
     """
 
     weights: dict[int, float] = field(default_factory=dict)
@@ -47,7 +49,7 @@
     contradictions: int = 0
 
     def record(self, index: int, event: events.HostPriorKnowledge) -> bool:
-        """Keeps the knowledge of a host; returns whether the host counts as unhealthy."""
+        """Stores the knowledge of a host; returns whether the host counts as unhealthy."""
         health_certainty = 0.5 ** (event.health_age_us / PRIOR_HALF_LIFE_US)
         capacity_certainty = 0.5 ** (event.capacity_age_us / PRIOR_HALF_LIFE_US)
         was_unhealthy = event.ejected or 2 * event.failed > event.attempts
@@ -62,15 +64,15 @@
         return is_unhealthy
 
     def discard(self, index: int) -> None:
-        """Drops what is known of a host that has restarted."""
+        """Discards the knowledge of a host that has restarted."""
         self.weights.pop(index, None)
         self.ejected.discard(index)
 
     def compare(self, statistics: HostStatistics, index: int, is_unhealthy: bool) -> None:
-        """Compares prior knowledge of a host to what the controller found out itself.
+        """Compares the prior knowledge of a host with the controller's own findings, once a host.
 
-        A healthy host that was known as healthy proves nothing. Guards against wrong knowledge: all
-        of it stands or falls together.
+        A healthy host that was known as healthy is no evidence, so it is not counted. If
+        contradictions outnumber confirmations, all prior knowledge is dropped as wrong.
         """
         confirms = is_unhealthy == (index in self.unhealthy)
         is_evidence = is_unhealthy or not confirms
@@ -84,7 +86,7 @@
             self._drop_all(statistics)
 
     def _drop_all(self, statistics: HostStatistics) -> None:
-        """Puts hosts where they would have started without prior knowledge."""
+        """Drops all prior knowledge; hosts get the state that they would have started with."""
         for host in self.ejected:
             statistics.ejected[host] = False
         for host in self.weights:
