--- a/plankroute/policy/first_weights.py
+++ b/plankroute/policy/first_weights.py
@@ -84,7 +84,7 @@
     def try_decide(
         self, host_table: HostTable, prior: PriorKnowledge, eligible: list[int], now: int
     ) -> bool:
-        """Sets the first weights once enough is known or the wait timed out; returns whether set."""
+        """Sets the first weights if enough is known or the wait timed out; returns whether set."""
         assert self.since_us is not None
         timeout_us = self.timeout_us if self.from_old_tables else MAX_CHECKS_WAIT_US
         has_timed_out = now - self.since_us > timeout_us
