--- a/plankroute/policy/binding.py
+++ b/plankroute/policy/binding.py
@@ -1,4 +1,4 @@
-"""Binding: puts proxies that wait on this controller's tables."""
+"""Binding: binds waiting proxies to the tables of this controller."""
 
 from collections.abc import Sequence
 
@@ -12,7 +12,7 @@
 
 
 class Binder:
-    """Binds proxies to complete tables, each once a connection and never without slots."""
+    """Binds proxies to complete tables, once per connection and not before any slot is set."""
 
     def __init__(
         self,
@@ -31,11 +31,12 @@
     def bind_waiting(self, withdrawn: set[int], slots_wait: bool) -> None:
         """Binds as many proxies as fit: waiting ones first, then those on interim tables.
 
-        Of those that wait, fresh ones and large ones go first.
+        Among the waiting proxies, those without older tables come first, then those with a higher
+        request rate. No proxy is bound while all tables are empty or first weights are undecided.
 
         Args:
-            withdrawn: Hosts that are withdrawn: an additional line each in a bind.
-            slots_wait: Whether binds may use the allowance of slots, which then wait.
+            withdrawn: Withdrawn hosts, each of which costs an additional line in a bind.
+            slots_wait: Whether slots wait, so that binds may use the whole allowance.
         """
         registry = self.registry
         has_slots = any(table.published for table in registry.tables)
@@ -48,16 +49,16 @@
             self._bind_from_interim_tables(withdrawn)
 
     def _bind_from_interim_tables(self, withdrawn: set[int]) -> None:
-        """Binds proxies on interim tables to complete ones, as many as these are meant for."""
+        """Binds proxies on interim tables to complete ones, up to the intended number of users."""
         registry = self.registry
         ready_count = len(self.host_table.ready())
-        joined = len(registry.zone_of_proxy)
-        max_users = self.subsetting.max_users(ready_count, self.flow.grace_slack_us, joined)
+        joined_count = len(registry.zone_of_proxy)
+        max_users = self.subsetting.max_users(ready_count, self.flow.grace_slack_us, joined_count)
         if len(registry.bound) >= max_users:
             return
-        rest = int(min(len(registry.interim), max_users - len(registry.bound)))
+        remaining = int(min(len(registry.interim), max_users - len(registry.bound)))
         by_rate = sorted(registry.interim, key=lambda proxy: -registry.interim[proxy])
-        self._bind_in_order(by_rate[:rest], withdrawn, self.flow.rebind_allowance)
+        self._bind_in_order(by_rate[:remaining], withdrawn, self.flow.rebind_allowance)
 
     def _bind_in_order(self, proxies: list[int], withdrawn: set[int], max_queued: float) -> None:
         registry = self.registry
@@ -76,9 +77,10 @@
 def reinstated_by_bind(
     registry: ProxyRegistry, host_table: HostTable, withdrawn: set[int], proxy: int
 ) -> set[int]:
-    """Returns the hosts that cost a second line in a bind of the proxy.
+    """Returns the hosts that a bind of the proxy reinstates, for a second line each.
 
-    A returning proxy may have withdrawn hosts by command of another controller.
+    For a returning proxy, this includes hosts that it may have withdrawn on command of another
+    controller.
     """
     if proxy in registry.returning:
         return withdrawn | host_table.possibly_withdrawn
@@ -93,19 +95,20 @@
     reinstated: set[int],
     max_queued: float,
 ) -> bool:
-    """Binds a proxy to tables if that fits; returns whether it did.
+    """Binds a proxy to tables if the channel has capacity; returns whether it did.
 
     Args:
         registry: Joined proxies and their channel.
-        flow: What the channel can take.
+        flow: Limits on queued lines.
         proxy: The proxy.
-        tables: One for each request class of the proxy's zone.
-        reinstated: Hosts that cost a second line.
-        max_queued: Lines that may be queued.
+        tables: The tables for the proxy's zone, which together serve all request classes.
+        reinstated: Hosts that cost a second line, see `reinstated_by_bind`.
+        max_queued: Maximum number of queued lines.
     """
     lines_of_tables = [table.bind_lines(reinstated) for table in tables]
     lines = sum(lines_of_tables) + registry.channel.message_overhead
-    # Guards against a table longer than binds may queue, which would never go; alone it does.
+    # A bind of more lines than `max_queued` would never fit. Up to the allowance, it is written
+    # once nothing else is queued.
     max_queued = max(max_queued, min(lines, flow.allowance))
     if lines > flow.available_lines(registry, max_queued):
         return False
--- a/plankroute/policy/composition.py
+++ b/plankroute/policy/composition.py
@@ -18,7 +18,7 @@
 # known to be out of date.
 LIST_RETRY_DELAY_US = 2 * SECOND_US
 # How often the publisher looks for work between turns; flow control says why.
-PUBLISHER_PULSE_US = flow_control.PULSE_US
+PUBLISHER_PULSE_US = flow_control.POLL_INTERVAL_US
 
 
 @dataclass(frozen=True, slots=True)
--- a/plankroute/policy/drains.py
+++ b/plankroute/policy/drains.py
@@ -1,8 +1,8 @@
-"""Drains: hosts that drain or were removed are withdrawn from the proxies before all else.
+"""Drains: withdraws hosts that drain or were removed from the proxies, before all other changes.
 
-Where one table holds the host, its line is removed there; proxies that are not bound yet, and all
-of them where several tables hold it, get a command to withdraw the host, once a connection. A
-withdrawn host is reinstated when it is ready again and no table names it.
+If one table holds the host, its slots are removed from that table. Proxies that are not bound yet,
+and all proxies if several tables hold the host, get a command to withdraw it, once per connection.
+A withdrawn host is reinstated when it is ready again and no table holds it.
 """
 
 from plankroute.events import commands, events
@@ -15,23 +15,23 @@
 from plankroute.state.published_table import Change, PublishedTable
 from plankroute.units import SECOND_US
 
-# Time for which removed hosts are remembered: proxies back from the longest network partitions may
-# still name them.
+# Time for which removed hosts are remembered: proxies that reconnect after the longest network
+# partitions may still use them.
 REMOVED_HOST_TTL_US = 60 * SECOND_US
-# Part of the drain grace left after the longest one-way delay in which binds are to be written:
-# those that fit replace the proxies' old tables and need no withdrawals before them.
-MAX_BIND_PART_OF_GRACE = 0.75
+# Share of the grace slack in which binds have to be written. Binds that are written in time replace
+# the old tables of the proxies, so that no withdrawals are needed before them.
+BIND_SHARE_OF_GRACE = 0.75
 
 
 class Drains:
-    """Hosts to withdraw, and those that are withdrawn.
+    """Tracks pending withdrawals and withdrawn hosts, and writes the withdrawals.
 
     Attributes:
-        withdrawn: Hosts that proxies have a command to withdraw.
-        pending: Hosts still to be withdrawn.
-        waiting_get_tables: Proxies that wait get tables at once, which replace theirs: they need no
-            withdrawals.
-        last_written_us: When a withdrawal was last written, or had to wait for acknowledgements.
+        withdrawn: Hosts that proxies were commanded to withdraw.
+        pending: Hosts with a pending withdrawal.
+        uses_interim_tables: Whether waiting proxies are bound to interim tables at once. These
+            replace the old tables, so no withdrawals are needed.
+        last_written_us: When a withdrawal was last written, or deferred for lack of capacity.
     """
 
     def __init__(
@@ -48,14 +48,15 @@
         self.flow = flow
         self.withdrawn: set[int] = set()
         self.pending: set[int] = set()
-        self.waiting_get_tables = False
+        self.uses_interim_tables = False
         self.last_written_us = -message_window_us
         self._last_sweep_us = -message_window_us
-        self._has_refused = False  # some did not fit into the last message
-        self._uninformed_since_us: int | None = None  # proxies wait that know of no removed hosts
+        self._has_deferred = False  # some withdrawals did not fit
+        # Time since which proxies wait that were not notified of the removed hosts.
+        self._unnotified_since_us: int | None = None
 
     def on_entry(self, entry: events.HostEntry) -> None:
-        """Notes whether a host of the endpoint list is to be withdrawn."""
+        """Adds or discards the pending withdrawal of a host by its entry in the endpoint list."""
         index = self.host_table.index_of[entry.host]
         if self.host_table.state[index] is HostState.READY:
             self.pending.discard(index)
@@ -63,36 +64,38 @@
             self.pending.add(index)
 
     def on_proxy_joined(self) -> None:
-        """Notes that a proxy waits which may name removed hosts."""
+        """Records that a proxy waits which may use removed hosts."""
         now = self.registry.scheduler.now
-        self._uninformed_since_us = self._uninformed_since_us or now
+        self._unnotified_since_us = self._unnotified_since_us or now
 
     def sweep(self) -> None:
-        """Withdraws all removed hosts at proxies that wait, where binding them would take too long.
+        """Withdraws all removed hosts from waiting proxies if binding these would take too long.
 
-        Proxies that join may name hosts that were removed before. A bind settles that.
+        Proxies that join may use hosts that were removed earlier. A bind replaces their tables, so
+        that the withdrawals are not needed.
         """
         registry = self.registry
         now = self.registry.scheduler.now
         if not registry.unbound:
-            self._uninformed_since_us = None
-        if self._uninformed_since_us is None or self.waiting_get_tables:
+            self._unnotified_since_us = None
+        if self._unnotified_since_us is None or self.uses_interim_tables:
             return
-        if now - self._last_sweep_us < self.flow.max_gap_us:
+        if now - self._last_sweep_us < self.flow.max_batch_delay_us:
             return
-        if self.first_weights.is_waiting or not self.can_bind_in_time(self._uninformed_since_us):
+        if self.first_weights.is_waiting or not self.can_bind_in_time(self._unnotified_since_us):
             self.pending.update(
                 index
                 for index in self.host_table.index_of.values()
                 if self.host_table.state[index] is not HostState.READY
             )
-            self._uninformed_since_us = None
+            self._unnotified_since_us = None
             self._last_sweep_us = now
 
     def reinstate(self) -> None:
-        """Reinstates withdrawn hosts that are ready again, once no table names them.
+        """Reinstates withdrawn hosts that are ready again, once no table holds them.
 
-        A cold host stays withdrawn while proxies on older tables may name it too.
+        A cold host stays withdrawn while proxies are unbound, because their older tables may hold
+        it.
         """
         registry = self.registry
         host_table = self.host_table
@@ -110,36 +113,37 @@
     def must_write_now(self, budget: float) -> bool:
         """Whether withdrawals are written although the channel is busy.
 
-        The first go at once; those that were refused go when all of them fit.
+        They are written at once if none was written recently. Withdrawals that were deferred are
+        also written as soon as all of them fit.
         """
-        if self._has_refused and sum(map(self.withdrawal_lines, self.pending)) <= budget:
+        if self._has_deferred and sum(map(self.withdrawal_lines, self.pending)) <= budget:
             return True
         since_us = self.registry.scheduler.now - self.last_written_us
-        return bool(self.pending) and since_us >= self.flow.max_gap_us
+        return bool(self.pending) and since_us >= self.flow.max_batch_delay_us
 
     def write(self, budget: float) -> float:
-        """Writes the pending withdrawals that fit, the newest first; returns the lines left."""
-        for host in sorted(self.pending, key=self._urgency):
+        """Writes the pending withdrawals that fit, newest first; returns the remaining budget."""
+        for host in sorted(self.pending, key=self._withdrawal_order):
             self.last_written_us = self.registry.scheduler.now
             budget -= self.withdraw(host, budget)
-        self._has_refused = bool(self.pending)
+        self._has_deferred = bool(self.pending)
         return budget
 
     def withdraw(self, host: int, budget: float) -> int:
-        """Withdraws a host if that fits; returns the lines that it took."""
+        """Withdraws a host if the lines fit; returns the lines written, 0 if it is deferred."""
         registry = self.registry
         host_table = self.host_table
         tables = registry.tables_with(host)
         lines = self.withdrawal_lines(host)
         if lines > budget:
-            return 0  # it has to wait for acknowledgements
+            return 0  # deferred until acknowledgements free capacity
         self.pending.discard(host)
-        shrinking: list[PublishedTable] = list(registry.interim_tables_with(host))
-        if len(tables) == 1 or self.waiting_get_tables:
-            shrinking += tables
-        for table in shrinking:
+        tables_to_update: list[PublishedTable] = list(registry.interim_tables_with(host))
+        if len(tables) == 1 or self.uses_interim_tables:
+            tables_to_update += tables
+        for table in tables_to_update:
             write_slot(registry, host_table, Change(0.0, True, table, host, 0), budget)
-        if self.waiting_get_tables:
+        if self.uses_interim_tables:
             return lines
         proxies = registry.zone_of_proxy if len(tables) > 1 else registry.unbound
         recipients = registry.mark_notified(host, proxies)
@@ -150,37 +154,39 @@
         return lines
 
     def withdrawal_lines(self, host: int) -> int:
-        """Returns the lines that notify all proxies that may use a host of its withdrawal.
+        """Returns the number of lines that withdraw a host at all proxies that may use it.
 
-        These are the users of the one complete table that holds it and of interim tables that do,
-        whose slots just go, and the unbound proxies not yet notified; all joined proxies if several
-        complete tables hold it.
+        Each user of an interim table that holds the host costs a line, which removes its slots. In
+        addition, if several complete tables hold the host, every joined proxy costs a line.
+        Otherwise, the users of the complete table that holds it cost a line each, and so do unbound
+        proxies that were not notified yet. While interim tables are used, no proxy is notified:
+        only the users of tables that hold the host cost a line.
         """
         registry = self.registry
         tables = registry.tables_with(host)
         lines = sum(len(table.users) for table in registry.interim_tables_with(host))
-        if len(tables) > 1 and not self.waiting_get_tables:
+        if len(tables) > 1 and not self.uses_interim_tables:
             return lines + len(registry.zone_of_proxy)
         lines += sum(len(registry.users(table)) for table in tables)
-        return lines if self.waiting_get_tables else lines + registry.unnotified_lines(host)
+        return lines if self.uses_interim_tables else lines + registry.unnotified_lines(host)
 
     def can_bind_in_time(self, since_us: int) -> bool:
-        """Whether all waiting proxies can be bound to complete tables before the grace ends.
+        """Whether all waiting proxies can be bound to complete tables within the drain grace.
 
         Args:
-            since_us: Since when the grace runs.
+            since_us: Time at which the drain grace began.
         """
         registry = self.registry
         table_lines = sum(table.bind_lines(set()) for table in registry.tables)
         lines_per_bind = registry.channel.message_overhead + table_lines
         lines = registry.channel.unacknowledged + len(registry.unbound) * lines_per_bind
         waited_us = registry.scheduler.now - since_us
-        left_us = MAX_BIND_PART_OF_GRACE * self.flow.grace_slack_us - waited_us
-        lines_in_time = left_us * self.flow.lines_per_us
-        return bool(lines <= lines_in_time)
+        remaining_us = BIND_SHARE_OF_GRACE * self.flow.grace_slack_us - waited_us
+        lines_before_deadline = remaining_us * self.flow.lines_per_us
+        return bool(lines <= lines_before_deadline)
 
     def expired_hosts(self) -> list[int]:
-        """Returns the ids of removed hosts of which nothing has to be remembered any more."""
+        """Returns the ids of removed hosts that do not have to be remembered any longer."""
         host_table = self.host_table
         expiry_us = self.registry.scheduler.now - REMOVED_HOST_TTL_US
         return [
@@ -192,11 +198,11 @@
         ]
 
     def forget(self, index: int) -> None:
-        """Forgets a host: another one may get its index."""
+        """Discards the state of a host, whose index may be reused for another one."""
         self.withdrawn.discard(index)
         self.pending.discard(index)
 
-    def _urgency(self, host: int) -> tuple[bool, int, int]:
-        """Sorts hosts that tables name first, then those that were removed last."""
+    def _withdrawal_order(self, host: int) -> tuple[bool, int, int]:
+        """Returns a sort key: hosts that tables hold first, then the most recently removed."""
         is_in_no_table = not self.registry.tables_with(host)
         return is_in_no_table, -self.host_table.heard_at_us[host], host
--- a/plankroute/policy/interim_binding.py
+++ b/plankroute/policy/interim_binding.py
@@ -89,7 +89,7 @@
         """Writes the changes of interim tables that gather, if it is time for them and they fit."""
         registry = self.registry
         now = registry.scheduler.now
-        if not registry.interim or now - self._gathered_us < self.flow.max_gap_us:
+        if not registry.interim or now - self._gathered_us < self.flow.max_batch_delay_us:
             return
         overhead_lines = len(registry.interim) * registry.channel.message_overhead
         budget = self.flow.available_lines(registry, self.flow.allowance) - overhead_lines
--- a/plankroute/policy/publisher.py
+++ b/plankroute/policy/publisher.py
@@ -8,7 +8,7 @@
 from plankroute.policy.constants import TURN_US
 from plankroute.policy.drains import Drains
 from plankroute.policy.first_weights import FirstWeights
-from plankroute.policy.flow_control import PULSE_US, FlowControl, write_slot
+from plankroute.policy.flow_control import POLL_INTERVAL_US, FlowControl, write_slot
 from plankroute.policy.host_table import HostTable
 from plankroute.policy.interim_binding import InterimBinder, LimitKey
 from plankroute.policy.slot_changes import SlotChanges, TargetSlots
@@ -51,7 +51,7 @@
         channel = Channel(
             facts.message_overhead_lines,
             self.flow.lines_per_us,
-            facts.max_one_way_delay_us + PULSE_US,
+            facts.max_one_way_delay_us + POLL_INTERVAL_US,
         )
         # Where keys fall into slices the store keeps the tables.
         tables = [] if facts.slices else build_tables(facts)
@@ -144,7 +144,7 @@
             for zone in self.unbound_zones()
         )
         self.interim_binder.update()
-        self.drains.waiting_get_tables = self.interim_binder.is_active
+        self.drains.uses_interim_tables = self.interim_binder.is_active
         self.drains.reinstate()
         self.drains.sweep()
         if self.interim_binder.is_active:
@@ -169,14 +169,14 @@
         urgent += self.interim_binder.tables.urgent_changes()
         # A busy channel gathers changes, so that more lines share the overhead of a message.
         gathers = self.flow.is_busy(self) and since_us < self._gathering_us(urgent)
-        if since_us < self.flow.min_gap_us or (gathers and not must_write_now):
+        if since_us < self.flow.min_message_interval_us or (gathers and not must_write_now):
             return
         budget = self.drains.write(budget)
         for change in urgent:
             budget -= write_slot(self, self.host_table, change, budget)
         if is_turn:
             self.interim_binder.write_gathered()
-        has_time = is_turn and since_us >= 2 * self.flow.min_gap_us
+        has_time = is_turn and since_us >= 2 * self.flow.min_message_interval_us
         if self.channel.batch or (has_time and not self._proxies_may_lack_endpoints):
             ordinary_budget = self.flow.available_lines(self, self.flow.allowance) - overhead_lines
             ordinary = [change for change in changes if not change.urgent]
@@ -197,8 +197,8 @@
     def _gathering_us(self, urgent: list[Change]) -> float:
         """Returns how long a busy channel gathers changes: a turn at most for an ejected host."""
         if any(self.host_table.ejected[change.index] for change in urgent):
-            return min(self.flow.max_gap_us, TURN_US)
-        return self.flow.max_gap_us
+            return min(self.flow.max_batch_delay_us, TURN_US)
+        return self.flow.max_batch_delay_us
 
     def _write_ordinary(self, changes: list[Change], budget: float) -> None:
         """Writes admission limits, and the slots that move most if they are worth a message."""
