--- a/plankroute/policy/flow_control.py
+++ b/plankroute/policy/flow_control.py
@@ -40,12 +40,12 @@
         lines_per_us: Pace of the channel.
         backlog_cap: Maximum number of unacknowledged lines.
         grace_slack_us: Drain grace minus the longest one-way delay.
-        allowance: Maximum number of queued lines at which deferrable changes may be written.
+        allowance: Number of queued lines that deferrable changes must not exceed.
         urgent_lines_in_grace: Lines that the channel carries within the grace slack in addition to
             the share of deferrable changes.
-        bind_allowance: Maximum number of queued lines at which proxies may be bound.
-        rebind_allowance: Maximum number of queued lines at which proxies on interim tables may be
-            bound to complete ones.
+        bind_allowance: Number of queued lines that binds must not exceed.
+        rebind_allowance: Number of queued lines that binds of proxies on interim tables to complete
+            ones must not exceed.
         round_trip_lines: Lines that the channel carries from a message to its acknowledgement.
         line_price: Penalty of one line at every proxy, in the unit of a change's benefit.
         max_batch_delay_us: Longest time for which a busy channel batches changes into a message.
--- a/plankroute/policy/interim_binding.py
+++ b/plankroute/policy/interim_binding.py
@@ -1,9 +1,10 @@
-"""Interim binding: small tables for proxies that can not get complete ones within the drain grace.
+"""Interim binding: binds proxies to small tables if complete ones would exceed the drain grace.
 
-When most controllers fail, their proxies come to those that are left, with tables that may name
-hosts which drain or are gone. Complete tables for all of them would take the channel longer than
-the drain grace. Binding every proxy of the fleet to an interim table takes no more of the grace
-than ordinary lines leave. Their proxies are bound to complete tables afterwards.
+When most controllers fail, their proxies connect to the remaining ones, with tables that may hold
+draining or removed hosts. Writing complete tables to all of these proxies would take the channel
+longer than the drain grace. Interim tables are so small that all proxies of the fleet can be bound
+to them within the part of the grace slack that deferrable lines leave. Afterwards, the proxies are
+bound to complete tables.
 """
 
 from collections.abc import Sequence
@@ -24,19 +25,20 @@
 from plankroute.state.published_table import InterimTable
 
 LimitKey = tuple[int | None, tuple[int, ...] | None]
-"""The table and the request classes of an admission limit."""
+"""Identifies an admission limit by its table and request classes."""
 
-# Hosts in an interim table: with fewer, proxies would hang on single hosts; with more, they could
-# as well wait for complete tables.
-MIN_ROWS = 4
-MAX_ROWS = 24
+# Bounds on the number of hosts in an interim table. With fewer, proxies would depend on single
+# hosts; with more, proxies could as well wait for complete tables.
+MIN_HOSTS = 4
+MAX_HOSTS = 24
 
 
 class InterimBinder:
-    """Binds waiting proxies to interim tables, and keeps these tables right.
+    """Binds waiting proxies to interim tables, and keeps these tables up to date.
 
     Attributes:
-        is_active: Proxies that wait get interim tables, and no withdrawals meanwhile.
+        is_active: Whether waiting proxies are bound to interim tables. Meanwhile, they get no
+            withdrawals.
         tables: The interim tables.
     """
 
@@ -56,17 +58,17 @@
         self.drains = drains
         self.flow = flow
         self.is_active = False
-        # Without limits proxies admit everything and retry by default.
+        # Without limits, proxies admit everything and use their default retry policy.
         needs_limits = (
             facts.admission_unit is not AdmissionUnit.NONE or facts.default_retry != RETRY_POLICY
         )
         self.tables = InterimTables(registry, bases, host_table, drains, needs_limits)
-        self.tables.rows = self._rows_in_grace(facts)
+        self.tables.hosts_per_table = self._hosts_per_table_in_grace(facts)
         self._limits: dict[LimitKey, commands.SetAdmissionLimit] = {}
-        self._gathered_us = 0
+        self._last_batch_us = 0
 
     def update(self) -> None:
-        """Begins where proxies wait that can not be bound in time; ends when none waits."""
+        """Activates if waiting proxies cannot be bound in time; deactivates when none waits."""
         if not self.registry.unbound:
             self.is_active = False
         elif not self.is_active and self._is_needed():
@@ -75,7 +77,7 @@
                 self._fill_tables()
 
     def bind_waiting(self) -> None:
-        """Binds all waiting proxies that fit, those that have waited longest first."""
+        """Binds the waiting proxies that fit, those that have waited longest first."""
         registry = self.registry
         waiting = registry.unbound
         for proxy in sorted(waiting, key=lambda proxy: (waiting[proxy].since_us, proxy)):
@@ -85,25 +87,25 @@
                 break
             registry.enter_interim_tables(proxy, tables)
 
-    def write_gathered(self) -> None:
-        """Writes the changes of interim tables that gather, if it is time for them and they fit."""
+    def write_batch(self) -> None:
+        """Writes the deferrable changes that fit, if the last batch is long enough ago."""
         registry = self.registry
         now = registry.scheduler.now
-        if not registry.interim or now - self._gathered_us < self.flow.max_batch_delay_us:
+        if not registry.interim or now - self._last_batch_us < self.flow.max_batch_delay_us:
             return
         overhead_lines = len(registry.interim) * registry.channel.message_overhead
         budget = self.flow.available_lines(registry, self.flow.allowance) - overhead_lines
         if budget <= 0:
             return
-        self._gathered_us = now
-        for change in self.tables.ordinary_changes():
+        self._last_batch_us = now
+        for change in self.tables.deferrable_changes():
             budget -= write_slot(registry, self.host_table, change, budget)
 
-    def note_limit(self, limit: commands.SetAdmissionLimit) -> None:
-        """Notes a limit that was written for a complete table: interim tables start with it."""
+    def record_limit(self, limit: commands.SetAdmissionLimit) -> None:
+        """Records a limit written for a complete table; new interim tables start with it."""
         self._limits[limit.table, limit.request_classes] = limit
 
-    def limits_like(
+    def interim_limits(
         self, limit: commands.SetAdmissionLimit
     ) -> list[tuple[InterimTable, commands.SetAdmissionLimit]]:
         """Returns the limit of a complete table for each of its interim tables."""
@@ -113,27 +115,31 @@
             if table.has_limits and table.base.number == limit.table
         ]
 
-    def _rows_in_grace(self, facts: StartFacts) -> int:
-        """Returns the rows with which all proxies can be bound beside what else may be queued."""
+    def _hosts_per_table_in_grace(self, facts: StartFacts) -> int:
+        """Returns the hosts per interim table with which all proxies can be bound in the grace.
+
+        What else may be queued is taken into account.
+        """
         bases = self.tables.bases
         bases_of_zone = [
             [base for base in bases if base.serves_zone(zone)] for zone in range(facts.zones)
         ]
         lines_per_proxy = self.flow.urgent_lines_in_grace / max(1, facts.proxy_count)
-        rows = [
+        host_counts = [
             (lines_per_proxy - self._fixed_lines(bases)) / len(bases)
             for bases in bases_of_zone
             if bases
         ]
-        return round(min(MAX_ROWS, max(MIN_ROWS, min(rows, default=MIN_ROWS))))
+        return round(min(MAX_HOSTS, max(MIN_HOSTS, min(host_counts, default=MIN_HOSTS))))
 
     def _fixed_lines(self, bases: Sequence[RoutingTable]) -> int:
-        """Returns the lines of binding a proxy to interim tables of these, beside the rows."""
+        """Returns the lines of binding a proxy to interim tables of these, without their hosts."""
         return self.registry.channel.message_overhead + sum(
             self.tables.new_table(0, base).fixed_bind_lines() for base in bases
         )
 
     def _is_needed(self) -> bool:
+        """Whether waiting proxies may use removed hosts and cannot be bound in time."""
         registry = self.registry
         bases = self.tables.bases
         if self.first_weights.is_waiting or not any(base.published for base in bases):
@@ -141,7 +147,7 @@
         since_us = min(waiting.since_us for waiting in registry.unbound.values())
         if self.drains.can_bind_in_time(since_us):
             return False
-        # Without removed hosts old tables do no harm while they wait.
+        # If no host was removed, waiting proxies can use their old tables.
         return any(
             self.host_table.state[index] is not HostState.READY
             for index in self.host_table.index_of.values()
@@ -150,5 +156,5 @@
     def _fill_tables(self) -> None:
         self.tables.fill()
         for limit in self._limits.values():
-            for _, interim_limit in self.limits_like(limit):
+            for _, interim_limit in self.interim_limits(limit):
                 self.registry.command(interim_limit, [])
--- a/plankroute/policy/interim_tables.py
+++ b/plankroute/policy/interim_tables.py
@@ -1,8 +1,8 @@
-"""Interim tables: small tables that share out all hosts among the proxies that use them.
+"""Interim tables: small tables that divide all hosts among the proxies that use them.
 
-Each holds a few hosts, so that binding a proxy takes few lines; together they hold all hosts, so
-that the load stays even. Hosts keep their table: what changes are hosts that leave, hosts that
-come, and slots that are far off.
+Each table holds a few hosts, so that binding a proxy takes few lines; together they hold all hosts,
+so that the load stays balanced. Hosts stay in their table. Changes are limited to hosts that leave,
+hosts that are added, and slots that are far from their target.
 """
 
 import math
@@ -17,24 +17,25 @@
 from plankroute.state.proxy_registry import ProxyRegistry
 from plankroute.state.published_table import Change, InterimTable
 
-# A slot is changed once it is off by this factor: interim tables are used for seconds.
+# Ratio of target to published slots, or the inverse, above which a slot is changed. Smaller
+# deviations are acceptable because interim tables are used for seconds only.
 MAX_SLOT_RATIO = 1.5
-# The published slot of a cold host is changed at once when it is too large by this factor.
+# Ratio of published to target slots above which the slots of a cold host are reduced at once.
 MAX_COLD_SLOT_RATIO = 1.2
-# Load of a table over the mean from which on it gets more hosts.
+# Ratio of a table's load to the mean load above which the table gets more hosts.
 MAX_LOAD_RATIO = 1.5
-# Part of its weight with which a cold host counts.
+# Share of its capped weight with which a cold host counts.
 COLD_WEIGHT_SHARE = 0.5
-# Part of its first rows that an interim table keeps as hosts leave it; below that it gets others.
-MIN_ROWS_KEPT = 0.5
+# Share of the initial number of hosts below which an interim table gets further hosts.
+MIN_HOSTS_SHARE = 0.5
 
 
 class InterimTables:
-    """Fills the interim tables of a registry and works out their changes.
+    """Fills the interim tables of a registry and computes their changes.
 
     Attributes:
-        rows: Hosts in an interim table as it is filled.
-        has_limits: Whether admission limits are written for them.
+        hosts_per_table: Number of hosts in an interim table when it is filled.
+        has_limits: Whether admission limits are written for the interim tables.
     """
 
     def __init__(
@@ -50,10 +51,10 @@
         self.host_table = host_table
         self.drains = drains
         self.has_limits = has_limits
-        self.rows = 1
+        self.hosts_per_table = 1
 
     def new_table(self, number: int, base: RoutingTable) -> InterimTable:
-        """Returns an interim table of a complete one, without hosts."""
+        """Returns an empty interim table for a complete one."""
         return InterimTable(
             number,
             base.zones,
@@ -65,9 +66,9 @@
         )
 
     def fill(self) -> None:
-        """Shares out the hosts of each complete table over new interim tables.
+        """Divides the hosts of each complete table among new interim tables.
 
-        Nobody uses them yet, so that takes no line.
+        No proxy uses the new tables yet, so no lines are written.
         """
         registry = self.registry
         for stale in registry.interim_tables:
@@ -76,7 +77,7 @@
         for base in self.bases:
             slots = self._target_slots(base)
             hosts = [host for host in ring_of_hosts(self.host_table, base) if host in slots]
-            count = max(1, math.ceil(len(hosts) / self.rows))
+            count = max(1, math.ceil(len(hosts) / self.hosts_per_table))
             for part in range(count):
                 number = len(self.bases) + len(registry.interim_tables)
                 table = self.new_table(number, base)
@@ -86,48 +87,49 @@
                     self._command_slots(table, host)
 
     def tables_for(self, proxy: int) -> list[InterimTable]:
-        """Returns an interim table for each complete one of a proxy: the one with least load."""
+        """Returns, for each complete table of a proxy, the interim table with the least load."""
         zone = self.registry.zone_of_proxy[proxy]
         return [
-            min(self._tables_of(base), key=lambda table: (_load(table), table.number))
+            min(self._tables_of(base), key=lambda table: (_load_per_slot(table), table.number))
             for base in self.bases
             if base.serves_zone(zone)
         ]
 
     def urgent_changes(self) -> list[Change]:
-        """Returns the changes that do not wait: hosts that leave, and cold hosts' slots that fall.
+        """Returns the changes that must not wait: hosts that leave, and reductions of cold hosts.
 
-        Hosts that drain are left to the drains. Guards against a table without hosts: where no
-        others can be had the last ones stay.
+        This includes hosts that replace those that leave. Pending withdrawals are left to `Drains`.
+        If no other hosts are available, the last hosts of a table stay, so that no table becomes
+        empty.
         """
         changes: list[Change] = []
         for base in self._bases_in_use():
             slots = self._target_slots(base)
             tables = self._tables_of(base)
-            mean_load = _mean_load(tables, slots)
+            mean_load = _mean_load_per_slot(tables, slots)
             for table in tables:
-                changes += self._leaving(table, slots, mean_load)
+                changes += self._urgent_changes_of(table, slots, mean_load)
         return changes
 
-    def ordinary_changes(self) -> list[Change]:
-        """Returns the changes that gather: hosts that come, and slots that are far off."""
+    def deferrable_changes(self) -> list[Change]:
+        """Returns the changes that are batched: added hosts, and slots far from their target."""
         changes: list[Change] = []
         for base in self._bases_in_use():
             slots = self._target_slots(base)
             tables = self._tables_of(base)
-            mean_load = _mean_load(tables, slots)
-            changes += self._coming(tables, slots)
+            mean_load = _mean_load_per_slot(tables, slots)
+            changes += self._added_hosts(tables, slots)
             for table in tables:
-                wanted = self._slots_in(table, slots, mean_load)
+                target = self._target_slots_in(table, slots, mean_load)
                 changes += [
-                    Change(0.0, False, table, host, wanted[host])
+                    Change(0.0, False, table, host, target[host])
                     for host, count in table.published.items()
-                    if host in wanted and _ratio(count, wanted[host]) > MAX_SLOT_RATIO
+                    if host in target and _ratio(count, target[host]) > MAX_SLOT_RATIO
                 ]
         return changes
 
     def _target_slots(self, base: RoutingTable) -> dict[int, int]:
-        """Returns the slots of all hosts that a complete table might hold."""
+        """Returns the target slots of all hosts that a complete table may hold."""
         host_table = self.host_table
         withdrawn = self.drains.withdrawn | self.drains.pending
         weights = {host: self._weight(host) for host in base.hosts(host_table, withdrawn)}
@@ -138,10 +140,10 @@
         }
 
     def _weight(self, host: int) -> float:
-        """Returns a host's weight; that of a cold one counts in part.
+        """Returns the capped weight of a host, reduced for a cold host.
 
-        Guards against cold hosts that are overloaded: where the others of a small table are full,
-        its proxies flock to the one that still answers.
+        The reduction prevents overload of cold hosts: if the other hosts of a small table are at
+        capacity, its proxies concentrate on the one that still answers.
         """
         weight = self.host_table.capped_weight(host)
         return COLD_WEIGHT_SHARE * weight if self._is_cold(host) else weight
@@ -152,49 +154,50 @@
     def _bases_in_use(self) -> Iterable[RoutingTable]:
         return [base for base in self.bases if any(table.users for table in self._tables_of(base))]
 
-    def _slots_in(
+    def _target_slots_in(
         self, table: InterimTable, slots: dict[int, int], mean_load: float
     ) -> dict[int, int]:
-        """Returns the slots that the hosts of one table should have in it.
+        """Returns the target slots of the hosts that stay in one table.
 
-        Guards against cold hosts in a table with few slots for its users: there a cold host counts
-        for less, so that it gets no more requests than it would at the mean load.
+        Cold hosts get fewer slots in a table with few slots for its users, so that they get no more
+        requests than at the mean load.
         """
         staying = {host: slots[host] for host in table.published if host in slots}
         load = table.rate / max(1, sum(staying.values()))
-        part = min(1.0, mean_load / load) if load else 1.0
+        cold_share = min(1.0, mean_load / load) if load else 1.0
         return {
-            host: max(1, round(part * count)) if self._is_cold(host) else count
+            host: max(1, round(cold_share * count)) if self._is_cold(host) else count
             for host, count in staying.items()
         }
 
-    def _leaving(
+    def _urgent_changes_of(
         self, table: InterimTable, slots: dict[int, int], mean_load: float
     ) -> list[Change]:
-        wanted = self._slots_in(table, slots, mean_load)
+        """Returns the urgent changes of one table; see `urgent_changes`."""
+        target = self._target_slots_in(table, slots, mean_load)
         added: list[int] = []
-        is_overloaded = table.rate > MAX_LOAD_RATIO * mean_load * sum(wanted.values())
-        if len(wanted) < MIN_ROWS_KEPT * self.rows or is_overloaded:
+        is_overloaded = table.rate > MAX_LOAD_RATIO * mean_load * sum(target.values())
+        if len(target) < MIN_HOSTS_SHARE * self.hosts_per_table or is_overloaded:
             spare = [
                 host for host in slots if host not in table.published and not self._is_cold(host)
             ]
-            first = table.number % max(1, len(spare))  # tables borrow different hosts
-            missing = max(1, self.rows - len(wanted))
-            added = (spare[first:] + spare[:first])[:missing]
+            first = table.number % max(1, len(spare))  # tables add different hosts
+            max_added = max(1, self.hosts_per_table - len(target))
+            added = (spare[first:] + spare[:first])[:max_added]
         changes = [Change(0.0, True, table, host, slots[host]) for host in added]
         for host, count in table.published.items():
-            if host in wanted:
-                if self._is_cold(host) and count > MAX_COLD_SLOT_RATIO * wanted[host]:
-                    changes.append(Change(0.0, True, table, host, wanted[host]))
-            elif host not in self.drains.pending and (wanted or added):
+            if host in target:
+                if self._is_cold(host) and count > MAX_COLD_SLOT_RATIO * target[host]:
+                    changes.append(Change(0.0, True, table, host, target[host]))
+            elif host not in self.drains.pending and (target or added):
                 changes.append(Change(0.0, True, table, host, 0))
         return changes
 
     def _is_cold(self, host: int) -> bool:
         return self.host_table.weight_cap[host] != NO_CAP
 
-    def _coming(self, tables: list[InterimTable], slots: dict[int, int]) -> list[Change]:
-        """Shares out the hosts that no table holds, to those with most load a slot first."""
+    def _added_hosts(self, tables: list[InterimTable], slots: dict[int, int]) -> list[Change]:
+        """Returns the changes that add the hosts in no table, each to the most loaded table."""
         held = set().union(*(table.published for table in tables))
         totals = {table.number: sum(table.published.values()) for table in tables}
         changes: list[Change] = []
@@ -214,15 +217,16 @@
         self.registry.command(command, [])
 
 
-def _load(table: InterimTable) -> float:
-    """Returns the requests a second that a table's users bring for each of its slots."""
+def _load_per_slot(table: InterimTable) -> float:
+    """Returns the requests per second that a table's users bring per slot of the table."""
     return table.rate / max(1, sum(table.published.values()))
 
 
-def _mean_load(tables: list[InterimTable], slots: dict[int, int]) -> float:
-    """Returns the requests a second for each slot, if every host had its slots in one table."""
+def _mean_load_per_slot(tables: list[InterimTable], slots: dict[int, int]) -> float:
+    """Returns the requests per second per slot, as if each host were in exactly one table."""
     return sum(table.rate for table in tables) / max(1, sum(slots.values()))
 
 
 def _ratio(one: int, other: int) -> float:
+    """Returns the greater count over the smaller one, which counts as at least 1."""
     return max(one, other) / max(1, min(one, other))
--- a/plankroute/policy/publisher.py
+++ b/plankroute/policy/publisher.py
@@ -70,7 +70,7 @@
         self.pending_limits: dict[LimitKey, commands.SetAdmissionLimit] = {}
         self._proxies_may_lack_endpoints = False
         for limit in open_limits(self.tables, facts.admission_unit):
-            self.interim_binder.note_limit(limit)
+            self.interim_binder.record_limit(limit)
             scheduler.out.append(limit)
 
     @property
@@ -175,7 +175,7 @@
         for change in urgent:
             budget -= write_slot(self, self.host_table, change, budget)
         if is_turn:
-            self.interim_binder.write_gathered()
+            self.interim_binder.write_batch()
         has_time = is_turn and since_us >= 2 * self.flow.min_message_interval_us
         if self.channel.batch or (has_time and not self._proxies_may_lack_endpoints):
             ordinary_budget = self.flow.available_lines(self, self.flow.allowance) - overhead_lines
@@ -221,13 +221,13 @@
         for key, limit in list(self.pending_limits.items()):
             assert limit.table is not None  # admission sets limits table by table
             written = {limit: self.users(self.tables[limit.table])}
-            for table, interim_limit in self.interim_binder.limits_like(limit):
+            for table, interim_limit in self.interim_binder.interim_limits(limit):
                 written[interim_limit] = self.users(table)
             lines = sum(map(len, written.values()))
             if budget < lines:
                 continue
             budget -= lines
-            self.interim_binder.note_limit(self.pending_limits.pop(key))
+            self.interim_binder.record_limit(self.pending_limits.pop(key))
             for command, recipients in written.items():
                 self.command(command, recipients)
         return budget
--- a/tests/policy/test_interim_tables.py
+++ b/tests/policy/test_interim_tables.py
@@ -125,7 +125,7 @@
 def test_all_proxies_of_the_fleet_fit_the_grace_beside_ordinary_lines() -> None:
     bench = bench_on_interim_tables()
     publisher = bench.controller.publisher
-    rows = publisher.interim_binder.tables.rows
+    rows = publisher.interim_binder.tables.hosts_per_table
     lines = (rows + 2 + bench.facts.message_overhead_lines) * bench.facts.proxy_count
     slack_us = bench.facts.drain_grace_us - bench.facts.max_one_way_delay_us
     carried = bench.facts.channel_lines_per_s * slack_us / SECOND
@@ -179,7 +179,7 @@
     cold = {host for host in table.published if tables._is_cold(host)}
     assert cold
     usual = table.rate / sum(slots.values())
-    assert tables._slots_in(table, slots, usual) == slots
-    crowded = tables._slots_in(table, slots, usual / 2)
+    assert tables._target_slots_in(table, slots, usual) == slots
+    crowded = tables._target_slots_in(table, slots, usual / 2)
     assert {host for host, count in crowded.items() if count == 5} == cold
     assert all(crowded[host] == 10 for host in crowded.keys() - cold)
