--- a/plankroute/policy/composition.py
+++ b/plankroute/policy/composition.py
@@ -1,4 +1,4 @@
-"""Builds the policy of one controller from its parts, for the entry point."""
+"""Builds the policy of one controller from its components, for the entry point."""
 
 from dataclasses import dataclass
 
@@ -14,25 +14,25 @@
 from plankroute.state.scheduler import Scheduler
 from plankroute.units import SECOND_US
 
-# Delay before a poll of the endpoint list that failed is repeated, well before the list counts as
-# known to be out of date.
+# Delay before a failed poll of the endpoint list is repeated. It is well below the time after which
+# the list counts as outdated.
 LIST_RETRY_DELAY_US = 2 * SECOND_US
-# How often the publisher looks for work between turns; flow control says why.
+# Interval at which the publisher checks for pending work between turns; see `flow_control`.
 PUBLISHER_PULSE_US = flow_control.POLL_INTERVAL_US
 
 
 @dataclass(frozen=True, slots=True)
 class Policy:
-    """The parts that decide; all of them share one scheduler and one host table.
+    """The components of a policy, which share one scheduler and one host table.
 
     Attributes:
-        scheduler: Clock, random numbers and the commands that go out.
+        scheduler: Clock, random numbers and outgoing commands.
         host_table: Statistics of all hosts.
         prior: Prior knowledge of hosts.
-        first_weights: How far the first weights are.
-        publisher: Keeps the routing tables and writes them to the proxies.
-        weights: Moves the weights of hosts once a turn.
-        admission: Sets the admission limits once a turn.
+        first_weights: Decides the first weights.
+        publisher: Maintains the routing tables and writes them to the proxies.
+        weights: Adjusts the weights of hosts once per turn.
+        admission: Sets the admission limits once per turn.
     """
 
     scheduler: Scheduler
@@ -49,7 +49,7 @@
 
 
 def build_policy(scheduler: Scheduler, facts: StartFacts) -> Policy:
-    """Builds all parts in the order in which they draw random numbers and give first commands."""
+    """Builds the components in the order of their random draws and initial commands."""
     host_table = HostTable(facts)
     prior = PriorKnowledge()
     first_weights = FirstWeights()
--- a/plankroute/policy/publisher.py
+++ b/plankroute/policy/publisher.py
@@ -1,4 +1,4 @@
-"""The publisher: decides what is written to the proxies when, as their channel can take it."""
+"""Publisher: decides what is written to the proxies and when, as the channel has capacity."""
 
 from plankroute.events import commands, events
 from plankroute.events.facts import StartFacts
@@ -21,23 +21,24 @@
 from plankroute.state.publishing_status import PublishingStatus
 from plankroute.state.scheduler import Scheduler, Tick
 
-# Share of a zone's hosts that are removed, from which on proxies that wait there may have no
-# endpoint left: the few hosts of the table that a proxy starts with are drawn from its zone.
+# Share of removed hosts in a zone above which waiting proxies there may have no endpoint left: the
+# table that a proxy starts with holds only a few hosts, drawn from its zone.
 REMOVED_SHARE_WITHOUT_ENDPOINTS = 0.1
 
 
 class Publisher(ProxyRegistry):
-    """Keeps the proxies and their tables, and decides what is written when.
+    """Maintains the proxies and their tables, and decides what is written when.
 
-    Drains come first and at once, then urgent slots; admission limits and the slots that move most
-    follow in the turns that can afford them, and binds at the channel's regular pace.
+    Withdrawals are written first and at once, then urgent slots. Admission limits and the slots of
+    the greatest benefit follow on turns for which the channel has capacity. Binds are written at
+    the regular pace of the channel.
 
     Attributes:
-        flow: What the channel can take.
-        subsetting: Which part of the hosts the tables hold.
-        drains: Hosts that are withdrawn, or about to be.
-        target: The slots that the tables should have.
-        written_us: When a message was last written.
+        flow: Limits on queued lines.
+        subsetting: Determines which part of the hosts the tables hold.
+        drains: Pending withdrawals and withdrawn hosts.
+        target: Target slots of the tables.
+        last_message_us: When a message was last written.
     """
 
     def __init__(
@@ -53,7 +54,7 @@
             self.flow.lines_per_us,
             facts.max_one_way_delay_us + POLL_INTERVAL_US,
         )
-        # Where keys fall into slices the store keeps the tables.
+        # If request keys are divided into slices, the store maintains the tables.
         tables = [] if facts.slices else build_tables(facts)
         super().__init__(scheduler, tables, channel)
         self.host_table = host_table
@@ -66,7 +67,7 @@
         self.interim_binder = InterimBinder(
             self, tables, host_table, first_weights, self.drains, self.flow, facts
         )
-        self.written_us = -facts.message_window_us
+        self.last_message_us = -facts.message_window_us
         self.pending_limits: dict[LimitKey, commands.SetAdmissionLimit] = {}
         self._proxies_may_lack_endpoints = False
         for limit in open_limits(self.tables, facts.admission_unit):
@@ -75,11 +76,11 @@
 
     @property
     def withdrawn(self) -> set[int]:
-        """Hosts that proxies have a command to withdraw, by index."""
+        """Hosts that proxies were commanded to withdraw, by index."""
         return self.drains.withdrawn
 
     def status(self) -> PublishingStatus:
-        """Returns what waits to be published and what fills the channel."""
+        """Returns what waits to be published and what occupies the channel."""
         now = self.scheduler.now
         waits_us = [now - waiting.since_us for waiting in self.unbound.values()]
         return PublishingStatus(
@@ -95,16 +96,16 @@
         )
 
     def expired_hosts(self) -> list[int]:
-        """Returns the ids of removed hosts of which nothing has to be remembered any more."""
+        """Returns the ids of removed hosts that do not have to be remembered any longer."""
         return self.drains.expired_hosts()
 
     def forget_host(self, index: int) -> None:
-        """Forgets a host: another one may get its index."""
+        """Discards the state of a host, whose index may be reused for another one."""
         self.drains.forget(index)
         self.notified.pop(index, None)
 
     def handle(self, event: RegistryEvent) -> None:
-        """Takes in what concerns proxies and drains; writes on a tick."""
+        """Handles events of proxies and hosts, and new admission limits; writes on a tick."""
         match event:
             case Tick():
                 self.on_tick(is_turn=event is Tick.TURN)
@@ -122,7 +123,7 @@
                 self.pending_limits[event.table, event.request_classes] = event
 
     def on_proxy_joined(self, event: events.ProxyJoined) -> None:
-        """Takes a proxy in; the first one decides where the first weights come from."""
+        """Adds a proxy; the first one determines what the first weights are derived from."""
         self.leave(event.proxy)
         self.join(event)
         self.drains.on_proxy_joined()
@@ -137,7 +138,7 @@
             self.scheduler.out += self.host_table.health_checks(self.host_table.eligible())
 
     def on_tick(self, is_turn: bool) -> None:
-        """Writes all that is to be written now."""
+        """Updates the channel, interim binding and drains, then writes and binds what is due."""
         self.channel.advance(self.scheduler.now)
         self._proxies_may_lack_endpoints = any(
             self.host_table.removed_share(zone) > REMOVED_SHARE_WITHOUT_ENDPOINTS
@@ -156,36 +157,38 @@
             self.binder.bind_waiting(self.withdrawn, self._proxies_may_lack_endpoints)
 
     def write(self, is_turn: bool) -> None:
-        """Writes what is urgent as soon as a message can go, the rest once a turn if it fits."""
+        """Writes urgent changes as soon as possible, and deferrable ones with them or on turns."""
         now = self.scheduler.now
         overhead_lines = len(self.zone_of_proxy) * self.channel.message_overhead
         self._record_channel_state(overhead_lines)
-        since_us = now - self.written_us
+        since_us = now - self.last_message_us
         budget: float = self.flow.backlog_cap - self.channel.unacknowledged - overhead_lines
         must_write_now = self.drains.must_write_now(budget)
         changes = self.slot_changes.list_changes(now)
         changes.sort(key=lambda change: (-change.gain, change.index))
         urgent = [change for change in changes if change.urgent]
         urgent += self.interim_binder.tables.urgent_changes()
-        # A busy channel gathers changes, so that more lines share the overhead of a message.
-        gathers = self.flow.is_busy(self) and since_us < self._gathering_us(urgent)
-        if since_us < self.flow.min_message_interval_us or (gathers and not must_write_now):
+        # A busy channel batches changes, so that more lines share the overhead of a message.
+        is_batching = self.flow.is_busy(self) and since_us < self._batch_delay_us(urgent)
+        if since_us < self.flow.min_message_interval_us or (is_batching and not must_write_now):
             return
         budget = self.drains.write(budget)
         for change in urgent:
             budget -= write_slot(self, self.host_table, change, budget)
         if is_turn:
             self.interim_binder.write_batch()
-        has_time = is_turn and since_us >= 2 * self.flow.min_message_interval_us
-        if self.channel.batch or (has_time and not self._proxies_may_lack_endpoints):
-            ordinary_budget = self.flow.available_lines(self, self.flow.allowance) - overhead_lines
-            ordinary = [change for change in changes if not change.urgent]
-            self._write_ordinary(ordinary, min(budget, ordinary_budget))
+        may_write_deferrable = is_turn and since_us >= 2 * self.flow.min_message_interval_us
+        if self.channel.batch or (may_write_deferrable and not self._proxies_may_lack_endpoints):
+            deferrable_budget = (
+                self.flow.available_lines(self, self.flow.allowance) - overhead_lines
+            )
+            deferrable = [change for change in changes if not change.urgent]
+            self._write_deferrable(deferrable, min(budget, deferrable_budget))
         if self.channel.batch:
-            self.written_us = now
+            self.last_message_us = now
 
     def _record_channel_state(self, overhead_lines: int) -> None:
-        """Notes how expensive lines are: weights keep nearer to their slots where they are."""
+        """Records how scarce lines are: weights stay closer to their slots if lines are scarce."""
         all_lines = sum(len(self.users(table)) * len(table.published) for table in self.tables)
         self.host_table.proxies = len(self.zone_of_proxy) - len(self.interim)
         self.host_table.interim_routes = sum(
@@ -194,14 +197,14 @@
         self.host_table.channel_constrained = all_lines + overhead_lines > self.flow.allowance
         self.host_table.min_slot_change = 0.0
 
-    def _gathering_us(self, urgent: list[Change]) -> float:
-        """Returns how long a busy channel gathers changes: a turn at most for an ejected host."""
+    def _batch_delay_us(self, urgent: list[Change]) -> float:
+        """Returns how long a busy channel batches changes: at most a turn for an ejected host."""
         if any(self.host_table.ejected[change.index] for change in urgent):
             return min(self.flow.max_batch_delay_us, TURN_US)
         return self.flow.max_batch_delay_us
 
-    def _write_ordinary(self, changes: list[Change], budget: float) -> None:
-        """Writes admission limits, and the slots that move most if they are worth a message."""
+    def _write_deferrable(self, changes: list[Change], budget: float) -> None:
+        """Writes admission limits, and the slots of greatest benefit if worth a message."""
         price = self.flow.line_price
         overhead = 0 if self.channel.batch else self.channel.message_overhead
         worthwhile = [
@@ -209,7 +212,7 @@
         ]
         lines = len(worthwhile) + len(self.pending_limits)
         if budget < len(self.bound) * min(overhead, lines):
-            return  # a later message holds more lines for its overhead
+            return  # a later message carries more lines for the same overhead
         budget = self._write_limits(budget)
         benefit = sum(change.gain - price for change in worthwhile)
         if benefit > price * overhead or self.channel.batch:
@@ -217,9 +220,9 @@
                 budget -= write_slot(self, self.host_table, change, budget)
 
     def _write_limits(self, budget: float) -> float:
-        """Writes the admission limits that fit; returns the lines left."""
+        """Writes the admission limits that fit; returns the remaining budget."""
         for key, limit in list(self.pending_limits.items()):
-            assert limit.table is not None  # admission sets limits table by table
+            assert limit.table is not None  # admission control sets limits table by table
             written = {limit: self.users(self.tables[limit.table])}
             for table, interim_limit in self.interim_binder.interim_limits(limit):
                 written[interim_limit] = self.users(table)
@@ -233,6 +236,6 @@
         return budget
 
     def _fill_unused_tables(self) -> None:
-        """Sets all slots while no proxy is bound: that costs no lines, and binds carry them."""
+        """Sets all slots while no proxy is bound: this costs no lines, and binds include them."""
         for change in self.slot_changes.list_changes(self.scheduler.now):
             write_slot(self, self.host_table, change, NO_CAP)
--- a/plankroute/policy/slot_changes.py
+++ b/plankroute/policy/slot_changes.py
@@ -1,7 +1,7 @@
-"""Slot changes: how target slots differ from the published ones, and what each change is worth.
+"""Slot changes: how target slots differ from published ones, and the benefit of each change.
 
-The benefit of a change is the part of a proxy's requests that it moves, times the part by which the
-slot moves. It is compared to the price of a line.
+The benefit of a change is the share of a proxy's requests that it moves, multiplied by the relative
+size of the change. It is compared with the price of a line.
 """
 
 from plankroute.events.events import HostState
@@ -13,24 +13,25 @@
 from plankroute.state.host_statistics import NO_CAP
 from plankroute.state.published_table import Change
 
-# The benefit grows with the mean latency, in latency objectives, times this factor, to this power.
-# Guards against a channel that is busy all day with the small moves of a calm day.
+# All benefits are multiplied by (LATENCY_FACTOR * mean latency / latency objective) to the power of
+# LATENCY_EXPONENT, if that is above 1. While latency is low, small changes are therefore not worth
+# their lines and do not keep the channel busy.
 LATENCY_FACTOR = 6.0
 LATENCY_EXPONENT = 3
-# Factor on the benefit of a host's first slot: the other hosts carry its requests. See
-# docs/design.md, what size changes.
+# Factor on the benefit of a host's first slots: until they are written, the other hosts serve its
+# requests. See docs/design.md, what size changes.
 NEW_SLOT_FACTOR = 4.0
-# Part of the published slot below which the lower slot of a warming host does not wait.
-URGENT_FALL = 0.75
+# Ratio of target to published slots below which a reduction for a warming host is urgent.
+URGENT_REDUCTION_RATIO = 0.75
 
 SlotInput = list[float] | list[bool] | list[HostState] | list[int] | set[int] | dict[int, int]
 
 
 class TargetSlots:
-    """The slots that the tables should have.
+    """Target slots of the tables, cached until one of their inputs changes.
 
-    They are worked out anew only when something has moved that they follow from: the publisher
-    looks ten times a second, and most looks find nothing new.
+    The cache saves work because the publisher requests the slots ten times a second, and mostly no
+    input has changed in between.
     """
 
     def __init__(
@@ -50,11 +51,11 @@
         self._slots: list[dict[int, int]] = []
 
     def invalidate(self) -> None:
-        """Has the slots worked out anew when they are next asked for."""
+        """Discards the cached slots, so that the next request recomputes them."""
         self._inputs = []
 
     def current(self) -> list[dict[int, int]]:
-        """Returns the slots of each table, by host; notes which hosts are outside the subset."""
+        """Returns the target slots by host for each table; updates the hosts outside the subset."""
         host_table = self.host_table
         withdrawn = self.drains.withdrawn | self.drains.pending
         inputs: list[SlotInput] = [
@@ -81,7 +82,7 @@
 
 
 class SlotChanges:
-    """Works out what has changed, how much each change is worth and which are urgent."""
+    """Computes the slot changes, the benefit of each and which are urgent."""
 
     def __init__(
         self,
@@ -98,22 +99,25 @@
         self.flow = flow
 
     def list_changes(self, now: int) -> list[Change]:
-        """Returns all changes, table by table; notes in the host table the least that pays."""
+        """Returns all changes, table by table.
+
+        Also records in the host table the smallest relative change that is worth its line.
+        """
         host_table = self.host_table
         class_count = sum(len(table.request_classes) for table in self.tables)
-        urgency = self._urgency_by_latency()
+        latency_factor = self._latency_factor()
         changes: list[Change] = []
         for table, slots in zip(self.tables, self.target.current(), strict=True):
-            # Part of all requests that a slot moves.
-            slot_part = len(table.request_classes) / class_count / max(1, sum(slots.values()))
-            least_change = self.flow.line_price / (slot_part * SLOTS_PER_HOST)
-            host_table.min_slot_change = max(host_table.min_slot_change, least_change)
+            # Share of all requests that one slot moves.
+            slot_share = len(table.request_classes) / class_count / max(1, sum(slots.values()))
+            min_change = self.flow.line_price / (slot_share * SLOTS_PER_HOST)
+            host_table.min_slot_change = max(host_table.min_slot_change, min_change)
             has_no_warm_host = not self._keeps_warm_host(table, slots)
             for host in slots.keys() | table.published.keys():
                 count = slots.get(host, 0)
                 if count == table.published.get(host, 0) or host in self.drains.pending:
                     continue
-                gain = benefit(table.published.get(host, 0), count, slot_part, urgency)
+                gain = benefit(table.published.get(host, 0), count, slot_share, latency_factor)
                 is_urgent = self._is_urgent(table, host, count) or has_no_warm_host
                 if host in self.drains.withdrawn:
                     is_back = host_table.state[host] is HostState.READY
@@ -122,42 +126,50 @@
                 changes.append(Change(gain, is_urgent, table, host, count))
         return changes
 
-    def _urgency_by_latency(self) -> float:
-        """Returns the factor on all benefits: changes are worth more where answers are late."""
+    def _latency_factor(self) -> float:
+        """Returns the factor on all benefits, which grows as responses become late; at least 1."""
         latency = LATENCY_FACTOR * self.host_table.mean_latency_us
         lateness: float = latency / self.host_table.latency_objective_us
         return max(1.0, lateness**LATENCY_EXPONENT)
 
     def _keeps_warm_host(self, table: RoutingTable, slots: dict[int, int]) -> bool:
-        """Whether a published warm host stays.
+        """Whether a warm host that is published stays in the table.
 
-        Guards against proxies without an endpoint: if none stays, all changes go out at once.
+        If none stays, all changes are urgent, so that proxies are not left without an endpoint.
         """
         return any(
             host in slots and self.host_table.weight_cap[host] == NO_CAP for host in table.published
         )
 
     def _is_urgent(self, table: RoutingTable, host: int, count: int) -> bool:
-        """Whether a host leaves for good, or is warming and loses much of its slot."""
-        before = table.published.get(host, 0)
+        """Whether a host leaves and not just the subset, or is warming and loses many slots."""
+        published = table.published.get(host, 0)
         is_warming = self.host_table.weight_cap[host] < NO_CAP
-        has_fallen = is_warming and count < URGENT_FALL * before
-        return has_fallen or (not count and host not in self.host_table.outside_subset)
+        has_large_reduction = is_warming and count < URGENT_REDUCTION_RATIO * published
+        return has_large_reduction or (not count and host not in self.host_table.outside_subset)
 
     def _gain_of_withdrawn(self, host: int, now: int) -> float:
-        """Returns the gain of removing an unused line: 1 if the host soon expires, else 0."""
+        """Returns the gain of removing a withdrawn host: 1 if it expires soon, else 0."""
         removed_us = now - self.host_table.heard_at_us[host]
         return float(2 * removed_us > REMOVED_HOST_TTL_US)
 
 
-def benefit(before: int, count: int, slot_part: float, urgency: float) -> float:
-    """Returns the benefit of a changed slot; one that falls counts by how far it falls.
+def benefit(published: int, count: int, slot_share: float, latency_factor: float) -> float:
+    """Returns the benefit of a slot change.
+
+    A reduction is multiplied by its ratio, and the first slots of a host by NEW_SLOT_FACTOR.
 
     Args:
-        before: Published slots of the host.
-        count: Slots that it should have.
-        slot_part: Part of a proxy's requests that a slot moves.
-        urgency: Factor on all benefits.
+        published: Published slots of the host.
+        count: Target slots of the host.
+        slot_share: Share of a proxy's requests that one slot moves.
+        latency_factor: Factor on all benefits.
     """
-    strain = max(1.0, before / max(1, count)) if before else NEW_SLOT_FACTOR
-    return urgency * (count - before) ** 2 / max(count, before) * slot_part * strain
+    change_factor = max(1.0, published / max(1, count)) if published else NEW_SLOT_FACTOR
+    return (
+        latency_factor
+        * (count - published) ** 2
+        / max(count, published)
+        * slot_share
+        * change_factor
+    )
--- a/tests/policy/test_flow_control.py
+++ b/tests/policy/test_flow_control.py
@@ -133,7 +133,7 @@
     bench.give(*[events.ProxyJoined(p, p % 3, 5.0, True) for p in range(100)])
     bench.pass_time(8 * SECOND)
     publisher = bench.controller.publisher
-    publisher.flow.round_trip_lines, publisher.written_us = (
+    publisher.flow.round_trip_lines, publisher.last_message_us = (
         0.0,
         bench.now,
     )  # as if it had just written, and more still waits
