--- a/plankroute/policy/subsetting.py
+++ b/plankroute/policy/subsetting.py
@@ -1,10 +1,10 @@
 """Deterministic subsetting: which part of the hosts the tables of one controller hold.
 
-Binding a proxy takes a line for each host of its table. Where binding all proxies to whole tables
-would take too long, a controller's table holds an arc of a ring of the hosts. From the field's
-deterministic subsetting (SRE book); it follows from the settings and the endpoint list alone, never
-from who is believed to live or how many proxies came: a table that widens costs a line a host at
-every proxy on it, just when most wait.
+Binding a proxy takes a line for each host of its table. If binding all proxies to tables of all
+hosts would take too long, the tables of a controller hold an arc of a ring of the hosts. The method
+is deterministic subsetting (SRE book). A subset depends on the settings and the endpoint list
+alone, not on which controllers are alive or how many proxies have joined: enlarging a table costs a
+line per added host at every proxy that uses the table, just when most proxies wait to be bound.
 """
 
 import math
@@ -16,17 +16,17 @@
 from plankroute.state.published_table import PublishedTable
 from plankroute.units import SECOND_US
 
-# Time in which all binds are to be written at most.
+# Maximum time in which all binds have to be written.
 MAX_BIND_US = 3 * SECOND_US
-# The same as a part of what the drain grace leaves after the longest one-way delay.
+# The same limit as a share of the grace slack; the smaller one applies.
 MAX_BIND_SHARE_OF_GRACE = 0.5
-# Warm hosts that a subset holds at least: with fewer, proxies would hang on single hosts.
+# Minimum number of warm hosts in a subset: with fewer, proxies would depend on single hosts.
 MIN_WARM_HOSTS = 24
-# Even shares of the fleet's proxies that may use one subset: controllers that restart one after
-# another leave the others with somewhat over one.
+# Maximum number of even shares of the fleet's proxies that may use one subset. While controllers
+# restart one after another, each of the others serves slightly more than one share.
 MAX_EVEN_SHARES = 2
-# Controllers from which on there are subsets: of two, either may be left with all proxies, which
-# half of the hosts would not bear.
+# Minimum number of controllers for subsetting: with two, either may be left with all proxies, whose
+# load would exceed the capacity of half of the hosts.
 MIN_CONTROLLERS = 3
 
 
@@ -36,7 +36,7 @@
 
     Attributes:
         share: Share of the hosts that the arc holds.
-        start: Where on the ring it starts, from 0 to under 1.
+        start: Where on the ring the arc starts, as a share from 0 to below 1.
     """
 
     share: float = 1.0
@@ -47,19 +47,19 @@
 
 
 class SubsetPolicy:
-    """How large the subset of one controller is, and where it starts.
+    """Determines the size and the start of one controller's subset.
 
     Attributes:
-        start: Where the controller's arc starts on the ring.
+        start: Where the controller's arc starts on the ring, as a share from 0 to below 1.
     """
 
     def __init__(self, facts: StartFacts, message_overhead: int, lines_per_us: float) -> None:
-        """Keeps what the sizes follow from.
+        """Stores the inputs of the subset size.
 
         Args:
             facts: Start-up facts.
-            message_overhead: Lines that each message takes beside its content.
-            lines_per_us: Pace of the channel.
+            message_overhead: Lines that each message costs in addition to its content.
+            lines_per_us: Pace of the channel, in lines per microsecond.
         """
         self.start = facts.controller_rank % facts.controller_count / facts.controller_count
         self._proxies = facts.proxy_count
@@ -68,43 +68,47 @@
         self._lines_per_us = lines_per_us
 
     def subset(self, ready_hosts: int, grace_slack_us: float) -> Subset:
-        """Returns the controller's subset of this many hosts."""
+        """Returns the subset of the controller for this number of ready hosts."""
         return Subset(self.share(ready_hosts, grace_slack_us), self.start)
 
     def share(self, ready_hosts: int, grace_slack_us: float) -> float:
-        """Returns the share of the hosts that can be bound in time.
+        """Returns the share of the hosts in the subset, so that all binds are written in time.
 
-        It is a multiple of one share a controller, so that each host is in as many tables as any
-        other.
+        The share is a multiple of 1 / number of controllers, rounded up, so that each host is in
+        the tables of equally many controllers. It is 1 with fewer than MIN_CONTROLLERS controllers.
 
         Args:
-            ready_hosts: Hosts listed ready.
-            grace_slack_us: What the drain grace leaves after the longest one-way delay.
+            ready_hosts: Number of hosts listed ready.
+            grace_slack_us: Drain grace minus the longest one-way delay.
         """
         if self._controllers < MIN_CONTROLLERS:
             return 1.0
         max_bind_us = min(MAX_BIND_US, MAX_BIND_SHARE_OF_GRACE * grace_slack_us)
-        bindable_part = max_bind_us / max(1.0, self.bind_us(1.0, ready_hosts))
-        shares = max(1, math.ceil(bindable_part * self._controllers))
+        bindable_share = max_bind_us / max(1.0, self.bind_us(1.0, ready_hosts))
+        shares = max(1, math.ceil(bindable_share * self._controllers))
         return min(1.0, shares / self._controllers)
 
     def max_users(self, ready_hosts: int, grace_slack_us: float, joined: int) -> float:
-        """Returns how many proxies may use tables with a subset of this many hosts.
+        """Returns the maximum number of proxies that may use the complete tables.
 
-        All of them, unless far more have joined than the subset is meant for: then an even share
-        of the fleet's, as more would overload its hosts while the others idle.
+        There is no limit unless the tables hold a subset and far more proxies have joined than the
+        subset is meant for. Then the limit is an even share of the fleet's proxies, because more
+        would overload the hosts of the subset while other hosts are idle.
 
         Args:
-            ready_hosts: Hosts listed ready.
-            grace_slack_us: What the drain grace leaves after the longest one-way delay.
-            joined: Proxies that have joined.
+            ready_hosts: Number of hosts listed ready.
+            grace_slack_us: Drain grace minus the longest one-way delay.
+            joined: Number of proxies that have joined.
         """
         even_share = self._proxies / self._controllers
         is_subset = self.share(ready_hosts, grace_slack_us) < 1
         return even_share if is_subset and joined > MAX_EVEN_SHARES * even_share else math.inf
 
     def bind_us(self, share: float, ready_hosts: int) -> float:
-        """Returns the time to bind an even share of all proxies to this share of the hosts."""
+        """Returns the time to bind an even share of all proxies to this share of the hosts.
+
+        The time is in microseconds.
+        """
         lines = share * ready_hosts + self._message_overhead
         return self._proxies / self._controllers * lines / self._lines_per_us
 
@@ -112,17 +116,19 @@
 def hosts_of_subset(
     host_table: HostTable, table: PublishedTable, candidates: list[int], subset: Subset
 ) -> list[int]:
-    """Returns those of the candidates that are in a subset, in ascending order.
+    """Returns the candidates that are in a subset, in ascending order.
 
-    The arcs of controllers lie beside each other, so that each host is in as many tables as any
-    other, and a host that comes or goes moves the ends of the arcs alone. All candidates are
-    returned where the subset would hold over a half of the warm ones: it would save little.
+    The arcs of the controllers start at equal distances on the ring, so that each host is in the
+    tables of equally many controllers. A host that is added or removed only shifts the ends of the
+    arcs. An arc is extended until it holds at least MIN_WARM_HOSTS warm hosts. If that is more than
+    half of the warm candidates, all candidates are returned, since a subset would save little. They
+    are also returned if the arc would hold all warm candidates.
 
     Args:
         host_table: Statistics of all hosts.
         table: The table that the hosts are for.
         candidates: Hosts that may be in the table.
-        subset: The controller's arc.
+        subset: The controller's subset.
     """
     ring = ring_of_hosts(host_table, table)
     first = int(subset.start * len(ring))
@@ -146,17 +152,17 @@
 
 
 def ring_of_hosts(host_table: HostTable, table: PublishedTable) -> list[int]:
-    """Returns the hosts that a table admits in an order that is the same at every controller.
+    """Returns the hosts that a table admits, in an order that is the same at every controller.
 
-    The hosts of each zone and machine type are spread evenly over the ring, in the order of their
-    names.
+    The hosts of each zone and machine type are distributed evenly over the ring, in the order of
+    their names.
     """
     admitted = [host for host in host_table.ready() if table.admits(host_table, host)]
     admitted.sort(key=lambda host: host_table.name_order[host])
     groups = group_by(admitted, lambda host: (host_table.zone[host], host_table.machine_type[host]))
     positions = [
-        ((place + 0.5) / len(hosts), group_number, host)
+        ((rank + 0.5) / len(hosts), group_number, host)
         for group_number, hosts in enumerate(groups)
-        for place, host in enumerate(hosts)
+        for rank, host in enumerate(hosts)
     ]
     return [host for _, _, host in sorted(positions)]
