--- a/tests/policy/test_admission_limits.py
+++ b/tests/policy/test_admission_limits.py
@@ -1,4 +1,4 @@
-"""Admission limits follow an overload where proxies heed them."""
+"""Admission limits follow an overload if proxies support limits."""
 
 import pytest
 from support.controller_bench import feed, ready_bench
@@ -12,7 +12,7 @@
 
 
 @pytest.mark.parametrize("unit", [AdmissionUnit.RATE, AdmissionUnit.SHARE, AdmissionUnit.NONE])
-def test_limits_fall_under_overload_only_where_proxies_heed_them(unit: AdmissionUnit) -> None:
+def test_limits_fall_under_overload_only_if_proxies_support_them(unit: AdmissionUnit) -> None:
     bench = ready_bench(admission_unit=unit)
     bench.levels.clear()
     for _ in range(6):
@@ -22,9 +22,8 @@
         assert not bench.levels
         return
     full_limit = 1.0 if unit is AdmissionUnit.SHARE else 20.0
-    assert (
-        0.4 * full_limit < bench.levels[-1].limit < full_limit
-    )  # one late answer is counted once, not every turn
+    # A late response counts in one turn only, so the limit does not fall further.
+    assert 0.4 * full_limit < bench.levels[-1].limit < full_limit
     feed(bench, 25)
     assert bench.levels[-1].limit == OPEN_LIMITS[unit]
 
@@ -32,7 +31,7 @@
 @pytest.mark.parametrize(
     "latency_ms, failed, least", [(200.0, 6, 20.0), (900.0, 2, 12.0)], ids=["timely", "late"]
 )
-def test_limits_shed_nothing_for_lost_connections_and_no_more_than_is_lost(
+def test_limits_shed_nothing_for_failures_alone_and_no_more_than_fails_when_late(
     latency_ms: float, failed: int, least: float
 ) -> None:
     bench = ready_bench(admission_unit=AdmissionUnit.RATE)
--- a/tests/policy/test_host_drains.py
+++ b/tests/policy/test_host_drains.py
@@ -1,4 +1,4 @@
-"""Hosts that drain or were removed are withdrawn in time."""
+"""Draining and removed hosts are withdrawn within the drain grace."""
 
 import pytest
 from support.controller_bench import large_bench, ready_bench
@@ -19,8 +19,8 @@
 from plankroute.policy.drains import Drains
 
 
-def test_a_proxy_that_joins_is_bound_and_none_is_told_again_of_removed_hosts() -> None:
-    """Guards against drains that wait behind withdrawals repeated each time that a proxy joins."""
+def test_a_joining_proxy_is_bound_and_no_withdrawal_is_repeated() -> None:
+    """Guards against withdrawals that are repeated whenever a proxy joins, and so delay drains."""
     bench, _ = large_bench(3)
     bench.rate = bench.facts.channel_lines_per_s
     bench.pass_time(8 * SECOND)
@@ -35,13 +35,13 @@
         ]
 
 
-def test_proxies_that_can_not_be_bound_in_time_hold_no_removed_host() -> None:
+def test_proxies_that_cannot_be_bound_in_time_use_no_removed_host() -> None:
     bench, _ = large_bench(3)
     bench.pass_time(8 * SECOND)
     removed = range(100, 112)
     bench.give(changes(*[entry(host, GONE, (host - 100) % 3) for host in removed]))
     bench.pass_time(4 * SECOND)
-    bench.controller.publisher.flow.grace_slack_us = 2 * SECOND  # binds of all take three
+    bench.controller.publisher.flow.grace_slack_us = 2 * SECOND  # binding all proxies takes 3 s
     bench.give(
         *[events.ProxyLeft(p) for p in range(100)],
         *[events.ProxyJoined(p, p % 3, 1.0, False) for p in range(100)],
@@ -52,7 +52,7 @@
         assert hosts and not hosts.keys() & set(removed)
 
 
-def test_the_model_objects_to_a_controller_that_forgets_drains(
+def test_the_model_rejects_a_controller_that_writes_no_withdrawals(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(Drains, "withdraw", lambda self, host, room: 0)
@@ -62,7 +62,7 @@
         bench.pass_time(2 * SECOND)
 
 
-def release_facts(drain_grace_s: int = 4) -> StartFacts:
+def drain_facts(drain_grace_s: int = 4) -> StartFacts:
     return start_facts(
         channel_lines_per_s=800.0,
         backlog_cap_lines=6000,
@@ -77,8 +77,8 @@
     bench.give(changes(*[entry(host, DRAINING, zone=(host - 100) % 3) for host in hosts]))
 
 
-def join_from_elsewhere(bench: Bench) -> None:
-    """Forty proxies come within a second, as another controller ends."""
+def join_from_other_controller(bench: Bench) -> None:
+    """Lets forty proxies join within a second, as after the end of another controller."""
     for first in (10, 30):
         bench.give(
             *[
@@ -89,10 +89,13 @@
         bench.pass_time(SECOND // 2)
 
 
-def test_proxies_that_wait_for_first_weights_are_told_of_the_newest_drains_at_once() -> None:
-    """Guards against the last drains of a controller that ended before it wrote them."""
+def test_proxies_that_wait_for_first_weights_are_notified_of_the_newest_drains_first() -> None:
+    """Guards against drains that another controller had not written before it ended.
+
+    Its proxies join this controller and still use the draining hosts.
+    """
     older, newer = range(150, 180), range(100, 120)
-    facts = release_facts(drain_grace_s=14)
+    facts = drain_facts(drain_grace_s=14)
     bench = Bench(facts, controller=Controller(facts, 3))
     bench.give(full(*[entry(100 + n, zone=n % 3) for n in range(120)]))
     drain(bench, older)
@@ -100,11 +103,11 @@
     drain(bench, newer)
     bench.pass_time(SECOND // 5)
     bench.log.clear()
-    join_from_elsewhere(bench)
+    join_from_other_controller(bench)
     withdrawn = [
-        order.host
-        for order in bench.log
-        if isinstance(order, commands.WithdrawHost) and order.withdrawn
+        command.host
+        for command in bench.log
+        if isinstance(command, commands.WithdrawHost) and command.withdrawn
     ]
     assert set(withdrawn[:20]) == set(newer)
     publisher = bench.controller.publisher
@@ -116,11 +119,14 @@
 @pytest.mark.parametrize(
     ("older", "newer"), [(range(150, 180), range(100, 120)), (range(150, 152), range(100, 101))]
 )
-def test_proxies_from_elsewhere_hold_no_drained_host_after_a_second(
+def test_proxies_of_another_controller_use_no_drained_host_after_a_second(
     older: range, newer: range
 ) -> None:
-    """Guards against the same drains at a controller that has its weights."""
-    facts = release_facts()
+    """Guards against drains that another controller had not written before it ended.
+
+    In contrast to the previous test, this controller has decided its first weights.
+    """
+    facts = drain_facts()
     bench = Bench(facts, controller=Controller(facts, 3))
     bench.give(full(*[entry(100 + n, zone=n % 3) for n in range(120)]))
     bench.give(*[events.ProxyJoined(p, p % 3, 10.0, True) for p in range(4)])
@@ -129,7 +135,7 @@
     bench.pass_time(2 * SECOND)
     drain(bench, newer)
     bench.pass_time(SECOND // 5)
-    join_from_elsewhere(bench)
+    join_from_other_controller(bench)
     publisher = bench.controller.publisher
     assert not publisher.unbound and publisher.interim
     for proxy in range(10, 50):
@@ -138,7 +144,7 @@
 
 
 def test_hosts_that_return_are_reinstated_only_as_the_channel_has_capacity() -> None:
-    """Guards against a channel filled past its cap: a zone returns while many proxies wait."""
+    """Guards against exceeding the backlog cap when a zone returns while many proxies wait."""
     facts = start_facts(
         proxy_count=100,
         backlog_cap_lines=1500,
@@ -152,10 +158,10 @@
     zone = range(100, 160, 3)
     bench.give(changes(*[entry(host, GONE) for host in zone]))
     publisher = bench.controller.publisher
-    # They wait for the first weights, and are told of drains meanwhile.
+    # The proxies wait for the first weights and are notified of withdrawals meanwhile.
     bench.give(*[events.ProxyJoined(p, p % 3, 10.0, False) for p in range(100)])
     bench.pass_time(3 * SECOND)
     assert publisher.unbound and publisher.withdrawn
     bench.give(changes(*[entry(host) for host in zone]))
-    bench.pass_time(12 * SECOND)  # the bench objects to a queue past its cap
+    bench.pass_time(12 * SECOND)  # the bench fails if the queue exceeds the backlog cap
     assert not publisher.withdrawn
--- a/tests/policy/test_host_warmup.py
+++ b/tests/policy/test_host_warmup.py
@@ -1,4 +1,4 @@
-"""Hosts that start, or are readmitted, rise to their full weight."""
+"""Weights of started and readmitted hosts rise to their full value."""
 
 from support.controller_bench import feed, ready_bench
 from support.controller_model import (
@@ -10,7 +10,7 @@
 )
 
 
-def test_a_cold_host_enters_low_rises_and_falls_while_all_are_overloaded() -> None:
+def test_a_cold_host_starts_low_and_falls_while_all_hosts_are_overloaded() -> None:
     bench = ready_bench()
     feed(bench, 3)
     bench.give(changes(entry(200, started_us=bench.now)))
@@ -26,19 +26,19 @@
     assert 200 not in bench.lines[0] and len(bench.lines[0]) == 6
 
 
-def test_a_cold_host_stays_small_while_others_of_its_type_are_ejected_or_unknown() -> None:
-    for kind in (1, 7):  # hosts 101, 103, 105 are of kind 1, nobody of kind 7
+def test_a_cold_host_gets_few_slots_while_others_of_its_type_are_ejected_or_unknown() -> None:
+    for machine_type in (1, 7):  # hosts 101, 103 and 105 are of machine type 1, none of type 7
         bench = ready_bench()
         feed(bench, 8, time_ms=lambda host: 900.0 if host % 2 else 100.0)
-        small = bench.lines[0][101]
-        for place in (1, 3):
-            bench.controller.host_table.ejected[place] = kind == 1
-        bench.give(changes(entry(200, kind=kind, started_us=bench.now)))
+        slots_before = bench.lines[0][101]
+        for index in (1, 3):
+            bench.controller.host_table.ejected[index] = machine_type == 1
+        bench.give(changes(entry(200, kind=machine_type, started_us=bench.now)))
         bench.pass_time(SECOND)
-        assert bench.lines[0][200] <= small
+        assert bench.lines[0][200] <= slots_before
 
 
-def test_a_few_cold_hosts_do_not_take_over_for_all_the_others() -> None:
+def test_a_few_cold_hosts_do_not_replace_all_warm_hosts() -> None:
     bench = ready_bench(hosts=12)
     feed(bench, 3)
     bench.give(changes(entry(200, started_us=bench.now), entry(201, started_us=bench.now)))
@@ -49,29 +49,29 @@
     assert set(bench.picks(0, 0)) == {200, 201}
 
 
-def test_many_cold_hosts_may_share_what_few_may_not() -> None:
-    for fresh, taken in ((1, False), (12, True)):
+def test_many_cold_hosts_get_slots_in_an_overload_where_a_single_one_does_not() -> None:
+    for cold_count, has_slots in ((1, False), (12, True)):
         bench = ready_bench()
         feed(bench, 6, failed=lambda host: 6)
         started_us = bench.now - 9 * SECOND
         bench.give(
-            changes(*[entry(200 + i, zone=i % 3, started_us=started_us) for i in range(fresh)])
+            changes(*[entry(200 + i, zone=i % 3, started_us=started_us) for i in range(cold_count)])
         )
         bench.pass_time(SECOND)
-        assert (200 in bench.lines[0]) == taken
+        assert (200 in bench.lines[0]) == has_slots
 
 
-def test_a_cold_host_keeps_its_slot_in_an_overload_where_proxies_hardly_shun_hosts() -> None:
+def test_a_cold_host_keeps_its_slots_in_an_overload_with_few_attempts_per_proxy() -> None:
     bench = ready_bench(proxies=60)
     feed(bench, 3)
     bench.give(changes(entry(200, started_us=bench.now)))
     feed(bench, 6, time_ms=lambda host: 1500.0, failed=lambda host: 3)
     assert 0 < bench.lines[0][200] < bench.lines[0][101] / 2
-    feed(bench, 5, failed=lambda host: 8)  # so much may come to all that the cold ones fall
+    feed(bench, 5, failed=lambda host: 8)  # at this failure ratio, cold hosts would be overloaded
     assert 200 not in bench.lines[0]
 
 
-def test_a_restart_in_place_is_cold_again() -> None:
+def test_a_host_that_restarts_in_place_is_cold_again() -> None:
     bench = ready_bench()
     bench.give(changes(entry(100, GONE)))
     assert 100 not in bench.lines[0]
@@ -80,7 +80,7 @@
     assert bench.lines[0][100] < bench.lines[0][101] / 2
 
 
-def test_a_warm_host_that_is_readmitted_keeps_its_slot_in_an_overload() -> None:
+def test_a_warm_host_that_is_readmitted_keeps_its_slots_in_an_overload() -> None:
     bench = ready_bench(hosts=4, request_classes=(product(stays_in_zone=True),))
     feed(bench, 6, failed=lambda host: 8)
     bench.controller.hosts[0].ramp.readmission_share = 0.25
--- a/tests/policy/test_outlier_detection.py
+++ b/tests/policy/test_outlier_detection.py
@@ -1,4 +1,4 @@
-"""Suspected hosts are checked, ejected and readmitted."""
+"""Outlier detection: suspected hosts are checked, ejected and readmitted."""
 
 from dataclasses import replace
 
@@ -13,7 +13,7 @@
 from plankroute.policy.health import HostHealth
 
 
-def test_late_reports_of_all_hosts_eject_none() -> None:
+def test_no_host_is_ejected_when_reports_of_all_hosts_are_late() -> None:
     bench = ready_bench()
     feed(bench, 4)
     bench.log.clear()
@@ -21,7 +21,7 @@
     assert not probes(bench.log) and len(bench.lines[0]) == 6
 
 
-def test_a_silent_host_is_checked_ejected_and_readmitted_by_degrees() -> None:
+def test_a_silent_host_is_checked_ejected_and_readmitted_with_a_low_weight() -> None:
     bench = ready_bench(hosts=9)
     feed(bench, 4)
     bench.log.clear()
@@ -36,7 +36,7 @@
     assert 0 < bench.lines[0][100] <= bench.lines[0][101] / 2
 
 
-def test_a_suspect_is_checked_again_at_once_and_no_more_than_it_takes() -> None:
+def test_a_suspected_host_is_checked_again_at_once_until_it_is_ejected() -> None:
     bench = ready_bench(hosts=9)
     feed(bench, 6)
     for host in bench.hosts:
@@ -46,10 +46,10 @@
     bad = events.HealthCheckResult(100, HealthCheckOutcome.ERROR, 1000, None)
     assert probes(bench.give(bad)) == {100} and not bench.controller.host_table.ejected[0]
     assert not probes(bench.give(bad)) and bench.controller.host_table.ejected[0]
-    assert not probes(bench.give(replace(bad, host=101)))  # no suspect
+    assert not probes(bench.give(replace(bad, host=101)))  # host 101 is not suspected
 
 
-def test_half_of_the_hosts_may_fall_silent_but_no_more_than_three_quarters_are_ejected(
+def test_half_of_the_hosts_may_be_ejected_but_no_more_than_three_quarters(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     bench = ready_bench(hosts=12)
@@ -65,23 +65,23 @@
     assert bench.lines[0].keys() == set(range(106, 112))
     ejected = bench.controller.host_table.ejected
     monkeypatch.setattr(HostHealth, "is_suspect", lambda self, reference_ratio: True)
-    for others, spared in ((9, False), (8, True)):
-        ejected[:] = [True] * others + [False] * (12 - others)
+    for ejected_count, is_ejected in ((9, False), (8, True)):
+        ejected[:] = [True] * ejected_count + [False] * (12 - ejected_count)
         bench.give(
             *[events.HealthCheckResult(109, HealthCheckOutcome.TIMED_OUT, 500_000, None)] * 2
         )
-        assert ejected[9] is spared
+        assert ejected[9] is is_ejected
 
 
 def test_a_mass_disconnect_checks_all_hosts_and_ejects_unreachable_ones_at_once() -> None:
-    """Guards against a cut that only sums tell of, seconds late."""
+    """Guards against a network partition that only shows in decayed sums, seconds later."""
     bench = ready_bench(hosts=12, proxies=12)
     feed(bench, 3)
-    assert not probes(bench.give(events.ProxyLeft(0)))  # one alone tells nothing
+    assert not probes(bench.give(events.ProxyLeft(0)))  # a single disconnect is no mass disconnect
     bench.pass_time(2 * SECOND)
-    asked = probes(bench.give(*[events.ProxyLeft(p) for p in range(1, 8)]))
-    assert asked == set(range(100, 112))
-    near = {host for host in asked if bench.hosts[host].zone == 0}
+    checked = probes(bench.give(*[events.ProxyLeft(p) for p in range(1, 8)]))
+    assert checked == set(range(100, 112))
+    near = {host for host in checked if bench.hosts[host].zone == 0}
     bench.give(
         *[
             events.HealthCheckResult(
@@ -90,38 +90,38 @@
                 1000,
                 None,
             )
-            for host in asked
+            for host in checked
         ]
     )
     bench.pass_time(SECOND // 5)
     assert bench.lines[0].keys() == near
 
 
-def test_two_zones_of_three_that_fail_everything_are_told_from_the_one_that_serves() -> None:
+def test_two_zones_that_fail_all_requests_are_ejected_and_the_third_zone_stays() -> None:
     bench = ready_bench(hosts=12)
-    far = {host for host, item in bench.hosts.items() if item.zone}
+    far = {host for host, entry in bench.hosts.items() if entry.zone}
     feed(bench, 3)
     for _ in range(3):
         feed(bench, 1, failed=lambda host: 8 if host in far else 0)
-        asked = probes(bench.log[-40:])
+        checked = probes(bench.log[-40:])
         bench.give(
             *[
                 events.HealthCheckResult(host, HealthCheckOutcome.UNREACHABLE, 1000, None)
-                for host in asked
+                for host in checked
             ]
         )
     bench.pass_time(SECOND)
     assert bench.lines[0].keys() == bench.hosts.keys() - far
 
 
-def test_an_old_health_check_of_another_controller_counts_for_nothing() -> None:
+def test_an_outdated_health_check_of_another_controller_is_ignored() -> None:
     bench = ready_bench()
-    speed = list(bench.controller.host_table.health_check_rate)
+    previous_rates = list(bench.controller.host_table.health_check_rate)
     bench.give(
         events.HealthCheckResult(100, HealthCheckOutcome.ANSWERED, 1000, None, age_us=60 * SECOND)
     )
-    assert bench.controller.host_table.health_check_rate == speed
+    assert bench.controller.host_table.health_check_rate == previous_rates
     bench.give(
         events.HealthCheckResult(100, HealthCheckOutcome.ANSWERED, 1000, None, age_us=SECOND)
     )
-    assert bench.controller.host_table.health_check_rate != speed
+    assert bench.controller.host_table.health_check_rate != previous_rates
--- a/tests/policy/test_slot_changes.py
+++ b/tests/policy/test_slot_changes.py
@@ -1,4 +1,4 @@
-"""Slots are worked out when something moved, and written if they are worth their lines."""
+"""Slots are computed when an input changes, and written if they are worth their lines."""
 
 import pytest
 from support.controller_bench import feed, large_bench, ready_bench
@@ -22,27 +22,31 @@
     assert len(bench.lines) == 1 and len({table for table in bench.bound.values()}) == 1
     bench.log.clear()
     bench.pass_time(5 * SECOND)
-    assert not [o for o in bench.log if isinstance(o, (commands.SetRoute, commands.BindProxy))]
+    assert not [
+        command
+        for command in bench.log
+        if isinstance(command, (commands.SetRoute, commands.BindProxy))
+    ]
 
 
-def test_slots_are_worked_out_anew_only_when_something_has_moved() -> None:
-    """Guards against a tenth of a core spent on looks that find nothing new, at 500 hosts."""
+def test_slots_are_recomputed_only_when_an_input_has_changed() -> None:
+    """Guards against recomputing unchanged slots, which took a tenth of a core at 500 hosts."""
     bench = ready_bench()
     feed(bench, 3)
-    publisher, found = bench.controller.publisher, []
+    publisher, calls = bench.controller.publisher, []
     table = type(publisher.tables[0])
-    plain = table.slots
-    table.slots = lambda *words: found.append(words) or plain(*words)
+    original = table.slots
+    table.slots = lambda *args: calls.append(args) or original(*args)
     try:
         bench.pass_time(SECOND // 2)
-        turns = len(found)
+        calls_before = len(calls)
         bench.give(changes(entry(100, DRAINING, zone=0, kind=0)))
-        assert turns == 0 < len(found) and 100 not in bench.lines[0]
+        assert calls_before == 0 < len(calls) and 100 not in bench.lines[0]
         assert publisher.target.current() == [
-            plain(publisher.tables[0], bench.controller.host_table, publisher.withdrawn)
+            original(publisher.tables[0], bench.controller.host_table, publisher.withdrawn)
         ]
     finally:
-        table.slots = plain
+        table.slots = original
 
 
 def test_a_zone_left_with_ejected_and_cold_hosts_uses_the_ejected_ones() -> None:
@@ -53,10 +57,10 @@
     bench.give(changes(entry(101, DRAINING), entry(102, GONE), entry(103, started_us=bench.now)))
     bench.pass_time(SECOND // 2)
     assert 100 in bench.picks(0, 0)
-    bench.give(changes(entry(100, GONE), entry(103, GONE)))  # nobody at all: nothing to share out
+    bench.give(changes(entry(100, GONE), entry(103, GONE)))  # no host is left, which must not fail
 
 
-def test_slices_stay_as_the_store_has_them_but_drains_are_kept() -> None:
+def test_no_tables_are_written_for_sliced_keys_but_hosts_are_withdrawn() -> None:
     bench = Bench(start_facts(slices=4, slices_exclusive=True))
     bench.give(
         full(entry(1), entry(2)),
@@ -67,12 +71,12 @@
     assert not bench.lines and not bench.bound and bench.withdrawn == {1}
 
 
-def test_an_expensive_message_holds_the_slots_that_move_most_and_weights_stay_near_them() -> None:
+def test_a_constrained_channel_writes_the_largest_changes_and_bounds_the_weights() -> None:
     bench, _ = large_bench(7)
     bench.pass_time(8 * SECOND)
     bench.log.clear()
     feed(bench, 1, time_ms=lambda host: 2000.0 if host == 100 else 200.0 + host)
-    lines = [order.host for order in bench.log if isinstance(order, commands.SetRoute)]
+    lines = [command.host for command in bench.log if isinstance(command, commands.SetRoute)]
     assert lines[0] == 100 and len(lines) < 30
     bench.rate, host_table = 0.0, bench.controller.host_table
     feed(bench, 12, time_ms=lambda host: 2000.0 if host == 101 else 200.0)
@@ -82,7 +86,7 @@
     )
 
 
-def test_expensive_lines_do_not_keep_a_bad_slot_for_good() -> None:
+def test_a_wrong_slot_is_corrected_although_lines_are_expensive() -> None:
     bench, _ = large_bench(7, order=0.5)
     bench.pass_time(8 * SECOND)
     before = bench.lines[0][100]
@@ -91,10 +95,10 @@
 
 
 @pytest.mark.parametrize("latency_ms, written", [(100.0, False), (500.0, True)])
-def test_small_changes_wait_on_a_calm_day_and_are_written_where_answers_are_late(
+def test_small_changes_wait_at_low_latency_and_are_written_if_responses_are_late(
     latency_ms: float, written: bool
 ) -> None:
-    """Guards against a channel that is busy all day with moves that gain next to nothing."""
+    """Guards against a channel that is always busy with changes of hardly any benefit."""
     bench, _ = large_bench(7, order=0.02)
     bench.pass_time(8 * SECOND)
     feed(bench, 6, time_ms=lambda _: latency_ms)
--- a/tests/policy/test_subsetting.py
+++ b/tests/policy/test_subsetting.py
@@ -1,4 +1,4 @@
-"""Tables that hold a subset of the hosts."""
+"""Subsetting: tables that hold a subset of the hosts."""
 
 from dataclasses import replace
 
@@ -19,7 +19,7 @@
 
 
 def controllers_with_subsets(count: int, hosts: int, joined: int) -> list[Bench]:
-    """Returns controllers that would take half a minute to bind all proxies to whole tables."""
+    """Returns controllers that would take half a minute to bind all proxies to all hosts."""
     benches = []
     for rank in range(count):
         facts = start_facts(
@@ -40,8 +40,8 @@
     return benches
 
 
-def test_where_all_binds_take_too_long_each_host_is_in_as_many_tables_as_any_other() -> None:
-    """Guards against proxies that go by tables which nobody steers until the day is over."""
+def test_if_binds_take_too_long_each_host_is_in_the_tables_of_equally_many_controllers() -> None:
+    """Guards against proxies that wait for binds all day and use tables that nobody updates."""
     benches = controllers_with_subsets(4, 200, 60)
     held = [set(bench.lines[0]) for bench in benches]
     assert set().union(*held) == set(range(100, 300)) and sum(map(len, held)) <= 204
@@ -51,28 +51,28 @@
     bench.give(changes(entry(hosts[0], GONE, zone=(hosts[0] - 100) % 3)))
     bench.pass_time(2 * SECOND)
     after = set(bench.lines[0])
-    assert (
-        hosts[0] in before - after and len(before ^ after) <= 4
-    )  # the arc's ends alone have moved
+    # Only the ends of the arc have moved.
+    assert hosts[0] in before - after and len(before ^ after) <= 4
 
 
-def test_a_controller_with_all_proxies_keeps_its_subset_and_few_hosts_are_in_all_tables() -> None:
-    """Guards against a table that widens, a line a host at every proxy on it, while others wait.
+def test_a_controller_with_all_proxies_keeps_its_subset_and_few_hosts_need_no_subset() -> None:
+    """Guards against a subset that grows when other controllers are lost.
 
-    Binds would get longer just when there are most of them, after other controllers were lost.
+    Each added host costs a line at every proxy on the table, and makes binds longer just when most
+    proxies wait to be bound.
     """
-    alone = controllers_with_subsets(4, 200, 60)[0]
-    before = set(alone.lines[0])
+    lone_controller = controllers_with_subsets(4, 200, 60)[0]
+    before = set(lone_controller.lines[0])
     assert len(before) == 50
-    alone.give(*[events.ProxyJoined(p, p % 3, 10.0, False) for p in range(60, 240)])
-    alone.pass_time(2 * SECOND)
-    assert set(alone.lines[0]) == before
+    lone_controller.give(*[events.ProxyJoined(p, p % 3, 10.0, False) for p in range(60, 240)])
+    lone_controller.pass_time(2 * SECOND)
+    assert set(lone_controller.lines[0]) == before
     small = controllers_with_subsets(4, 20, 60)
     assert all(len(bench.lines[0]) == 20 for bench in small)
 
 
 def test_a_subset_is_as_large_as_can_be_bound_in_time() -> None:
-    """Guards against whole tables that take longer to write than a drain may, after a restart."""
+    """Guards against binds that take longer than the drain grace after a restart."""
     shared_facts = start_facts(
         controller_rank=1,
         controller_count=4,
@@ -92,11 +92,11 @@
         bench.pass_time(4 * SECOND)
         sizes[grace_s] = len(bench.lines[0])
         assert len(bench.bound) == 60
-    assert sizes == {12: 100, 3: 50}  # of 200 hosts: 3 s, and 1.3 s, of 60 proxies' lines
+    assert sizes == {12: 100, 3: 50}  # of 200 hosts; binding 60 proxies may take 3 s and 1.3 s
 
 
 def test_subsets_are_whole_shares_so_that_each_host_is_in_as_many_tables() -> None:
-    """Guards against hosts that are in two controllers' tables beside others that are in one."""
+    """Guards against uneven load: some hosts in the tables of two controllers, others of one."""
     sizes = {}
     for count, channel_lines_per_s in ((5, 2000.0), (2, 500.0)):
         held: list[int] = []
@@ -117,14 +117,14 @@
             bench.pass_time(SECOND)
             held += bench.lines[0]
         sizes[count] = {held.count(host) for host in range(100, 300)}
-    assert sizes == {5: {3}, 2: {2}}  # of two, either may be left with all proxies: no subsets
+    assert sizes == {5: {3}, 2: {2}}  # two use no subsets: either may be left with all proxies
 
 
-def test_hosts_outside_the_subset_are_not_suspected_for_their_silence() -> None:
+def test_hosts_outside_the_subset_are_not_suspected_when_they_have_no_statistics() -> None:
     bench, *_ = controllers_with_subsets(4, 200, 60)
     bench.log.clear()
-    mine = set(bench.lines[0])
-    feed(bench, 8, skip=tuple(set(bench.hosts) - mine))
+    own_hosts = set(bench.lines[0])
+    feed(bench, 8, skip=tuple(set(bench.hosts) - own_hosts))
     host_table = bench.controller.host_table
     assert host_table.outside_subset and not any(
         bench.controller.hosts[i].health.is_silent() for i in host_table.outside_subset
@@ -136,7 +136,7 @@
 
 
 def test_a_subset_widens_until_it_holds_enough_warm_hosts() -> None:
-    """Guards against whole tables, slow to bind, after half of the hosts were replaced."""
+    """Guards against tables of all hosts, slow to bind, after half of the hosts were replaced."""
     facts = start_facts(
         controller_rank=1,
         controller_count=5,
@@ -148,20 +148,27 @@
         health_checks_allowed=False,
     )
     bench = Bench(facts, controller=Controller(facts, 1))
-    new = bench.now - SECOND
-    bench.give(full(*[entry(100 + n, zone=n % 3, started_us=new * (n % 2)) for n in range(200)]))
+    started_us = bench.now - SECOND
+    bench.give(
+        full(*[entry(100 + n, zone=n % 3, started_us=started_us * (n % 2)) for n in range(200)])
+    )
     bench.give(*[events.ProxyJoined(p, p % 3, 10.0, True) for p in range(60)])
     bench.pass_time(SECOND)
     assert 40 <= len(bench.lines[0]) <= 60
 
 
-def test_a_subset_that_moves_on_gives_up_no_host_before_others_stand_in() -> None:
-    """Guards against tables of a few hosts: old ones went at once, new ones came later."""
+def test_hosts_that_leave_a_moved_subset_are_not_removed_urgently() -> None:
+    """Guards against tables with few hosts: old hosts were removed before new ones were added."""
     bench = controllers_with_subsets(4, 200, 60)[0]
     host_table, publisher = bench.controller.host_table, bench.controller.publisher
     before = set(bench.lines[0])
     publisher.subsetting.start = 0.1
-    publisher.target.invalidate()  # as if warm hosts had come and gone beside it
-    left = [change for change in publisher.slot_changes.list_changes(bench.now) if not change.count]
-    assert 10 < len(left) < 30 and {host_table.host_ids[change.index] for change in left} < before
-    assert not any(change.urgent for change in left)
+    publisher.target.invalidate()  # as if warm hosts had been added and removed
+    removals = [
+        change for change in publisher.slot_changes.list_changes(bench.now) if not change.count
+    ]
+    assert (
+        10 < len(removals) < 30
+        and {host_table.host_ids[change.index] for change in removals} < before
+    )
+    assert not any(change.urgent for change in removals)
--- a/tests/policy/test_weight_controller.py
+++ b/tests/policy/test_weight_controller.py
@@ -1,4 +1,4 @@
-"""The weights of hosts follow their fill."""
+"""Weight controller: the weights of hosts follow their fill."""
 
 import pytest
 from support.controller_bench import feed, ready_bench
@@ -14,7 +14,7 @@
 from plankroute.events import events
 
 
-def test_the_pid_moves_weight_from_slow_hosts_to_fast_ones() -> None:
+def test_weight_moves_from_slow_hosts_to_fast_ones() -> None:
     bench = ready_bench()
     before = dict(bench.lines[0])
     feed(bench, 12, time_ms=lambda host: 600.0 if host == 100 else 200.0)
@@ -22,7 +22,8 @@
     assert sum(bench.lines[0].values()) == pytest.approx(sum(before.values()), abs=3)
 
 
-def test_a_stale_report_does_not_kick_the_derivative() -> None:
+def test_a_turn_without_new_statistics_leaves_the_control_error_unchanged() -> None:
+    """Guards against a derivative that is computed from stale statistics."""
     bench = ready_bench()
     feed(bench, 4, time_ms=lambda host: 400.0 if host == 100 else 200.0)
     host_table = bench.controller.host_table
@@ -35,7 +36,7 @@
 def test_a_controller_without_statistics_keeps_its_weights() -> None:
     bench = ready_bench()
     feed(bench, 2, time_ms=lambda host: 900.0 if host == 100 else 200.0)
-    bench.pass_time(2 * SECOND)  # its slots are written
+    bench.pass_time(2 * SECOND)  # its changed slots are written
     host_table = bench.controller.host_table
     host_table.integral[:] = [0.0] * len(host_table.integral)
     before = list(host_table.weight)
@@ -43,8 +44,8 @@
     assert host_table.weight == pytest.approx(before)
 
 
-def test_turns_keep_behind_statistics_that_come_together() -> None:
-    """Guards against news that wait up to a turn."""
+def test_turns_run_shortly_after_a_round_of_statistics() -> None:
+    """Guards against statistics that wait for up to a turn."""
     bench = ready_bench()
     feed(bench, 4)
     bench.give(
@@ -55,14 +56,14 @@
     assert not any(bench.controller.host_table.heard_since_turn)
 
 
-def test_load_from_other_controllers_counts() -> None:
+def test_load_from_other_controllers_is_included_in_fill() -> None:
     bench = Bench(start_facts(request_classes=(product(), product(stays_in_zone=True))))
     bench.give(
         full(*[entry(100 + i, zone=i % 3) for i in range(9)]), events.ProxyJoined(0, 1, 10.0, True)
     )
-    for _ in range(
-        8
-    ):  # this controller's proxy brings one zone little; hosts there hold three times as much
+    # This controller's proxy brings few requests to zone 0, whose hosts have three times as many
+    # requests in flight as the others.
+    for _ in range(8):
         bench.give(
             *[
                 events.HostRequestStats(
@@ -81,7 +82,7 @@
     assert bench.lines[0][100] < bench.lines[0][101]
 
 
-def test_fast_errors_do_not_attract_weight() -> None:
+def test_a_host_that_fails_fast_gains_no_weight() -> None:
     bench = ready_bench()
     before = bench.lines[0][101]
     feed(
@@ -97,7 +98,8 @@
     bench = Bench(start_facts(request_classes=(product(), product(zones=(0, 1)))))
     bench.give(full(*[entry(100 + i, zone=i % 3) for i in range(6)]))
     bench.give(events.ProxyJoined(0, 0, 10.0, True))
-    for _ in range(10):  # zone 2 has a third of the tries and longer work, and holds less for it
+    # Zone 2 gets a third of the attempts, with longer latency, and has fewer requests in flight.
+    for _ in range(10):
         bench.give(
             *[
                 events.HostRequestStats(
@@ -117,7 +119,7 @@
 
 
 def test_a_stalled_host_that_is_silent_does_not_count_as_idle() -> None:
-    """Guards against a host that answers nobody, so brings no statistics, and keeps its weight."""
+    """Guards against a host that answers no request, so has no statistics, but keeps its weight."""
     bench = ready_bench(hosts=9)
     feed(bench, 6)
     feed(bench, 1, time_ms=lambda host: 9000.0 if host == 100 else 200.0)
