--- a/tests/policy/test_first_weights.py
+++ b/tests/policy/test_first_weights.py
@@ -1,4 +1,4 @@
-"""Weights before the controller has statistics of its own."""
+"""First weights: the weights before the controller has statistics of its own."""
 
 import math
 import random
@@ -21,7 +21,7 @@
 
 
 def test_a_restarted_controller_takes_over_the_weights_of_old_tables() -> None:
-    """Guards against even weights where old tables were right: attempts tell their weights."""
+    """Guards against equal weights after a restart, although attempts show the weights in use."""
     bench = Bench(start_facts(proxy_count=30, drain_grace_us=7 * SECOND))
     bench.give(
         full(*[entry(100 + i, zone=i % 3, kind=i % 2) for i in range(12)], entry(200), entry(201))
@@ -36,55 +36,54 @@
             ]
         )
         bench.pass_time(SECOND // 2)
-        bench.controller.publisher.flow.round_trip_lines = (
-            100.0  # a channel that is busy with withdrawals
-        )
+        # As if the channel were busy with withdrawals.
+        bench.controller.publisher.flow.round_trip_lines = 100.0
         bench.give(changes(entry(host, DRAINING)))
         bench.rate = 0.0
         bench.pass_time(SECOND // 2)
-    assert bench.bound and bench.lines[0][101] > 2 * bench.lines[0][100]  # binds carry it already
+    # The first binds include the weights.
+    assert bench.bound and bench.lines[0][101] > 2 * bench.lines[0][100]
     bench.rate = bench.facts.channel_lines_per_s
     bench.pass_time(SECOND)
     assert len(bench.bound) == 30
-    fresh = ready_bench(proxies=2)
-    assert fresh.bound  # there is nothing to take over yet: at once
+    new_bench = ready_bench(proxies=2)
+    assert new_bench.bound  # bound at once, since there are no old tables
 
 
 @pytest.mark.parametrize("weight, health_checks_allowed", [(0.0, True), (0.0, False), (2.0, True)])
-def test_first_health_checks_tell_the_speed_of_hosts_without_listed_sizes(
+def test_first_health_checks_measure_the_speed_of_hosts_without_listed_sizes(
     weight: float, health_checks_allowed: bool
 ) -> None:
-    """Guards against even weights until the first statistics, seconds after the first requests."""
+    """Guards against equal weights until the first statistics, seconds after the first requests."""
     bench = Bench(start_facts(health_checks_allowed=health_checks_allowed))
     bench.give(full(*[entry(100 + i, kind=i % 2, weight=weight * (1 + i)) for i in range(6)]))
-    asked = probes(bench.give(events.ProxyJoined(0, 0, 10.0, True)))
-    assert asked == (bench.hosts.keys() if health_checks_allowed and not weight else set())
-    took = {host: 10_000 + host % 2 * 15_000 for host in asked} | {
-        100: 1
-    }  # one seems to answer at once
+    checked = probes(bench.give(events.ProxyJoined(0, 0, 10.0, True)))
+    assert checked == (bench.hosts.keys() if health_checks_allowed and not weight else set())
+    # Host 100 appears to answer at once.
+    took_us = {host: 10_000 + host % 2 * 15_000 for host in checked} | {100: 1}
     bench.give(
         *[
-            events.HealthCheckResult(host, HealthCheckOutcome.ANSWERED, took[host], None)
-            for host in asked
+            events.HealthCheckResult(host, HealthCheckOutcome.ANSWERED, took_us[host], None)
+            for host in checked
         ]
     )
     bench.pass_time(SECOND // 10)
     lines = bench.lines[0]
     assert (
         bench.bound
-        and (lines[102] > 1.5 * lines[101]) is bool(asked)
+        and (lines[102] > 1.5 * lines[101]) is bool(checked)
         and lines[100] < 2 * lines[102]
     )
 
 
-def test_a_first_health_check_without_an_answer_does_not_hold_up_binds() -> None:
+def test_a_first_health_check_without_an_answer_does_not_delay_binds_for_long() -> None:
     bench = Bench(start_facts())
     bench.give(full(*[entry(100 + i) for i in range(6)]))
-    asked = probes(bench.give(events.ProxyJoined(0, 0, 10.0, True)))
+    checked = probes(bench.give(events.ProxyJoined(0, 0, 10.0, True)))
     bench.give(
         *[
             events.HealthCheckResult(host, HealthCheckOutcome.ANSWERED, 10_000, None)
-            for host in asked - {100}
+            for host in checked - {100}
         ]
     )
     bench.pass_time(SECOND // 10)
@@ -93,36 +92,36 @@
     assert bench.bound and 0 < bench.lines[0][100] < bench.lines[0][101]
 
 
-def test_a_restarted_controller_without_reports_in_time_goes_by_health_checks() -> None:
-    """Guards against even weights after a restart with a drain grace too short for reports."""
+def test_a_restarted_controller_without_reports_in_time_uses_health_checks() -> None:
+    """Guards against equal weights after a restart if the drain grace is too short for reports."""
     bench = Bench(start_facts(drain_grace_us=2 * SECOND))
     bench.give(full(*[entry(100 + i, kind=i % 2) for i in range(6)]))
-    asked = probes(bench.give(events.ProxyJoined(0, 0, 10.0, False)))
-    took = {host: 10_000 + host % 2 * 20_000 for host in asked}
+    checked = probes(bench.give(events.ProxyJoined(0, 0, 10.0, False)))
+    took_us = {host: 10_000 + host % 2 * 20_000 for host in checked}
     bench.give(
         *[
-            events.HealthCheckResult(host, HealthCheckOutcome.ANSWERED, took[host], None)
-            for host in asked
+            events.HealthCheckResult(host, HealthCheckOutcome.ANSWERED, took_us[host], None)
+            for host in checked
         ]
     )
     bench.pass_time(2 * SECOND)
-    assert asked == set(range(100, 106)) and bench.lines[0][100] > 2 * bench.lines[0][101]
+    assert checked == set(range(100, 106)) and bench.lines[0][100] > 2 * bench.lines[0][101]
 
 
-def test_first_weights_go_by_the_health_checks_that_were_answered_in_time() -> None:
-    """Guards against a machine type that counts hundreds of times as much as the others.
+def test_first_weights_use_the_health_checks_that_were_answered_in_time() -> None:
+    """Guards against weights that differ by a factor of hundreds between machine types.
 
-    One host answers at once, and of another type fewer than half have answered when binds can wait
-    no longer.
+    One host answers at once, and fewer than half of the hosts of another machine type have answered
+    when binds can wait no longer.
     """
     bench = Bench(start_facts())
     bench.give(full(*[entry(100 + i, kind=i % 2) for i in range(20)]))
     bench.give(events.ProxyJoined(0, 0, 10.0, True))
-    took = {host: 10_000 for host in range(100, 120) if host % 2 == 0 or host < 108} | {100: 1}
+    took_us = {host: 10_000 for host in range(100, 120) if host % 2 == 0 or host < 108} | {100: 1}
     bench.give(
         *[
-            events.HealthCheckResult(host, HealthCheckOutcome.ANSWERED, took[host], None)
-            for host in took
+            events.HealthCheckResult(host, HealthCheckOutcome.ANSWERED, took_us[host], None)
+            for host in took_us
         ]
     )
     bench.pass_time(SECOND // 2)
@@ -133,16 +132,19 @@
 def test_a_controller_with_too_few_reports_to_take_weights_over_does_not_wait_forever() -> None:
     bench = Bench(start_facts())
     bench.give(full(entry(100), entry(101)), events.ProxyJoined(0, 0, 1.0, False))
-    bench.give(changes(entry(100, DRAINING)))  # withdrawn even while binds wait
+    bench.give(changes(entry(100, DRAINING)))  # withdrawn although binds wait
     assert commands.WithdrawHost(100, True) in bench.log
     bench.pass_time(7 * SECOND)
     assert bench.bound and bench.lines[0][101] > 0
 
 
 def test_first_tables_of_many_controllers_do_not_favour_the_same_few_hosts() -> None:
-    """All start at once with the same shared health checks: what a host gets of all is bounded."""
+    """Guards against overload by controllers that start together and share their health checks.
+
+    The share that a host gets in the tables of all controllers together is bounded.
+    """
     rng, total = random.Random(5), dict.fromkeys(range(100, 160), 0.0)
-    took = {host: int(math.exp(rng.gauss(9.0, 0.6))) for host in total}
+    took_us = {host: int(math.exp(rng.gauss(9.0, 0.6))) for host in total}
     for seed in range(20):
         bench = Bench(
             start_facts(controller_count=20),
@@ -153,7 +155,7 @@
         bench.give(
             *[
                 events.HealthCheckResult(
-                    host, HealthCheckOutcome.ANSWERED, took[host], None, age_us=SECOND
+                    host, HealthCheckOutcome.ANSWERED, took_us[host], None, age_us=SECOND
                 )
                 for host in total
                 if rng.random() < 0.9
--- a/tests/policy/test_flow_control.py
+++ b/tests/policy/test_flow_control.py
@@ -1,4 +1,4 @@
-"""What is written, and what waits, while the channel is busy."""
+"""Flow control: what is written and what waits while the channel is busy."""
 
 import math
 import random
@@ -22,7 +22,7 @@
 from plankroute.state.publishing_status import LineKind
 
 
-def test_ordinary_lines_wait_while_proxies_do_not_acknowledge_but_drains_do_not() -> None:
+def test_deferrable_lines_wait_for_acknowledgements_but_drains_do_not() -> None:
     bench = ready_bench(backlog_cap_lines=400)
     bench.rate = 0.0
     feed(bench, 20, time_ms=lambda host: random.Random(host + bench.now).uniform(50, 900))
@@ -31,12 +31,13 @@
 
 
 @pytest.mark.parametrize("grace_s", [2, 4, 30])
-def test_after_a_restart_proxies_are_bound_within_the_grace_whatever_they_bring(
+def test_after_a_restart_all_proxies_are_bound_within_the_drain_grace(
     grace_s: int,
 ) -> None:
-    """Guards against hosts that were removed before the restart.
+    """Guards against the use of hosts that were removed before the restart.
 
-    No list names them any more, so tables that still do have to be replaced within the grace.
+    The endpoint list does not name them any longer, so they cannot be withdrawn: old tables that
+    hold them have to be replaced within the drain grace.
     """
     facts = start_facts(proxy_count=30, drain_grace_us=grace_s * SECOND)
     bench = Bench(facts)
@@ -48,8 +49,8 @@
     assert len(bench.bound) == 30
 
 
-def test_a_table_longer_than_binds_may_queue_is_bound_all_the_same() -> None:
-    """Guards against proxies that are never bound: 500 hosts and 2,000 lines a second."""
+def test_a_table_longer_than_the_bind_allowance_is_still_bound() -> None:
+    """Guards against proxies that are never bound, with 500 hosts and 2,000 lines per second."""
     bench = Bench(
         start_facts(
             one_way_delay_us=0, max_one_way_delay_us=0, drain_grace_us=3 * SECOND, proxy_count=9
@@ -62,7 +63,7 @@
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_many_proxies_keep_the_rules_through_waves_and_disconnects(seed: int) -> None:
+def test_no_rule_is_broken_when_many_hosts_change_and_proxies_reconnect(seed: int) -> None:
     bench, rng = large_bench(seed)
     for _ in range(6):
         host = rng.randrange(100, 150)
@@ -81,16 +82,16 @@
                     )
                 )
             case _:
-                again = rng.sample(range(100), 50)
-                bench.give(*[events.ProxyLeft(p) for p in again])
-                bench.give(*[events.ProxyJoined(p, p % 3, 1.0, False) for p in again])
+                rejoining = rng.sample(range(100), 50)
+                bench.give(*[events.ProxyLeft(p) for p in rejoining])
+                bench.give(*[events.ProxyJoined(p, p % 3, 1.0, False) for p in rejoining])
         feed(bench, 2, time_ms=lambda _: math.exp(rng.gauss(5.5, 1.0)))
     bench.pass_time(10 * SECOND)
     assert len(bench.bound) == 100
 
 
-def test_proxies_on_standing_tables_are_bound_while_slots_move_and_hosts_are_removed() -> None:
-    """Guards against proxies left without an endpoint: slots filled the channel turn by turn."""
+def test_proxies_are_bound_while_slots_change_and_hosts_are_removed() -> None:
+    """Guards against proxies without an endpoint, when slot changes fill the channel every turn."""
     facts = start_facts(
         channel_lines_per_s=600.0,
         backlog_cap_lines=6000,
@@ -102,26 +103,26 @@
     bench = Bench(facts, controller=Controller(facts, 3))
     bench.give(full(*[entry(100 + n, zone=n % 3) for n in range(60)]))
     bench.give(*[events.ProxyJoined(p, p % 3, 10.0 / (1 + p), True) for p in range(40)])
-    gone = []
+    drained = []
     for turn in range(14):
         if turn in (2, 4):
-            gone += range(100 + 9 * (turn // 2 - 1), 109 + 9 * (turn // 2 - 1))
-            bench.give(changes(*[entry(host, DRAINING, zone=(host - 100) % 3) for host in gone]))
+            drained += range(100 + 9 * (turn // 2 - 1), 109 + 9 * (turn // 2 - 1))
+            bench.give(changes(*[entry(host, DRAINING, zone=(host - 100) % 3) for host in drained]))
         bench.give(
             *[
                 events.HostRequestStats(
                     host, 0, 40, 0, 200_000 * (1 + (host + turn) % 7), SECOND, None
                 )
                 for host in range(100, 160)
-                if host not in gone
+                if host not in drained
             ]
         )
         bench.pass_time(SECOND)
     assert not bench.controller.publisher.unbound
 
 
-def test_a_busy_channel_holds_up_what_is_urgent_for_a_turn_at_most() -> None:
-    """Guards against ejected hosts that stay in the tables for a third of a long drain grace."""
+def test_a_busy_channel_delays_an_ejection_by_at_most_a_turn() -> None:
+    """Guards against ejected hosts that stay in tables for a third of a long drain grace."""
     facts = start_facts(
         proxy_count=100,
         backlog_cap_lines=40_000,
@@ -133,10 +134,8 @@
     bench.give(*[events.ProxyJoined(p, p % 3, 5.0, True) for p in range(100)])
     bench.pass_time(8 * SECOND)
     publisher = bench.controller.publisher
-    publisher.flow.round_trip_lines, publisher.last_message_us = (
-        0.0,
-        bench.now,
-    )  # as if it had just written, and more still waits
+    # As if a message had just been written and its lines were still queued.
+    publisher.flow.round_trip_lines, publisher.last_message_us = 0.0, bench.now
     publisher.channel.charge([0], 1, LineKind.SLOT)
     bench.controller.host_table.ejected[0] = True
     bench.pass_time(SECOND // 2)
--- a/tests/policy/test_interim_tables.py
+++ b/tests/policy/test_interim_tables.py
@@ -1,4 +1,4 @@
-"""Interim tables share out all hosts, and follow the hosts that leave, come and warm up."""
+"""Interim tables divide all hosts, and follow hosts that leave, are added or warm up."""
 
 import pytest
 from support.controller_bench import probes
@@ -18,11 +18,11 @@
 from plankroute.state.published_table import InterimTable
 
 HOSTS = range(100, 220)
-NEWCOMERS = range(10, 58)
+JOINING_PROXIES = range(10, 58)
 
 
 def bench_on_interim_tables(**facts: object) -> Bench:
-    """A controller with a few proxies, to which those of others come while many hosts drain."""
+    """Returns a controller with few proxies, which those of others join while many hosts drain."""
     bench = Bench(
         start_facts(
             **{
@@ -43,7 +43,7 @@
     bench.give(changes(*[entry(host, DRAINING, host % 3) for host in HOSTS[:50]]))
     bench.pass_time(SECOND)
     bench.give(
-        *[events.ProxyJoined(proxy, proxy % 3, 5.0 + proxy % 4, False) for proxy in NEWCOMERS]
+        *[events.ProxyJoined(proxy, proxy % 3, 5.0 + proxy % 4, False) for proxy in JOINING_PROXIES]
     )
     bench.pass_time(SECOND // 5)
     assert bench.controller.publisher.interim
@@ -61,13 +61,13 @@
 def test_each_ready_host_is_in_one_interim_table_and_the_load_of_all_is_even() -> None:
     bench = bench_on_interim_tables()
     publisher = bench.controller.publisher
-    held = [host for table in publisher.interim_tables for host in hosts_in(bench, table)]
-    assert sorted(held) == list(HOSTS[50:])
+    held_hosts = [host for table in publisher.interim_tables for host in hosts_in(bench, table)]
+    assert sorted(held_hosts) == list(HOSTS[50:])
     rates = [table.rate / sum(table.published.values()) for table in publisher.interim_tables]
     assert max(rates) < 1.5 * min(rates)
 
 
-def test_a_host_that_drains_leaves_its_interim_table_and_a_new_host_comes() -> None:
+def test_a_draining_host_leaves_its_interim_table_and_a_new_host_is_added() -> None:
     bench = bench_on_interim_tables()
     publisher = bench.controller.publisher
     drained = min(hosts_in(bench, used_tables(publisher)[0]))
@@ -82,7 +82,7 @@
 
 
 def test_an_interim_table_that_loses_most_of_its_hosts_gets_others() -> None:
-    """Guards against proxies without a host to pick."""
+    """Guards against proxies without an endpoint."""
     bench = bench_on_interim_tables()
     table = used_tables(bench.controller.publisher)[0]
     drained = hosts_in(bench, table)
@@ -91,8 +91,8 @@
     assert len(hosts_in(bench, table) - drained) >= len(drained) // 2
 
 
-def test_the_last_hosts_of_an_interim_table_stay_where_no_others_can_be_had() -> None:
-    """Guards against proxies without a host to pick: all hosts are ejected together."""
+def test_the_last_hosts_of_an_interim_table_stay_if_no_others_are_available() -> None:
+    """Guards against proxies without an endpoint when all hosts are ejected together."""
     bench = bench_on_interim_tables()
     host_table = bench.controller.host_table
     for index in host_table.ready():
@@ -102,7 +102,7 @@
     assert all(hosts_in(bench, table) for table in used_tables(bench.controller.publisher))
 
 
-def test_a_cold_host_gets_no_more_of_an_interim_table_than_its_capacity() -> None:
+def test_a_cold_host_gets_at_most_half_the_slots_of_a_warm_one_in_an_interim_table() -> None:
     bench = bench_on_interim_tables()
     table = used_tables(bench.controller.publisher)[0]
     host = min(hosts_in(bench, table))
@@ -118,58 +118,56 @@
     publisher = bench.controller.publisher
     publisher.handle(commands.SetAdmissionLimit(0, (0,), 0.5, commands.RetryPolicy.IF_NOT_EXECUTED))
     bench.pass_time(2 * SECOND)
-    limited = {order.table for order in bench.levels if order.limit == 0.5}
+    limited = {limit.table for limit in bench.levels if limit.limit == 0.5}
     assert limited >= {0, *(table.number for table in used_tables(publisher))}
 
 
-def test_all_proxies_of_the_fleet_fit_the_grace_beside_ordinary_lines() -> None:
+def test_all_proxies_of_the_fleet_can_be_bound_in_the_grace_beside_deferrable_lines() -> None:
     bench = bench_on_interim_tables()
     publisher = bench.controller.publisher
-    rows = publisher.interim_binder.tables.hosts_per_table
-    lines = (rows + 2 + bench.facts.message_overhead_lines) * bench.facts.proxy_count
+    hosts_per_table = publisher.interim_binder.tables.hosts_per_table
+    lines = (hosts_per_table + 2 + bench.facts.message_overhead_lines) * bench.facts.proxy_count
     slack_us = bench.facts.drain_grace_us - bench.facts.max_one_way_delay_us
-    carried = bench.facts.channel_lines_per_s * slack_us / SECOND
-    assert lines + publisher.flow.allowance <= carried * 1.01
+    lines_in_grace = bench.facts.channel_lines_per_s * slack_us / SECOND
+    assert lines + publisher.flow.allowance <= lines_in_grace * 1.01
 
 
 def test_a_proxy_that_leaves_is_on_no_interim_table() -> None:
     bench = bench_on_interim_tables()
     publisher = bench.controller.publisher
-    bench.give(*[events.ProxyLeft(proxy) for proxy in NEWCOMERS])
+    bench.give(*[events.ProxyLeft(proxy) for proxy in JOINING_PROXIES])
     assert not publisher.interim and not used_tables(publisher)
     assert not probes(bench.log)
     assert all(abs(table.rate) < 1e-6 for table in publisher.interim_tables)
 
 
-def test_complete_tables_of_a_subset_take_an_even_share_where_most_of_the_fleet_has_joined() -> (
-    None
-):
-    """Guards against the requests of the whole fleet on the subset of one controller."""
+def test_complete_tables_of_a_subset_serve_an_even_share_if_most_of_the_fleet_has_joined() -> None:
+    """Guards against overload of one controller's subset by the requests of the whole fleet."""
     bench = bench_on_interim_tables(controller_count=5, controller_rank=1, proxy_count=120)
     publisher = bench.controller.publisher
     bench.pass_time(30 * SECOND)
     assert len(publisher.bound) == bench.facts.proxy_count // 5
-    assert len(publisher.interim) == 4 + len(NEWCOMERS) - len(publisher.bound)
+    assert len(publisher.interim) == 4 + len(JOINING_PROXIES) - len(publisher.bound)
 
 
-def test_complete_tables_of_a_subset_take_all_where_few_more_have_joined_than_usual() -> None:
-    """Guards against interim tables that are left to proxies of controllers that restart."""
+def test_complete_tables_of_a_subset_serve_all_proxies_if_few_more_have_joined_than_usual() -> None:
+    """Guards against proxies of restarting controllers that stay on interim tables."""
     bench = bench_on_interim_tables(controller_count=5, controller_rank=1, proxy_count=150)
     publisher = bench.controller.publisher
     bench.pass_time(60 * SECOND)
-    assert len(publisher.bound) == 4 + len(NEWCOMERS) and not publisher.interim
+    assert len(publisher.bound) == 4 + len(JOINING_PROXIES) and not publisher.interim
 
 
 def test_proxies_return_to_complete_tables_that_hold_all_hosts() -> None:
     bench = bench_on_interim_tables()
     publisher = bench.controller.publisher
     bench.pass_time(60 * SECOND)
-    assert len(publisher.bound) == 4 + len(NEWCOMERS)
+    assert len(publisher.bound) == 4 + len(JOINING_PROXIES)
     assert not publisher.interim and not used_tables(publisher)
 
 
 def test_a_cold_host_counts_for_less_in_a_table_with_few_slots_for_its_users() -> None:
-    """Guards against a cold host that is overloaded by a table whose other hosts have left."""
+    """Guards against overload of a cold host in a table whose other hosts have left."""
     bench = bench_on_interim_tables()
     tables = bench.controller.publisher.interim_binder.tables
     table = used_tables(bench.controller.publisher)[0]
--- a/tests/policy/test_joins_during_release.py
+++ b/tests/policy/test_joins_during_release.py
@@ -1,4 +1,4 @@
-"""Most controllers are killed during a release: their proxies come to one that is left."""
+"""Most controllers are killed during a release, and their proxies join a remaining one."""
 
 import random
 from typing import Any
@@ -22,22 +22,22 @@
 HOSTS = 200
 PROXIES = 240
 CONTROLLERS = 5
-BATCH = 30  # hosts that are replaced at a time
-OLD_TABLE = 100
+BATCH = 30  # number of hosts that are replaced at a time
+OLD_TABLE_SIZE = 100  # number of hosts in the tables that joining proxies hold
 
 
-PLAIN = (product(), product(), product())
-SITES: dict[str, dict[str, Any]] = {
-    "one table": {"request_classes": PLAIN},
-    "with limits": {"request_classes": PLAIN, "admission_unit": AdmissionUnit.SHARE},
+PLAIN_CLASSES = (product(), product(), product())
+SITE_FACTS: dict[str, dict[str, Any]] = {
+    "one table": {"request_classes": PLAIN_CLASSES},
+    "with limits": {"request_classes": PLAIN_CLASSES, "admission_unit": AdmissionUnit.SHARE},
     "two tables": {"request_classes": (product(), product(stays_in_zone=True))},
 }
 
 
-def model(site: str, pace: float, seed: int) -> FleetModel:
-    """A small day at the pace of the operators' channel: nine lines a proxy and second."""
+def build_fleet(site: str, pace: float, seed: int) -> FleetModel:
+    """Returns a small fleet with the operators' channel pace: nine lines per proxy and second."""
     facts = start_facts(
-        **SITES[site],
+        **SITE_FACTS[site],
         controller_count=CONTROLLERS,
         controller_rank=2,
         proxy_count=PROXIES,
@@ -58,7 +58,7 @@
 
 
 class Release:
-    """Replaces hosts batch by batch; each is listed draining first, and removed later."""
+    """Replaces hosts batch by batch; each batch is listed draining first and removed later."""
 
     def __init__(self, fleet: FleetModel) -> None:
         self.fleet = fleet
@@ -70,7 +70,7 @@
         first = self.next_old
         self.next_old += BATCH
         drained = [entry(host, DRAINING, host % 3) for host in range(first, first + BATCH)]
-        gone = [
+        removed = [
             entry(host, GONE, host % 3)
             for host in range(first - 2 * BATCH, first - BATCH)
             if host >= 0
@@ -78,7 +78,9 @@
         new = range(self.next_new, self.next_new + BATCH)
         self.next_new += BATCH
         started_us = self.fleet.now
-        self.fleet.give(changes(*drained, *gone, *[host_entry(host, started_us) for host in new]))
+        self.fleet.give(
+            changes(*drained, *removed, *[host_entry(host, started_us) for host in new])
+        )
 
 
 @pytest.mark.parametrize(
@@ -95,9 +97,9 @@
 def test_proxies_of_killed_controllers_use_no_drained_host_after_the_grace(
     site: str, pace: float, seed: int
 ) -> None:
-    """Guards against drained hosts in old tables while withdrawals and binds hold each other up."""
+    """Guards against drained hosts in old tables while withdrawals and binds delay each other."""
     rng = random.Random(seed)
-    fleet = model(site, pace, seed)
+    fleet = build_fleet(site, pace, seed)
     fleet.give(full(*[host_entry(host) for host in range(HOSTS)]))
     own = range(PROXIES // CONTROLLERS)
     fleet.join(own, range(HOSTS))
@@ -107,8 +109,8 @@
     fleet.pass_time(rng.randrange(1, 3) * SECOND)
     others = list(range(len(own), PROXIES))
     rng.shuffle(others)
-    while others:  # over a second and a half, each from another controller's subset
-        old_hosts = rng.sample(range(HOSTS), OLD_TABLE)
+    while others:  # in about 1.5 s; each batch holds another controller's subset
+        old_hosts = rng.sample(range(HOSTS), OLD_TABLE_SIZE)
         fleet.join([others.pop() for _ in range(min(12, len(others)))], old_hosts)
         fleet.pass_time(SECOND // 10)
         if len(others) == PROXIES // 2:
@@ -117,7 +119,7 @@
         fleet.pass_time(int(rng.uniform(1.5, 2.5) * SECOND / pace))
         release.step()
     publisher = fleet.controller.publisher
-    while len(publisher.bound) < len(own):  # complete tables are meant for an even share
+    while len(publisher.bound) < len(own):  # complete tables serve an even share of the proxies
         fleet.pass_time(SECOND)
         assert fleet.now < 200 * SECOND
     fleet.pass_time(5 * SECOND)
--- a/tests/policy/test_policy_rules.py
+++ b/tests/policy/test_policy_rules.py
@@ -1,4 +1,4 @@
-"""Generated days beside the plain model of the rules."""
+"""Generated sequences of events, checked against a plain model of the rules."""
 
 import random
 
@@ -33,9 +33,9 @@
 
 
 @pytest.mark.parametrize("seed", range(12))
-def test_generated_days_keep_the_rules(seed: int) -> None:
+def test_generated_days_break_no_rule(seed: int) -> None:
     rng = random.Random(seed)
-    products = rng.choice(
+    request_classes = rng.choice(
         [
             (product(),),
             (product(), product(zones=(0, 1))),
@@ -43,7 +43,7 @@
         ]
     )
     facts = start_facts(
-        request_classes=products,
+        request_classes=request_classes,
         report_source=rng.choice(list(ReportSource)),
         admission_unit=rng.choice(list(AdmissionUnit)),
         health_checks_allowed=rng.random() < 0.7,
@@ -53,14 +53,14 @@
 
 
 def membership_events(kind: str, rng: random.Random) -> list[events.Event]:
-    """Returns what membership might report in one batch, right or not."""
+    """Returns status events that membership might report in one batch, correct or not."""
     alive, gone = events.ControllerState.ALIVE, events.ControllerState.GONE
     match kind:
-        case "empty":
+        case "gone":
             return [events.ControllerStatus(1, gone)]
         case "flapping":
             return [events.ControllerStatus(rng.randrange(3), state) for state in (gone, alive) * 3]
-        case "false":
+        case "random":
             return [
                 events.ControllerStatus(
                     rng.randrange(-9, 2**40), rng.choice(list(events.ControllerState))
@@ -68,13 +68,13 @@
                 for _ in range(50)
             ]
         case _:
-            return [events.ControllerStatus(1, alive)]  # of one that is gone
+            return [events.ControllerStatus(1, alive)]  # although the controller is gone
 
 
-@pytest.mark.parametrize("kind", ["empty", "wrong", "flapping", "false"])
+@pytest.mark.parametrize("kind", ["gone", "alive", "flapping", "random"])
 @pytest.mark.parametrize("seed", range(4))
-def test_no_rule_rests_on_what_membership_says(kind: str, seed: int) -> None:
-    """Commands are the same to the letter, so no rule can depend on it."""
+def test_no_rule_depends_on_membership(kind: str, seed: int) -> None:
+    """Checks that membership events change no command, so that no rule depends on them."""
 
     class BenchWithMembership(Bench):
         def give(self, *batch: events.Event) -> list[commands.Command]:
