--- a/plankroute/controller/controller.py
+++ b/plankroute/controller/controller.py
@@ -53,7 +53,7 @@
 
         self._bind_reinstates_hosts = facts.bind_reinstates_hosts
         self._list_request: commands.Command = commands.PollHostList()
-        self._set_timer(self.policy.weights.first_us, TimerToken.TURN)
+        self._set_timer(self.policy.weights.first_turn_delay_us, TimerToken.TURN)
         self._set_timer(PUBLISHER_PULSE_US, TimerToken.PULSE)
         if facts.must_subscribe:
             self._list_request = commands.SubscribeHostList(True)
--- a/plankroute/policy/weights.py
+++ b/plankroute/policy/weights.py
@@ -85,7 +85,7 @@
         self.first_weights = first_weights
         self.turns = 0
         # Random, so that the controllers do not all run their turns at the same time.
-        self.first_us = int(TURN_US * (0.5 + scheduler.random() / 2))
+        self.first_turn_delay_us = int(TURN_US * (0.5 + scheduler.random() / 2))
 
     def pause_us(self) -> int:
         """Returns the time to the next turn, in microseconds.
