--- a/plankroute/controller/controller.py
+++ b/plankroute/controller/controller.py
@@ -223,7 +223,7 @@
         return None
 
     def _turn(self) -> None:
-        self._set_timer(self.policy.weights.pause_us(), TimerToken.TURN)
+        self._set_timer(self.policy.weights.next_turn_delay_us(), TimerToken.TURN)
         self.host_table.refresh()
         for host in self.hosts:
             self.scheduler.put(host, Tick.TURN)
--- a/plankroute/policy/weights.py
+++ b/plankroute/policy/weights.py
@@ -87,7 +87,7 @@
         # Random, so that the controllers do not all run their turns at the same time.
         self.first_turn_delay_us = int(TURN_US * (0.5 + scheduler.random() / 2))
 
-    def pause_us(self) -> int:
+    def next_turn_delay_us(self) -> int:
         """Returns the time to the next turn, in microseconds.
 
         Turns are aligned to run shortly after each round of statistics; otherwise, statistics could
