--- a/plankroute/controller/controller.py
+++ b/plankroute/controller/controller.py
@@ -12,7 +12,7 @@
 from plankroute.events.facts import StartFacts
 from plankroute.policy.composition import (
     LIST_RETRY_DELAY_US,
-    PUBLISHER_PULSE_US,
+    PUBLISHER_INTERVAL_US,
     build_policy,
 )
 from plankroute.policy.host import HostActor
@@ -54,7 +54,7 @@
         self._bind_reinstates_hosts = facts.bind_reinstates_hosts
         self._list_request: commands.Command = commands.PollHostList()
         self._set_timer(self.policy.weights.first_turn_delay_us, TimerToken.TURN)
-        self._set_timer(PUBLISHER_PULSE_US, TimerToken.PULSE)
+        self._set_timer(PUBLISHER_INTERVAL_US, TimerToken.PULSE)
         if facts.must_subscribe:
             self._list_request = commands.SubscribeHostList(True)
             self.scheduler.out.append(self._list_request)
@@ -215,7 +215,7 @@
             case TimerToken.HOST_LIST:
                 self.scheduler.out.append(self._list_request)
             case TimerToken.PULSE:
-                self._set_timer(PUBLISHER_PULSE_US, TimerToken.PULSE)
+                self._set_timer(PUBLISHER_INTERVAL_US, TimerToken.PULSE)
                 return Tick.CHANGED
             case TimerToken.TURN:
                 self._turn()
--- a/plankroute/policy/composition.py
+++ b/plankroute/policy/composition.py
@@ -18,7 +18,7 @@
 # the list counts as outdated.
 LIST_RETRY_DELAY_US = 2 * SECOND_US
 # Interval at which the publisher checks for pending work between turns; see `flow_control`.
-PUBLISHER_PULSE_US = flow_control.POLL_INTERVAL_US
+PUBLISHER_INTERVAL_US = flow_control.POLL_INTERVAL_US
 
 
 @dataclass(frozen=True, slots=True)
