--- a/plankroute/policy/drains.py
+++ b/plankroute/policy/drains.py
@@ -52,7 +52,7 @@
         self.last_written_us = -message_window_us
         self._last_sweep_us = -message_window_us
         self._has_deferred = False  # some withdrawals did not fit
-        # Time since which proxies wait that were not notified of the removed hosts.
+        # When the first of the waiting proxies joined that were not notified of removed hosts.
         self._unnotified_since_us: int | None = None
 
     def on_entry(self, entry: events.HostEntry) -> None:
@@ -158,9 +158,9 @@
 
         Each user of an interim table that holds the host costs a line, which removes its slots. In
         addition, if several complete tables hold the host, every joined proxy costs a line.
-        Otherwise, the users of the complete table that holds it cost a line each, and so do unbound
-        proxies that were not notified yet. While interim tables are used, no proxy is notified:
-        only the users of tables that hold the host cost a line.
+        Otherwise, each user of a complete table that holds it costs a line, and so does each
+        unbound proxy that was not notified yet. While interim tables are used, no proxy is
+        notified: only the users of tables that hold the host cost a line.
         """
         registry = self.registry
         tables = registry.tables_with(host)
--- a/plankroute/policy/interim_binding.py
+++ b/plankroute/policy/interim_binding.py
@@ -116,9 +116,9 @@
         ]
 
     def _hosts_per_table_in_grace(self, facts: StartFacts) -> int:
-        """Returns the hosts per interim table with which all proxies can be bound in the grace.
+        """Returns how many hosts an interim table may hold so that all proxies are bound in time.
 
-        What else may be queued is taken into account.
+        Deferrable lines may be queued at the same time, so their share is subtracted.
         """
         bases = self.tables.bases
         bases_of_zone = [
--- a/plankroute/policy/interim_tables.py
+++ b/plankroute/policy/interim_tables.py
@@ -22,7 +22,7 @@
 MAX_SLOT_RATIO = 1.5
 # Ratio of published to target slots above which the slots of a cold host are reduced at once.
 MAX_COLD_SLOT_RATIO = 1.2
-# Ratio of a table's load to the mean load above which the table gets more hosts.
+# Ratio of a table's load per slot to the mean load above which the table gets more hosts.
 MAX_LOAD_RATIO = 1.5
 # Share of its capped weight with which a cold host counts.
 COLD_WEIGHT_SHARE = 0.5
--- a/plankroute/policy/prior_knowledge.py
+++ b/plankroute/policy/prior_knowledge.py
@@ -69,7 +69,7 @@
         self.ejected.discard(index)
 
     def compare(self, statistics: HostStatistics, index: int, is_unhealthy: bool) -> None:
-        """Compares the prior knowledge of a host with the controller's own findings, once a host.
+        """Compares the prior knowledge of a host with own findings, once per host.
 
         A healthy host that was known as healthy is no evidence, so it is not counted. If
         contradictions outnumber confirmations, all prior knowledge is dropped as wrong.
