--- a/plankroute/net/peers/membership.py
+++ b/plankroute/net/peers/membership.py
@@ -126,7 +126,7 @@
         loop = asyncio.get_running_loop()
         while True:
             try:
-                sock = bound(self.part.listen)
+                sock = bind_udp_socket(self.part.listen)
                 await loop.create_datagram_endpoint(lambda: self, sock=sock)
                 break
             except OSError as error:
@@ -275,7 +275,7 @@
     return host, port
 
 
-def bound(address: str) -> socket.socket:
+def bind_udp_socket(address: str) -> socket.socket:
     """A UDP socket bound to that address.
 
     Raises:
--- a/plankroute/testbed/links.py
+++ b/plankroute/testbed/links.py
@@ -12,7 +12,7 @@
 from functools import partial
 from typing import cast
 
-from plankroute.net.peers.membership import bound
+from plankroute.net.peers.membership import bind_udp_socket
 from plankroute.testbed.faults import Script
 
 Address = tuple[str, int]
@@ -72,7 +72,7 @@
         loop = asyncio.get_running_loop()
         for member, (host, port) in enumerate(self.known):
             _, end = await loop.create_datagram_endpoint(
-                partial(LinkEnd, self, member), sock=bound(f"{host}:{port}")
+                partial(LinkEnd, self, member), sock=bind_udp_socket(f"{host}:{port}")
             )
             self.ends.append(end)
 
