--- a/plankroute/net/peers/membership.py
+++ b/plankroute/net/peers/membership.py
@@ -82,7 +82,7 @@
 
     def __init__(
         self,
-        part: MembershipSection,
+        section: MembershipSection,
         own: LocalMember,
         telemetry: Telemetry,
         put: Callable[[events.Event], None],
@@ -90,16 +90,16 @@
         """A service that has no socket yet.
 
         Args:
-            part: the section of our own file.
+            section: the section of our own file.
             own: the controller it is part of.
             telemetry: log and counters.
             put: takes events for the controller.
         """
-        self.part = part
+        self.section = section
         self.telemetry = telemetry
-        self.codec = Codec(part.group)
+        self.codec = Codec(section.group)
         self.core = Membership(
-            member_facts(part, own),
+            member_facts(section, own),
             own.seed,
             instance_id=secrets.randbits(62),
             wall_us=time.time_ns() // 1000,
@@ -126,19 +126,19 @@
         loop = asyncio.get_running_loop()
         while True:
             try:
-                sock = bind_udp_socket(self.part.listen)
+                sock = bind_udp_socket(self.section.listen)
                 await loop.create_datagram_endpoint(lambda: self, sock=sock)
                 break
             except OSError as error:
                 self.telemetry.log_once(
-                    "membership_address_in_use", address=self.part.listen, why=str(error)
+                    "membership_address_in_use", address=self.section.listen, why=str(error)
                 )
                 await asyncio.sleep(BIND_RETRY_S)
         self.telemetry.log.event(
             "info",
             "membership_open",
-            address=self.part.listen,
-            group=self.part.group,
+            address=self.section.listen,
+            group=self.section.group,
             advertised=self.core.facts.address,
             life=self.core.table.own_record().instance_id,
         )
@@ -169,7 +169,7 @@
         Views are told on this machine alone: a short question must not send long answers to third
         parties.
         """
-        return host.startswith("127.") or host == host_and_port(self.part.listen)[0]
+        return host.startswith("127.") or host == host_and_port(self.section.listen)[0]
 
     def error_received(self, exc: Exception) -> None:
         """Such as nobody listening at a loopback address: a loss like any other."""
@@ -231,16 +231,16 @@
         self.timer = None
         self.deliver([TickDue()])
 
-    def reload(self, part: MembershipSection) -> list[str]:
+    def reload(self, section: MembershipSection) -> list[str]:
         """Take a changed list of seeds; names of what else differs, which waits for a restart."""
-        if part.seeds != self.part.seeds:
-            self.deliver([SeedsChanged(part.seeds)])
+        if section.seeds != self.section.seeds:
+            self.deliver([SeedsChanged(section.seeds)])
         unchanged = [
             name
-            for name in part.__struct_fields__
-            if name != "seeds" and getattr(part, name) != getattr(self.part, name)
+            for name in section.__struct_fields__
+            if name != "seeds" and getattr(section, name) != getattr(self.section, name)
         ]
-        self.part = msgspec.structs.replace(self.part, seeds=part.seeds)
+        self.section = msgspec.structs.replace(self.section, seeds=section.seeds)
         return [f"membership.{name}" for name in unchanged]
 
     async def leave(self) -> None:
--- a/plankroute/net/process/optional_features.py
+++ b/plankroute/net/process/optional_features.py
@@ -101,7 +101,7 @@
         """Tells shared discovery of its links to other controllers."""
         facts = ElectionFacts(
             self.local_member.name,
-            members.part.group,
+            members.section.group,
             calls.controller_count,
             links.watchers,
             links.stall_ms * 1000,
