--- a/plankroute/net/peers/warm_start.py
+++ b/plankroute/net/peers/warm_start.py
@@ -82,7 +82,7 @@
 
     # The life of the process
 
-    async def recall(self) -> None:
+    async def load_snapshot_file(self) -> None:
         """Reads the file, within a bound, before the first proxy can join."""
         if self.file:
             await self.file.load(self.work)
--- a/plankroute/net/process/optional_features.py
+++ b/plankroute/net/process/optional_features.py
@@ -195,7 +195,7 @@
     async def recall(self) -> None:
         """Reads the snapshot file, before the first proxy can join."""
         if self.warm_start:
-            await self.warm_start.recall()
+            await self.warm_start.load_snapshot_file()
 
     def start(self) -> None:
         """Starts what runs beside the listener."""
--- a/tests/warm_start/test_snapshot_store.py
+++ b/tests/warm_start/test_snapshot_store.py
@@ -180,7 +180,7 @@
         )
         service.snapshot = lambda: snapshot_of(HEALTHY)  # type: ignore[method-assign] # no controller
         began_s = time.monotonic()
-        await service.recall()
+        await service.load_snapshot_file()
         durations_s.append(time.monotonic() - began_s)
         service.start()
         began_s = time.monotonic()
