--- a/plankroute/net/peers/drain_notices.py
+++ b/plankroute/net/peers/drain_notices.py
@@ -24,7 +24,7 @@
     Attributes:
         core: the notices that are believed.
         revision: of the last list.
-        listed: as the list has those hosts that a notice has closed, by name.
+        overridden_entries: as the list has those hosts that a notice has closed, by name.
         after_list: called once a list is handed on, if set.
     """
 
@@ -36,7 +36,7 @@
         self.submit = submit
         self.core = DrainNotices()
         self.revision = NO_REVISION
-        self.listed: dict[str, events.HostEntry] = {}
+        self.overridden_entries: dict[str, events.HostEntry] = {}
         self.after_list: Callable[[], None] | None = None
 
     def receive(self, source: str, revision: int, closed: Iterable[tuple[str, HostState]]) -> None:
@@ -82,16 +82,16 @@
         uid = self.directory.uid(entry.host)
         notice = self.core.by_host.get(uid)
         if notice is None:
-            self.listed.pop(uid, None)
+            self.overridden_entries.pop(uid, None)
             return entry
-        self.listed[uid] = entry
+        self.overridden_entries[uid] = entry
         return replace(entry, state=notice.state)
 
     def pop_listed(self, uids: list[str]) -> list[events.HostEntry]:
         """Entries as the list has them, of hosts whose notice no longer counts."""
         entries = list[events.HostEntry]()
         for uid in uids:
-            entry = self.listed.pop(uid, None)
+            entry = self.overridden_entries.pop(uid, None)
             if entry is not None and uid in self.directory.ids:
                 entries.append(entry)
         return entries
--- a/tests/cold_start/test_drain_notices.py
+++ b/tests/cold_start/test_drain_notices.py
@@ -82,7 +82,7 @@
     }  # those notices were false
     overlay.receive("n1", 9, [("d", HostState.GONE)])
     overlay.retract("n1")
-    assert states_of(submitted[-1]) == {"d": "ready"} and not overlay.listed
+    assert states_of(submitted[-1]) == {"d": "ready"} and not overlay.overridden_entries
     overlay.receive("n1", 9, DRAINS[1:])
     assert listed(2, True, **everybody) == dict.fromkeys(
         "abcdef", "ready"
