--- a/plankroute/net/peers/drain_notices.py
+++ b/plankroute/net/peers/drain_notices.py
@@ -1,6 +1,6 @@
-"""Drain notices laid over what the controller is told of hosts.
+"""Applies drain notices to the endpoint lists on their way to the controller.
 
-Decides nothing: which notices are believed is `cold_start.drain_notices`'s to say.
+Which notices are accepted, and for how long, is decided by `cold_start.drain_notices`.
 """
 
 import asyncio
@@ -15,17 +15,19 @@
 from plankroute.net.process.clock import monotonic_us as now_us
 from plankroute.net.process.telemetry import Telemetry
 
-MAX_LOGGED = 30  # hosts of one line
+MAX_LOGGED_HOSTS = 30  # in one log event
 
 
 class DrainNoticeOverlay:
-    """`filter_list` stands between every list and the controller.
+    """Overrides the state of hosts for which an accepted drain notice is newer than the list.
+
+    Every list passes through `filter_list` before the controller receives it.
 
     Attributes:
-        core: the notices that are believed.
-        revision: of the last list.
-        overridden_entries: as the list has those hosts that a notice has closed, by name.
-        after_list: called once a list is handed on, if set.
+        notices: The accepted drain notices.
+        revision: Revision of the last list; `NO_REVISION` before the first one.
+        overridden_entries: By host name, the list's own entry of each host that a notice overrides.
+        after_list: If set, called in a later iteration of the event loop after each list.
     """
 
     def __init__(
@@ -34,18 +36,29 @@
         self.directory = directory
         self.telemetry = telemetry
         self.submit = submit
-        self.core = DrainNotices()
+        self.notices = DrainNotices()
         self.revision = NO_REVISION
         self.overridden_entries: dict[str, events.HostEntry] = {}
         self.after_list: Callable[[], None] | None = None
 
-    def receive(self, source: str, revision: int, closed: Iterable[tuple[str, HostState]]) -> None:
-        """Close hosts that are known here at once; those that are not come with their list."""
+    def receive(
+        self, source: str, revision: int, closed_hosts: Iterable[tuple[str, HostState]]
+    ) -> None:
+        """Submits the accepted notices to the controller.
+
+        A notice for a host that is not in the directory yet takes effect with the list that adds
+        the host.
+
+        Args:
+            source: Name of the controller that sent the notices, or "file".
+            revision: Revision of the list in which the hosts are draining or deleted.
+            closed_hosts: Names of these hosts with their states.
+        """
         listed_hosts = len(self.directory.hosts)
-        accepted = self.core.receive(
-            now_us(), source, revision, closed, self.revision, listed_hosts
+        accepted = self.notices.receive(
+            now_us(), source, revision, closed_hosts, self.revision, listed_hosts
         )
-        self.telemetry.counts["drain_notices.rejected"] = self.core.rejected
+        self.telemetry.counts["drain_notices.rejected"] = self.notices.rejected
         if not accepted:
             return
         self.telemetry.count("drain_notices.accepted", len(accepted))
@@ -54,41 +67,51 @@
             "drain_notices_accepted",
             other=source,
             revision=revision,
-            hosts=accepted[:MAX_LOGGED],
+            hosts=accepted[:MAX_LOGGED_HOSTS],
         )
         entries = [
             self.directory.hosts[self.directory.ids[uid]].entry
             for uid in accepted
             if uid in self.directory.ids
         ]
-        self.submit_changes([self.overlaid(entry) for entry in entries if entry is not None])
+        self.submit_changes([self.apply_notice(entry) for entry in entries if entry is not None])
 
     def filter_list(
         self, revision: int, is_complete: bool, listed: events.HostList
     ) -> events.HostList:
-        """A list that is believed settles notices up to its revision; the rest holds on over it."""
+        """Removes notices that the list supersedes, and applies the remaining ones to the list.
+
+        A list supersedes the notices up to its own revision. A complete list with a lower revision
+        than the last one means that the service restarted its revisions; it supersedes all notices.
+
+        Returns:
+            The list for the controller. It also has the entries of hosts whose notice was removed.
+        """
         revisions_restarted = is_complete and revision < self.revision
-        settled = self.core.on_list(None if revisions_restarted else revision)
+        superseded_hosts = self.notices.on_list(None if revisions_restarted else revision)
         self.revision = revision
-        entries = {entry.host: self.overlaid(entry) for entry in listed.entries}
-        for entry in self.pop_listed(settled):
+        entries = {entry.host: self.apply_notice(entry) for entry in listed.entries}
+        for entry in self.pop_overridden(superseded_hosts):
             entries.setdefault(entry.host, entry)
         if self.after_list:
             asyncio.get_running_loop().call_soon(self.after_list)
         return events.HostList(listed.kind, tuple(entries.values()))
 
-    def overlaid(self, entry: events.HostEntry) -> events.HostEntry:
-        """The entry as its notice has it, if there is one."""
+    def apply_notice(self, entry: events.HostEntry) -> events.HostEntry:
+        """Returns the entry with the state from the host's notice, or unchanged without one."""
         uid = self.directory.uid(entry.host)
-        notice = self.core.by_host.get(uid)
+        notice = self.notices.by_host.get(uid)
         if notice is None:
             self.overridden_entries.pop(uid, None)
             return entry
         self.overridden_entries[uid] = entry
         return replace(entry, state=notice.state)
 
-    def pop_listed(self, uids: list[str]) -> list[events.HostEntry]:
-        """Entries as the list has them, of hosts whose notice no longer counts."""
+    def pop_overridden(self, uids: list[str]) -> list[events.HostEntry]:
+        """Removes and returns the list's own entries of hosts whose notice was removed.
+
+        Hosts that the directory has forgotten are left out.
+        """
         entries = list[events.HostEntry]()
         for uid in uids:
             entry = self.overridden_entries.pop(uid, None)
@@ -97,18 +120,18 @@
         return entries
 
     def expire(self) -> None:
-        """Open hosts whose notices no list has confirmed for too long."""
-        self.reopen(self.core.expire(now_us()))
+        """Removes notices that no list has confirmed in time, and restores their hosts' state."""
+        self.restore_listed_state(self.notices.expire(now_us()))
 
     def retract(self, source: str) -> None:
-        """Open hosts that this source has closed alone."""
-        self.reopen(self.core.retract(source))
+        """Removes the notices of one source, and restores their hosts' state."""
+        self.restore_listed_state(self.notices.retract(source))
 
-    def reopen(self, uids: list[str]) -> None:
-        """Submit these hosts as the list has them."""
-        self.submit_changes(self.pop_listed(uids))
+    def restore_listed_state(self, uids: list[str]) -> None:
+        """Submits these hosts with the state that the endpoint list has for them."""
+        self.submit_changes(self.pop_overridden(uids))
 
     def submit_changes(self, entries: list[events.HostEntry]) -> None:
-        """Submit entries as changes of the list."""
+        """Submits entries as changes to the endpoint list; does nothing if there are none."""
         if entries:
             self.submit(events.HostList(ListKind.CHANGES, tuple(entries)))
--- a/plankroute/net/peers/frame_handler.py
+++ b/plankroute/net/peers/frame_handler.py
@@ -1,4 +1,7 @@
-"""Frames of controllers that are followed: checked, put together, and handed on by their kind."""
+"""Handles the frames that followed controllers send.
+
+Checks each frame, reassembles lists from their parts, and passes on the content by frame type.
+"""
 
 from typing import Literal, Protocol
 
@@ -23,46 +26,52 @@
 
 
 class ClosedEntry(msgspec.Struct):
-    """Of an entry of the list, what a drain notice needs."""
+    """The fields of a list entry that a drain notice needs."""
 
     uid: str
     state: Literal["DRAINING", "DELETED"]
 
 
-class FrameTaker(Protocol):
-    """Who takes what frames say: `peers.shared_discovery`."""
+class FrameConsumer(Protocol):
+    """Receives the content of frames; implemented by `SharedDiscovery`."""
 
     def deliver(self, events: list[Event]) -> None:
-        """Deliver events to the election."""
+        """Delivers events to the watcher election."""
 
     def accept_list_from(self, name: str, text: bytes) -> None:
-        """Take a complete transfer; raises LinkError where it is no list."""
+        """Handles the JSON text of a list that was transferred completely.
+
+        Raises:
+            LinkError: The text is not a valid list.
+        """
 
     def on_service_contact(self, age_us: int) -> None:
-        """A followed controller had contact with the list service that long ago."""
+        """Handles the microseconds since a followed controller's last contact with the service."""
 
     def on_health_checks(self, frame: HealthCheckResults) -> None:
-        """Take results of health checks."""
+        """Handles health check results of a followed controller."""
 
     def on_drain_notices(
-        self, name: str, revision: int, closed: list[tuple[str, HostState]]
+        self, name: str, revision: int, closed_hosts: list[tuple[str, HostState]]
     ) -> None:
-        """Take drains ahead of their list."""
+        """Handles notices of hosts that are draining or deleted in a list of that revision."""
 
 
 class FrameHandler:
-    """Takes the frames of all controllers that are followed."""
+    """Handles the frames of all followed controllers."""
 
-    def __init__(self, taker: FrameTaker, transfers: ListTransfers, telemetry: Telemetry) -> None:
-        self.taker = taker
+    def __init__(
+        self, consumer: FrameConsumer, transfers: ListTransfers, telemetry: Telemetry
+    ) -> None:
+        self.consumer = consumer
         self.transfers = transfers
         self.telemetry = telemetry
 
     def on_frame(self, name: str, frame: Frame) -> None:
-        """Take a frame of a controller that is followed.
+        """Handles a frame of a followed controller; logs and counts a protocol error.
 
         Raises:
-            LinkError: the link is of no more use.
+            LinkError: The frame violates the protocol; the link has to be closed.
         """
         try:
             self.handle(name, frame)
@@ -72,55 +81,56 @@
             raise LinkError(str(error)) from error
 
     def handle(self, name: str, frame: Frame) -> None:
-        """Handle a frame by its kind.
+        """Handles a frame by its type.
 
         Raises:
-            LinkError: it is not for this side, or can't be read.
-            ListTransferError: a list can't be taken.
+            LinkError: The frame is of an unexpected type, or its content cannot be decoded.
+            ListTransferError: A list transfer is invalid.
         """
-        # Before the election hears of the frame, which may close this very link.
+        # Looked up before the events are delivered: the election may close this link in response,
+        # which removes its receiver.
         receiver = self.transfers.receiver_of(name)
         match frame:
             case ListStart():
                 try:
                     self.transfers.receiver_for_start(name, frame).start(frame)
                 finally:
-                    self.taker.deliver([FrameReceived(name)])
+                    self.consumer.deliver([FrameReceived(name)])
             case ListPart(data):
                 self.on_list_part(name, receiver, data)
             case Heartbeat(revision, age_us):
                 if age_us < NEVER_HEARD_US:
-                    self.taker.on_service_contact(age_us)
-                self.taker.deliver([HeartbeatReceived(name, revision, age_us)])
+                    self.consumer.on_service_contact(age_us)
+                self.consumer.deliver([HeartbeatReceived(name, revision, age_us)])
             case HealthCheckResults():
-                self.taker.on_health_checks(frame)
+                self.consumer.on_health_checks(frame)
             case DrainNoticeFrame(revision, entries):
-                self.taker.deliver([FrameReceived(name)])
-                self.taker.on_drain_notices(name, revision, closed_hosts(entries))
+                self.consumer.deliver([FrameReceived(name)])
+                self.consumer.on_drain_notices(name, revision, decode_closed_hosts(entries))
             case _:
-                raise LinkError("not for this side")
+                raise LinkError("unexpected frame type from a followed controller")
 
     def on_list_part(self, name: str, receiver: ListReceiver, data: bytes) -> None:
-        """Add a part, and hand the list on once it is complete.
+        """Adds a part to the list, and passes the list on once all parts are there.
 
         Raises:
-            LinkError: it is no list.
-            ListTransferError: it can't be taken.
+            LinkError: The transferred text is not a valid list.
+            ListTransferError: The list is longer than announced, or its checksum is wrong.
         """
-        self.taker.deliver([FrameReceived(name)])
+        self.consumer.deliver([FrameReceived(name)])
         text = receiver.add(data)
         if text is not None:
-            self.taker.accept_list_from(name, text)
+            self.consumer.accept_list_from(name, text)
 
 
-def closed_hosts(entries: bytes) -> list[tuple[str, HostState]]:
-    """Names and states of the hosts of a drain notice.
+def decode_closed_hosts(entries: bytes) -> list[tuple[str, HostState]]:
+    """Returns the names and states of the hosts in a drain notice.
 
     Raises:
-        LinkError: they can't be read.
+        LinkError: The entries cannot be decoded.
     """
     try:
-        closed = msgspec.json.decode(entries, type=list[ClosedEntry])
+        closed_entries = msgspec.json.decode(entries, type=list[ClosedEntry])
     except msgspec.MsgspecError as error:
-        raise LinkError("no drains") from error
-    return [(entry.uid, STATES[entry.state]) for entry in closed]
+        raise LinkError("drain notice cannot be decoded") from error
+    return [(entry.uid, STATES[entry.state]) for entry in closed_entries]
