--- a/plankroute/net/peers/link_client.py
+++ b/plankroute/net/peers/link_client.py
@@ -1,4 +1,4 @@
-"""The client's end of links: to controllers that are followed, from dialling to their end."""
+"""The client side of links: connections from this controller to the controllers it follows."""
 
 import asyncio
 from collections.abc import Callable
@@ -8,19 +8,24 @@
 from plankroute.net.peers.link_frames import READ_BYTES
 
 CONNECT_TIMEOUT_S = 1.0
-# Waiting for the kernel: a part of a list being written, and the next.
+# Limit for data that waits to be sent: room for a part of a list that is being written, and for the
+# next part. Frames beyond the limit are dropped.
 MAX_UNSENT_BYTES = 65536
 
 
 class LinkError(Exception):
-    """What came on a link can't be; the text says why."""
+    """Data received on a link violates the protocol; the message says how."""
 
 
 @dataclass(frozen=True, slots=True)
 class LinkTarget:
-    """Whom to follow.
+    """A controller to connect to.
 
-    `own_host`: bound locally, from the address at which others know this controller.
+    Attributes:
+        name: Its name.
+        address: The host and port at which it accepts links.
+        own_host: Local address of the connection: the host at which other controllers know this
+            controller.
     """
 
     name: str
@@ -29,7 +34,12 @@
 
 
 class LinkClient:
-    """A link that dials as soon as it is made."""
+    """A link to one followed controller; connects as soon as it is created.
+
+    Attributes:
+        writer: The connection's writer; None until the connection is established.
+        task: Connects and reads frames; `close` cancels it.
+    """
 
     def __init__(
         self,
@@ -38,13 +48,13 @@
         on_frame: Callable[[str, Frame], None],
         on_closed: Callable[["LinkClient"], None],
     ) -> None:
-        """Begin to dial.
+        """Starts to connect.
 
         Args:
-            target: whom to follow.
-            hello: the first frame.
-            on_frame: takes the name of the target and each frame; may raise LinkError.
-            on_closed: told that the link has ended, unless it was closed from here.
+            target: The controller to follow.
+            hello: The first frame to send.
+            on_frame: Called with the target's name and each frame; may raise LinkError.
+            on_closed: Called with this link when it has ended, but not after `close`.
         """
         self.target = target
         self.hello = hello
@@ -55,15 +65,15 @@
 
     @property
     def name(self) -> str:
-        """Of the controller that is followed."""
+        """Name of the followed controller."""
         return self.target.name
 
     async def run(self) -> None:
-        """Dial and read, until either side ends the link."""
+        """Connects and reads frames until either side ends the link."""
         is_closed_here = False
         try:
             await self.read_frames(await self.connect())
-        except (LinkError, OSError):  # a time-out too
+        except (LinkError, OSError):  # TimeoutError is an OSError
             pass
         except asyncio.CancelledError:
             is_closed_here = True
@@ -74,11 +84,14 @@
                 self.on_closed(self)
 
     async def connect(self) -> asyncio.StreamReader:
-        """Dial and send the first frame.
+        """Connects and sends the first frame.
+
+        Returns:
+            The reader of the connection.
 
         Raises:
-            OSError: nobody listens there.
-            TimeoutError: nobody answers.
+            OSError: The connection was refused or broke.
+            TimeoutError: The connection was not established within `CONNECT_TIMEOUT_S`.
         """
         async with asyncio.timeout(CONNECT_TIMEOUT_S):
             reader, self.writer = await asyncio.open_connection(
@@ -89,20 +102,25 @@
         return reader
 
     async def read_frames(self, reader: asyncio.StreamReader) -> None:
-        """Hand on each frame until the other end closes.
+        """Passes each frame to `on_frame` until the other end closes the connection.
 
         Raises:
-            LinkError: a frame can't be decoded, or is refused by its taker.
+            LinkError: A frame cannot be decoded, or `on_frame` rejected it.
+            OSError: The connection broke.
         """
         decoder = FrameDecoder()
         while data := await reader.read(READ_BYTES):
             for frame in decoder.feed(data):
                 if frame is None:
-                    raise LinkError("unreadable")
+                    raise LinkError("frame cannot be decoded")
                 self.on_frame(self.name, frame)
 
     def send(self, frame: Frame) -> None:
-        """Send a frame; dropped where the link is not up, or too much is unsent already."""
+        """Sends a frame.
+
+        The frame is dropped if the link is not established, or if `MAX_UNSENT_BYTES` are already
+        waiting to be sent.
+        """
         writer = self.writer
         if writer is None or writer.is_closing():
             return
@@ -110,38 +128,43 @@
             writer.write(encode_frame(frame))
 
     def close(self) -> None:
-        """End the link; `on_closed` is not called."""
+        """Ends the link; `on_closed` is not called."""
         self.task.cancel()
 
 
 class LinkPool:
-    """The links to all controllers that are followed, by name."""
+    """The links to all followed controllers.
+
+    Attributes:
+        clients: The open links by the followed controller's name.
+    """
 
     def __init__(
         self, on_frame: Callable[[str, Frame], None], on_closed: Callable[[str], None]
     ) -> None:
-        """No links yet.
+        """Creates a pool without links.
 
         Args:
-            on_frame: takes the name of a controller and each of its frames; may raise LinkError.
-            on_closed: told the name of a controller whose link has ended from the other side.
+            on_frame: Called with a controller's name and each of its frames; may raise LinkError.
+            on_closed: Called with a controller's name when its link has ended, but not after
+                `close` or `close_all`.
         """
         self.on_frame = on_frame
         self.on_closed = on_closed
         self.clients: dict[str, LinkClient] = {}
 
     def open(self, target: LinkTarget, hello: Hello) -> None:
-        """Dial a controller."""
+        """Opens a link to a controller."""
         self.clients[target.name] = LinkClient(target, hello, self.on_frame, self.on_client_closed)
 
     def on_client_closed(self, client: LinkClient) -> None:
-        """A link has ended from the other side; one that was replaced since is not told."""
+        """Reports the end of a link, unless another link to the same controller has replaced it."""
         if self.clients.get(client.name) is client:
             del self.clients[client.name]
             self.on_closed(client.name)
 
     def close(self, name: str) -> bool:
-        """Close a link from this side; False where there is none."""
+        """Closes the link to a controller; returns False if there is none."""
         client = self.clients.pop(name, None)
         if client is None:
             return False
@@ -149,11 +172,11 @@
         return True
 
     def close_all(self) -> None:
-        """Close all links from this side."""
+        """Closes all links."""
         for client in self.clients.values():
             client.close()
 
     def send_to_all(self, frame: Frame) -> None:
-        """Send a frame on all links that are up."""
+        """Sends a frame on all links; `LinkClient.send` says which links drop it."""
         for client in self.clients.values():
             client.send(frame)
--- a/plankroute/net/peers/link_frames.py
+++ b/plankroute/net/peers/link_frames.py
@@ -1,4 +1,7 @@
-"""What links carry besides single frames: views of hosts, and drain notices cut to frames."""
+"""Content of links that is split over several frames: views of hosts, and drain notices.
+
+A view is an encoded snapshot of what one controller knows about the hosts (`warm_start.snapshot`).
+"""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -16,12 +19,18 @@
 )
 from plankroute.cold_start.list_receiver import ListReceiver, ListTransferError
 
-READ_BYTES = 65536  # from a socket at once
-VIEW_REVISION = 0  # views of hosts have none
+READ_BYTES = 65536  # maximum size of one read from a socket
+VIEW_REVISION = 0  # placeholder in `ListStart`: a view has no revision of its own
 
 
 class ReceivedView(NamedTuple):
-    """A view of hosts: whose, how long ago it was taken, and its bytes."""
+    """A view of the hosts as received over a link.
+
+    Attributes:
+        name: Name of the controller whose view it is.
+        age_us: Microseconds between the time the view was taken and the time it was sent.
+        data: The encoded snapshot.
+    """
 
     name: str
     age_us: int
@@ -29,26 +38,37 @@
 
 
 def view_frames(name: str, age_us: int, data: bytes) -> list[bytes]:
-    """A view as frames; in parts, so that no frame is longer than any other."""
+    """Encodes a view as frames; `data` is split into parts, as a list is, to bound the frame size.
+
+    Args:
+        name: Name of the controller whose view it is.
+        age_us: Microseconds since the view was taken.
+        data: The encoded snapshot.
+
+    Returns:
+        The encoded frames in the order in which they are to be sent.
+    """
     frames: list[Frame] = [
         WarmStartView(name, age_us),
         ListStart(VIEW_REVISION, True, len(data), crc32(data)),
     ]
-    frames += [ListPart(data[at : at + PART_BYTES]) for at in range(0, len(data), PART_BYTES)]
+    frames += [
+        ListPart(data[start : start + PART_BYTES]) for start in range(0, len(data), PART_BYTES)
+    ]
     return [encode_frame(frame) for frame in frames]
 
 
 async def read_views(
     reader: asyncio.StreamReader, decoder: FrameDecoder, max_bytes: int
 ) -> AsyncIterator[ReceivedView]:
-    """Complete views as they come, until the stream ends or says what can't be.
+    """Yields each view once it is complete, until the stream ends or violates the protocol.
 
-    Not bounded in time: callers do that.
+    There is no time limit; the caller has to set one.
 
     Args:
-        reader: the stream.
-        decoder: may hold frames that came before and were not read.
-        max_bytes: a larger view is not taken.
+        reader: The stream to read from.
+        decoder: The stream's decoder; its unread frames come first.
+        max_bytes: Size limit of a view; a larger one ends the iteration.
     """
     receiver = ListReceiver(max_bytes)
     header = WarmStartView("", 0)
@@ -76,21 +96,26 @@
 
 
 def json_array_chunks(items: list[bytes], max_bytes: int) -> list[bytes]:
-    """JSON arrays of encoded items, none longer than that.
+    """Encodes items as JSON arrays of at most `max_bytes` each.
 
-    An item that is too long by itself is left out: it comes with the list.
+    An item that does not fit into an array by itself is left out: the receiver gets it with the
+    endpoint list.
+
+    Args:
+        items: Items that are already encoded as JSON.
+        max_bytes: Size limit of one array, with its brackets and commas.
     """
-    brackets = 2
+    bracket_bytes = 2
     chunks = list[bytes]()
     chunk = list[bytes]()
-    size = brackets
+    size = bracket_bytes
     for item in items:
-        if len(item) + brackets > max_bytes:
+        if len(item) + bracket_bytes > max_bytes:
             continue
         if size + len(item) + 1 > max_bytes:
             chunks.append(b"[%s]" % b",".join(chunk))
             chunk = []
-            size = brackets
+            size = bracket_bytes
         chunk.append(item)
         size += len(item) + 1
     if chunk:
--- a/plankroute/net/peers/link_server.py
+++ b/plankroute/net/peers/link_server.py
@@ -1,6 +1,7 @@
-"""The server's end of links, over TCP: lists handed on in order and resumed where they broke off.
+"""The server side of links: accepts TCP connections from other controllers.
 
-Sockets and bounds only; who follows whom is decided in `cold_start.watcher_election`.
+Serves followers, and controllers that request or hand over views of the hosts. Who follows whom is
+decided in `cold_start.watcher_election`.
 """
 
 import asyncio
@@ -28,67 +29,89 @@
 from plankroute.net.process.address import host_and_port
 
 HELLO_TIMEOUT_S = 2.0
-# Links at once: two of each of 300 controllers over three watchers, and more than twice that.
+# Links at the same time. 300 controllers with two links each, spread over three watchers, make 200
+# for each watcher; the limit is more than twice that.
 MAX_LINKS = 512
-# Of a list that is handed out: a drain notice can't overtake what waits there any more.
+# Data waiting to be sent to a follower: one part of a list. The limit is low because a drain notice
+# cannot overtake data that is already waiting.
 MAX_UNSENT_BYTES = PART_BYTES
 
 FirstFrame = Hello | WarmStartRequest | WarmStartHandover
 
 
 class ViewStore(Protocol):
-    """Who knows what is learned of hosts, and keeps it for others: `peers.warm_start`."""
+    """Provides views of the hosts and stores handovers; implemented by `SnapshotExchange`.
+
+    Attributes:
+        max_view_bytes: Size limit of a view that is read from a link.
+    """
 
     max_view_bytes: int
 
     def views_for(self, name: str) -> list[tuple[str, int, bytes]]:
-        """Views for that controller: whose, age in microseconds, bytes."""
+        """Returns the views to send to a controller.
+
+        Each has the name of the controller whose view it is, its age in microseconds and the
+        encoded snapshot.
+        """
 
     def keep_handover(self, name: str, data: bytes) -> None:
-        """Keep a view for the successor of that name."""
+        """Stores the view that a controller hands over for its successor of the same name."""
 
 
 class LinkServer:
-    """Accepts links, and serves followers and those that ask for views of hosts."""
+    """Accepts links and serves them by their first frame.
+
+    Attributes:
+        followers: The followers that are connected, in the order in which they connected.
+        open_links: Number of accepted connections that have not ended.
+        views: Provides views of the hosts; None: links that request or hand over views are
+            rejected.
+    """
 
     def __init__(self, owner: LinkOwner) -> None:
         self.owner = owner
         self.server: asyncio.Server | None = None
         self.followers: dict[FollowerConnection, None] = {}
         self.open_links = 0
-        self.views: ViewStore | None = None  # None: no views are told
+        self.views: ViewStore | None = None
 
     async def open(self, address: str) -> None:
-        """Listen.
+        """Starts to listen.
+
+        Args:
+            address: The address to listen at, as "host:port".
 
         Raises:
-            OSError: the address is in use, or not of this machine.
+            OSError: The address is in use, or does not belong to this machine.
         """
-        listening = socket.socket()
+        listening_socket = socket.socket()
         try:
-            listening.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-            listening.bind(host_and_port(address))
-            self.server = await asyncio.start_server(self.serve, sock=listening, backlog=MAX_LINKS)
+            listening_socket.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+            listening_socket.bind(host_and_port(address))
+            self.server = await asyncio.start_server(
+                self.serve, sock=listening_socket, backlog=MAX_LINKS
+            )
         except OSError:
-            listening.close()
+            listening_socket.close()
             raise
 
     def close(self) -> None:
-        """Stop listening, and end all links."""
+        """Stops listening and ends the links of all followers."""
         if self.server:
             self.server.close()
         for follower in list(self.followers):
             follower.writer.transport.abort()
 
     def on_list_changed(self) -> None:
-        """The list has changed: followers are served at once."""
+        """Wakes the sending of updates to all followers."""
         for follower in self.followers:
             follower.has_updates.set()
 
-    def share(
+    def share_results(
         self, results: list[SharedHealthCheck], excluded: FollowerConnection | None = None
     ) -> None:
-        """Send health checks to all followers but one."""
+        """Queues health check results for all followers except `excluded`."""
         for follower in self.followers:
             if follower is not excluded:
                 follower.add_results(results)
@@ -96,7 +119,7 @@
     # One link
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Serve one link to its end."""
+        """Serves one link until it ends, and counts why it ended early."""
         telemetry = self.owner.telemetry
         self.open_links += 1
         try:
@@ -109,7 +132,7 @@
         except OSError:
             telemetry.count("links.broken")
         except asyncio.CancelledError:
-            pass  # the controller ends: nobody waits for this task
+            pass  # the controller is shutting down, and nothing awaits this task
         finally:
             self.open_links -= 1
             writer.transport.abort()
@@ -117,24 +140,35 @@
     async def serve_accepted(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        """Serve a link by what its first frame asks for."""
+        """Serves a link by its first frame.
+
+        Raises:
+            OSError: The link broke.
+            TimeoutError: The other end sent or accepted data too slowly.
+        """
         decoder = FrameDecoder()
-        first = await self.read_first(reader, decoder)
-        match first:
+        first_frame = await self.read_first_frame(reader, decoder)
+        match first_frame:
             case None:
                 self.owner.telemetry.count("links.rejected.hello")
             case Hello():
-                await self.serve_follower(first, reader, writer, decoder)
+                await self.serve_follower(first_frame, reader, writer, decoder)
             case WarmStartRequest() | WarmStartHandover():
-                await self.serve_views(first, reader, writer, decoder)
+                await self.serve_views(first_frame, reader, writer, decoder)
 
-    async def read_first(
+    async def read_first_frame(
         self, reader: asyncio.StreamReader, decoder: FrameDecoder
     ) -> FirstFrame | None:
-        """The first frame; None where it is not one that opens a link.
+        """Reads the first frame; frames after it stay in `decoder.unread`.
 
-        Guards against strangers, other versions and other groups: they have said nothing of use by
-        then.
+        Returns:
+            The frame; None if the stream ends before it, or if it does not open a link, is of
+            another protocol version or another group, or concerns views of the hosts while `views`
+            is None. The caller then closes the link before any other data from it is used.
+
+        Raises:
+            OSError: The link broke.
+            TimeoutError: No frame came within `HELLO_TIMEOUT_S`.
         """
         async with asyncio.timeout(HELLO_TIMEOUT_S):
             frames: list[Frame | None] = []
@@ -143,30 +177,38 @@
                 if not data:
                     return None
                 frames = decoder.feed(data)
-        first = frames[0]
+        first_frame = frames[0]
         decoder.unread += frames[1:]
-        if not isinstance(first, Hello | WarmStartRequest | WarmStartHandover):
+        if not isinstance(first_frame, Hello | WarmStartRequest | WarmStartHandover):
             return None
-        if not isinstance(first, Hello) and self.views is None:
+        if not isinstance(first_frame, Hello) and self.views is None:
             return None
-        is_known = first.version == LINK_VERSION and first.group == self.owner.group
-        return first if is_known else None
+        is_compatible = (
+            first_frame.version == LINK_VERSION and first_frame.group == self.owner.group
+        )
+        return first_frame if is_compatible else None
 
     async def serve_views(
         self,
-        first: WarmStartRequest | WarmStartHandover,
+        first_frame: WarmStartRequest | WarmStartHandover,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
         decoder: FrameDecoder,
     ) -> None:
-        """Views of hosts, asked for or handed over; whole or not at all within the time-out."""
+        """Sends the requested views of the hosts, or receives the views that are handed over.
+
+        Raises:
+            OSError: The link broke.
+            TimeoutError: The whole exchange took longer than `WRITE_TIMEOUT_S`. Views that were
+                handed over completely by then are kept.
+        """
         assert self.views
         async with asyncio.timeout(WRITE_TIMEOUT_S):
-            if isinstance(first, WarmStartHandover):
+            if isinstance(first_frame, WarmStartHandover):
                 async for view in read_views(reader, decoder, self.views.max_view_bytes):
-                    self.views.keep_handover(first.name, view.data)
+                    self.views.keep_handover(first_frame.name, view.data)
                 return
-            for name, age_us, data in self.views.views_for(first.name):
+            for name, age_us, data in self.views.views_for(first_frame.name):
                 for frame in view_frames(name, age_us, data):
                     writer.write(frame)
                     await writer.drain()
@@ -182,7 +224,12 @@
         writer: asyncio.StreamWriter,
         decoder: FrameDecoder,
     ) -> None:
-        """Send lists, heartbeats and results, and take results, until the follower goes."""
+        """Sends updates to a follower and receives its health check results until the link ends.
+
+        Raises:
+            OSError: The link broke.
+            TimeoutError: The follower accepts no data any more.
+        """
         writer.transport.set_write_buffer_limits(high=MAX_UNSENT_BYTES, low=0)
         writer.get_extra_info("socket").setsockopt(
             socket.IPPROTO_TCP, socket.TCP_NOTSENT_LOWAT, MAX_UNSENT_BYTES
@@ -190,24 +237,27 @@
         follower = FollowerConnection(self.owner, writer, hello)
         self.followers[follower] = None
         self.owner.telemetry.count("links.accepted")
-        reading = asyncio.create_task(self.read_results(reader, decoder, follower))
+        read_task = asyncio.create_task(self.read_results(reader, decoder, follower))
         try:
-            await follower.send_updates(reading)
+            await follower.send_updates(read_task)
         finally:
-            reading.cancel()
+            read_task.cancel()
             self.followers.pop(follower, None)
 
     async def read_results(
         self, reader: asyncio.StreamReader, decoder: FrameDecoder, follower: FollowerConnection
     ) -> None:
-        """Take and share the follower's health checks; any other frame ends the link."""
+        """Receives a follower's health check results and shares them with the other followers.
+
+        Returns when the follower closes the link, or sends a frame of any other type.
+        """
         frames = decoder.take_unread()
         while True:
             for frame in frames:
                 if not isinstance(frame, HealthCheckResults):
                     return
                 self.owner.on_health_checks(frame)
-                self.share(list(frame.results[:MAX_RESULTS]), follower)
+                self.share_results(list(frame.results[:MAX_RESULTS]), follower)
             data = await reader.read(READ_BYTES)
             if not data:
                 return
--- a/plankroute/net/peers/shared_discovery.py
+++ b/plankroute/net/peers/shared_discovery.py
@@ -317,4 +317,4 @@
     def share_health_checks(self, frame: HealthCheckResults) -> None:
         """Send results to those that are followed, and to those that follow."""
         self.links.send_to_all(frame)
-        self.server.share(list(frame.results))
+        self.server.share_results(list(frame.results))
