--- a/plankroute/net/peers/membership.py
+++ b/plankroute/net/peers/membership.py
@@ -1,6 +1,7 @@
-"""Membership on sockets: datagrams in and out, wake-ups, counters. Decides nothing about members.
+"""Runs the membership core on a UDP socket: datagrams, the core's timer, log events and counters.
 
-Whatever fails here ends here: the controller goes on without it.
+Decisions about members are made in `plankroute.membership`. Failures do not propagate: the
+controller continues without membership.
 """
 
 import asyncio
@@ -41,34 +42,37 @@
 from plankroute.token_bucket import TokenBucket
 from plankroute.units import SECOND_US
 
-# The kernel's buffer: two seconds' datagrams of a large group, for a pause.
+# Kernel receive buffer: holds the datagrams that a large group sends in two seconds, so that none
+# are lost while this process is paused.
 RECEIVE_BUFFER_BYTES = 262144
-# Waiting for the kernel: beyond, datagrams are dropped, a loss as any other.
+# Data waiting to be sent. Further datagrams are dropped, which the protocol handles like any other
+# datagram loss.
 MAX_UNSENT_BYTES = 65536
-# Datagrams looked at: far above the worst of a large group.
+# Rate limit of decoded datagrams; far above the highest rate in a large group.
 MAX_DATAGRAMS_PER_SECOND = 2000
 MAX_DATAGRAM_BURST = 4000
-BIND_RETRY_S = 1.0  # between tries for an address that is in use
-# For the last announcements: two ticks, well within what operators allow after SIGTERM.
+BIND_RETRY_INTERVAL_S = 1.0  # between attempts to bind an address that is in use
+# Limit for announcing the leave, which takes two ticks (0.2 s). It is well within the time that
+# operators allow after SIGTERM.
 LEAVE_TIMEOUT_S = 0.4
-ERROR_RETRY_US = SECOND_US  # after an error of ours the core is woken all the same
+ERROR_RETRY_US = SECOND_US  # delay before the core runs again after an exception in it
 
 
 @dataclass(frozen=True, slots=True)
 class LocalMember:
-    """What membership needs to know of the controller it is part of."""
+    """The controller that this process runs, as membership needs to know it."""
 
     name: str
     zone: str
     seed: int
 
 
-def member_facts(section: MembershipSection, own: LocalMember) -> MemberFacts:
-    """The core's settings from those of our own file."""
+def member_facts(section: MembershipSection, local_member: LocalMember) -> MemberFacts:
+    """Returns the core's settings, from the feature file and the local controller."""
     return MemberFacts(
-        name=own.name,
+        name=local_member.name,
         address=section.advertise or section.listen,
-        zone=own.zone,
+        zone=local_member.zone,
         group=section.group,
         seeds=section.seeds,
         probe_timeout_us=section.patience_ms * 1000,
@@ -78,50 +82,61 @@
 
 
 class MembershipService(asyncio.DatagramProtocol):
-    """Runs the core of membership on a UDP socket."""
+    """Runs the membership core on a UDP socket.
+
+    Attributes:
+        section: The membership section of the feature file, with the seeds of the last reload.
+        core: The membership core.
+        receive_budget: Rate limit of received datagrams.
+        transport: The socket; None until it is open.
+        timer: The pending wake-up of the core, if any.
+        timer_due_us: Monotonic time at which the timer was last set to run.
+        leave_completed: Set once the core has announced the leave.
+        open_task: Opens the socket; None before `start`.
+    """
 
     def __init__(
         self,
         section: MembershipSection,
-        own: LocalMember,
+        local_member: LocalMember,
         telemetry: Telemetry,
-        put: Callable[[events.Event], None],
+        submit: Callable[[events.Event], None],
     ) -> None:
-        """A service that has no socket yet.
+        """Creates the service; `start` opens its socket.
 
         Args:
-            section: the section of our own file.
-            own: the controller it is part of.
-            telemetry: log and counters.
-            put: takes events for the controller.
+            section: The membership section of the feature file.
+            local_member: The controller that this process runs.
+            telemetry: Log and counters.
+            submit: Submits an event to the controller.
         """
         self.section = section
         self.telemetry = telemetry
         self.codec = Codec(section.group)
         self.core = Membership(
-            member_facts(section, own),
-            own.seed,
+            member_facts(section, local_member),
+            local_member.seed,
             instance_id=secrets.randbits(62),
             wall_us=time.time_ns() // 1000,
             record_size=self.codec.record_size,
         )
-        self.log = MembershipLog(self.core.table, telemetry, put)
+        self.log = MembershipLog(self.core.table, telemetry, submit)
         self.receive_budget = TokenBucket(MAX_DATAGRAMS_PER_SECOND, MAX_DATAGRAM_BURST)
         self.transport: asyncio.DatagramTransport | None = None
         self.timer: asyncio.TimerHandle | None = None
         self.timer_due_us = 0
-        self.has_left = asyncio.Event()
-        self.opening: asyncio.Task[None] | None = None
+        self.leave_completed = asyncio.Event()
+        self.open_task: asyncio.Task[None] | None = None
 
     def start(self) -> None:
-        """Begin to open the socket."""
-        self.opening = asyncio.create_task(self.open())
+        """Starts to open the socket, in a task."""
+        self.open_task = asyncio.create_task(self.open())
 
     async def open(self) -> None:
-        """Open the socket and start the core.
+        """Opens the socket and starts the core.
 
-        Guards against an address that the process before still holds; the controller serves
-        meanwhile.
+        Retries until the address can be bound, since the previous process may still hold it. The
+        controller serves proxies meanwhile.
         """
         loop = asyncio.get_running_loop()
         while True:
@@ -133,7 +148,7 @@
                 self.telemetry.log_once(
                     "membership_address_in_use", address=self.section.listen, why=str(error)
                 )
-                await asyncio.sleep(BIND_RETRY_S)
+                await asyncio.sleep(BIND_RETRY_INTERVAL_S)
         self.telemetry.log.event(
             "info",
             "membership_open",
@@ -145,11 +160,11 @@
         self.deliver([TickDue()])
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """The socket is open."""
+        """Stores the transport of the open socket."""
         self.transport = cast(asyncio.DatagramTransport, transport)
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
-        """Decode a datagram and deliver it, or count why not."""
+        """Decodes a datagram and delivers its message to the core, or counts why it was dropped."""
         self.telemetry.count("membership.datagrams_received")
         if not self.receive_budget.take(monotonic_us()):
             self.telemetry.count("membership.dropped.rate_limited")
@@ -164,19 +179,25 @@
             self.deliver([MessageReceived(f"{host}:{port}", message)])
 
     def is_local(self, host: str) -> bool:
-        """Whether the address is of this machine.
+        """Returns whether the IP address belongs to this machine.
 
-        Views are told on this machine alone: a short question must not send long answers to third
-        parties.
+        Only this machine may request the member table. With a forged source address, a short
+        request could otherwise direct long responses at a third party.
         """
         return host.startswith("127.") or host == host_and_port(self.section.listen)[0]
 
     def error_received(self, exc: Exception) -> None:
-        """Such as nobody listening at a loopback address: a loss like any other."""
+        """Counts a send error, such as a loopback address on which no process listens.
+
+        The core handles it like any other datagram loss.
+        """
         self.telemetry.count("membership.send_failed")
 
     def deliver(self, core_events: list[Event]) -> None:
-        """One step of the core; an error of ours is logged, and does not stop the next step."""
+        """Delivers events to the core and carries out its commands.
+
+        An exception is logged, and the core runs again after `ERROR_RETRY_US`.
+        """
         now_us = monotonic_us()
         try:
             for command in self.core.deliver(now_us, core_events):
@@ -186,7 +207,7 @@
             self.wake_at(now_us + ERROR_RETRY_US)
 
     def carry_out(self, command: Command) -> None:
-        """Carry out one command of the core."""
+        """Carries out one command of the core."""
         match command:
             case SendMessage(address, message):
                 self.send(address, self.codec.encode(message))
@@ -197,10 +218,13 @@
             case WakeAt(due_us):
                 self.wake_at(due_us)
             case LeaveCompleted():
-                self.has_left.set()
+                self.leave_completed.set()
 
     def send(self, address: str, data: bytes) -> None:
-        """Send a datagram, or count why not."""
+        """Sends a datagram, or counts why it was dropped.
+
+        Nothing is sent or counted while the socket is not open.
+        """
         transport = self.transport
         if transport is None or transport.is_closing():
             return
@@ -209,15 +233,15 @@
             self.telemetry.count("membership.dropped.send_buffer_full")
             return
         try:
-            transport.sendto(data, resolved(address))
-        except (ValueError, OSError):  # an address that a record names need not be one
+            transport.sendto(data, parse_socket_address(address))
+        except (ValueError, OSError):  # the address in a member record may be invalid
             self.telemetry.count("membership.send_failed")
             return
         self.telemetry.count("membership.datagrams_sent")
         self.telemetry.count("membership.bytes_sent", len(data))
 
     def wake_at(self, due_us: int) -> None:
-        """Set the one timer of the core."""
+        """Sets the core's timer to a monotonic time, in microseconds; replaces a pending one."""
         if self.timer and self.timer_due_us == due_us:
             return
         if self.timer:
@@ -227,31 +251,35 @@
         self.timer = asyncio.get_running_loop().call_later(delay_s, self.on_timer)
 
     def on_timer(self) -> None:
-        """The time that the core asked for has come."""
+        """Runs the core at the time that it requested."""
         self.timer = None
         self.deliver([TickDue()])
 
     def reload(self, section: MembershipSection) -> list[str]:
-        """Take a changed list of seeds; names of what else differs, which waits for a restart."""
+        """Applies the seeds of a changed feature file.
+
+        Returns:
+            The names of all other settings that differ; these take effect after a restart.
+        """
         if section.seeds != self.section.seeds:
             self.deliver([SeedsChanged(section.seeds)])
-        unchanged = [
+        restart_required = [
             name
             for name in section.__struct_fields__
             if name != "seeds" and getattr(section, name) != getattr(self.section, name)
         ]
         self.section = msgspec.structs.replace(self.section, seeds=section.seeds)
-        return [f"membership.{name}" for name in unchanged]
+        return [f"membership.{name}" for name in restart_required]
 
     async def leave(self) -> None:
-        """Announce the leave, within a bounded time, and close."""
-        if self.opening:
-            self.opening.cancel()
+        """Announces the leave, for at most `LEAVE_TIMEOUT_S`, and closes the socket."""
+        if self.open_task:
+            self.open_task.cancel()
         if self.transport:
             self.deliver([LeaveRequested()])
             try:
                 async with asyncio.timeout(LEAVE_TIMEOUT_S):
-                    await self.has_left.wait()
+                    await self.leave_completed.wait()
             except TimeoutError:
                 self.telemetry.count("membership.leave_timed_out")
             self.transport.close()
@@ -260,15 +288,15 @@
 
 
 @lru_cache(maxsize=MAX_MEMBERS)
-def resolved(address: str) -> tuple[str, int]:
-    """The socket address of "host:port".
+def parse_socket_address(address: str) -> tuple[str, int]:
+    """Splits "host:port" into host and port.
 
-    Guards against a record that names a host instead of an address: looking it up would hold up the
+    A host name is rejected: a member record may contain one, and resolving it would block the event
     loop.
 
     Raises:
-        ValueError: it is no "host:port".
-        OSError: the host is no IPv4 address.
+        ValueError: The text is not of the form "host:port".
+        OSError: The host is not an IPv4 address.
     """
     host, port = host_and_port(address)
     socket.inet_pton(socket.AF_INET, host)
@@ -276,14 +304,14 @@
 
 
 def bind_udp_socket(address: str) -> socket.socket:
-    """A UDP socket bound to that address.
+    """Creates a non-blocking UDP socket that is bound to an address ("host:port").
 
     Raises:
-        OSError: the address is in use, or not of this machine.
+        OSError: The address is in use, or does not belong to this machine.
     """
     sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
     try:
-        # The kernel doubles the size that is asked for.
+        # Linux doubles the requested size.
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE_BUFFER_BYTES // 2)
         sock.setblocking(False)
         sock.bind(host_and_port(address))
--- a/plankroute/net/peers/membership_log.py
+++ b/plankroute/net/peers/membership_log.py
@@ -1,4 +1,7 @@
-"""Log lines, counters and the event for what membership notifies; no rule rests on any of them."""
+"""Reports status changes of members: log events, counters and an event for the controller.
+
+No decision depends on them.
+"""
 
 from collections.abc import Callable
 
@@ -7,7 +10,8 @@
 from plankroute.membership.messages import NotifyStatus, StatusChange
 from plankroute.net.process.telemetry import Telemetry
 
-# Changes of this member itself: their log events begin with "membership_", others' with "member_".
+# Changes that concern this controller itself: their log events start with "membership_", those
+# about other members with "member_".
 OWN_CHANGES = frozenset(
     {
         StatusChange.REPORTED_FAILED,
@@ -16,8 +20,8 @@
         StatusChange.RECONNECTED,
     }
 )
-ERRORS = frozenset({StatusChange.NAME_LOST})
-WARNINGS = frozenset(
+ERROR_CHANGES = frozenset({StatusChange.NAME_LOST})
+WARNING_CHANGES = frozenset(
     {
         StatusChange.SUSPECTED,
         StatusChange.FAILED,
@@ -26,7 +30,7 @@
         StatusChange.ISOLATED,
     }
 )
-CONTROLLER_STATES = {
+CONTROLLER_STATE_BY_CHANGE = {
     StatusChange.JOINED: events.ControllerState.ALIVE,
     StatusChange.RECOVERED: events.ControllerState.ALIVE,
     StatusChange.SUSPECTED: events.ControllerState.SUSPECTED,
@@ -36,17 +40,23 @@
 
 
 class MembershipLog:
-    """Reports what the core notifies, to the operators and to the controller."""
+    """Reports status changes to the operators and to the controller.
+
+    Attributes:
+        table: The core's member table; only read.
+        telemetry: Log and counters.
+        submit: Submits an event to the controller.
+    """
 
     def __init__(
-        self, table: MemberTable, telemetry: Telemetry, put: Callable[[events.Event], None]
+        self, table: MemberTable, telemetry: Telemetry, submit: Callable[[events.Event], None]
     ) -> None:
         self.table = table
         self.telemetry = telemetry
-        self.put = put
+        self.submit = submit
 
     def report(self, notification: NotifyStatus) -> None:
-        """Write the log line, count, and put the controller's event."""
+        """Logs and counts a status change, and submits the controller's event, if it has one."""
         change = notification.change
         record = notification.record
         live_members = 1 + len(self.table.living)
@@ -63,19 +73,19 @@
             confirmations=notification.confirmations,
             live_members=live_members,
         )
-        state = CONTROLLER_STATES.get(change)
+        state = CONTROLLER_STATE_BY_CHANGE.get(change)
         if state is not None:
-            self.put(events.ControllerStatus(observer_id(record.name), state))
+            self.submit(events.ControllerStatus(observer_id(record.name), state))
 
 
 def log_event_name(change: StatusChange) -> str:
-    """The name of the log event of a change."""
+    """Returns the name of a change's log event."""
     subject = "membership" if change in OWN_CHANGES else "member"
     return f"{subject}_{change.value}"
 
 
 def log_level(change: StatusChange) -> str:
-    """The level of the log event of a change."""
-    if change in ERRORS:
+    """Returns the level of a change's log event."""
+    if change in ERROR_CHANGES:
         return "error"
-    return "warning" if change in WARNINGS else "info"
+    return "warning" if change in WARNING_CHANGES else "info"
