--- a/plankroute/net/peers/shared_discovery.py
+++ b/plankroute/net/peers/shared_discovery.py
@@ -1,7 +1,7 @@
 """Discovery shared among controllers: a few watch the list service, the others follow them.
 
-Who follows whom is `cold_start.watcher_election`'s to decide; here its commands meet sockets, log
-lines and counters.
+Who watches and who follows whom is decided in `cold_start.watcher_election`. This module carries
+out its commands with sockets, log events and counters.
 """
 
 import asyncio
@@ -46,10 +46,11 @@
 from plankroute.net.process.clock import monotonic_us as now_us
 from plankroute.units import SECOND_US
 
-# Between first requests of watchers: the second finds the list on its way already.
+# Delay between the first requests of two watchers, so that the list is already on its way when the
+# second one requests it.
 WATCHER_STAGGER_US = 200_000
-BIND_RETRY_S = 1.0  # between tries for an address that is in use
-WARNINGS = frozenset(
+BIND_RETRY_INTERVAL_S = 1.0  # between attempts to bind an address that is in use
+WARNING_TRANSITIONS = frozenset(
     {
         Transition.LEFT_BEHIND,
         Transition.LEFT_STALE,
@@ -62,34 +63,43 @@
 
 
 class SharedDiscovery(BackoffDiscovery):
-    """Needs membership; `prepare_links` before `start`.
+    """Gets the endpoint list from the list service or from other controllers.
+
+    It needs membership. `prepare_links` has to be called before `start`.
 
     Attributes:
-        endpoint_list: what is held, and handed on.
-        drain_notices: laid over all lists.
-        result_listener: takes health checks of other controllers.
+        membership: Tells which controllers are live, and their addresses.
+        election: The watcher election.
+        endpoint_list: The accepted endpoint list; it is also sent to the followers.
+        drain_notices: Applies drain notices to all lists before the controller receives them.
+        full_list_from: Names of controllers that were asked for their complete list, which may
+            replace a list of a higher revision.
+        request_task: Sends requests to the list service; None while there are none to send.
+        open_task: Opens the server for links; None before `start`.
+        member_table_version: Version of the member table that the election last received.
+        result_listener: Called with health check results of other controllers.
     """
 
     def prepare_links(
         self,
-        members: MembershipService,
+        membership: MembershipService,
         facts: ElectionFacts,
         listen: str,
         port: int,
         backoff: BackoffFacts,
         seed: int,
     ) -> None:
-        """Set what the constructor, which is Discovery's, does not take.
+        """Sets up links and the election; the constructor inherited from `Discovery` does not.
 
         Args:
-            members: tells which controllers are there.
-            facts: settings of the election.
-            listen: "host:port" at which links are accepted.
-            port: at which all others are reached.
-            backoff: settings of requests to the list service.
-            seed: of the jitter.
+            membership: Tells which controllers are live, and their addresses.
+            facts: Settings of the election.
+            listen: Address ("host:port") at which links are accepted.
+            port: Port at which all other controllers accept links.
+            backoff: Settings of requests to the list service.
+            seed: Seed of the jitter.
         """
-        self.members = members
+        self.membership = membership
         self.election = WatcherElection(facts)
         self.listen = listen
         self.port = port
@@ -102,29 +112,31 @@
         self.drain_notices = DrainNoticeOverlay(self.directory, self.telemetry, self.submit)
         self.list_filter = self.drain_notices.filter_list
         self.transfers = ListTransfers(lambda: self.limits.max_body_bytes)
-        frames = FrameHandler(self, self.transfers, self.telemetry)
-        self.links = LinkPool(frames.on_frame, self.on_link_closed)
-        self.full_list_from = set[str]()  # asked for the complete list, whatever is held
-        self.requesting: asyncio.Task[None] | None = None
-        self.opening: asyncio.Task[None] | None = None
-        self.members_version = -1
+        frame_handler = FrameHandler(self, self.transfers, self.telemetry)
+        self.links = LinkPool(frame_handler.on_frame, self.on_link_closed)
+        self.full_list_from = set[str]()
+        self.request_task: asyncio.Task[None] | None = None
+        self.open_task: asyncio.Task[None] | None = None
+        self.member_table_version = -1
         self.result_listener: Callable[[HealthCheckResults], None] = lambda frame: None
 
     def start(self, initial_list: object) -> None:
-        """Start with the list that came with the configuration.
+        """Starts with the list that came with the configuration.
 
-        Guards against changes since the list handed over that are taken for a complete one, and
-        handed on.
+        The list is also stored in `endpoint_list`. Otherwise the first changes to it would be
+        stored as if they were the complete list, and sent to followers as such.
         """
         super().start(initial_list)
         if self.revision is not None:
-            self.endpoint_list.apply(cast(RawList, initial_list))  # its form was checked
+            self.endpoint_list.apply(
+                cast(RawList, initial_list)
+            )  # validated by Discovery.start, which sets `revision`
             self.deliver([ListUpdated(self.endpoint_list.revision, from_service=False)])
-        self.opening = asyncio.create_task(self.open_server())
+        self.open_task = asyncio.create_task(self.open_server())
 
     def close(self) -> None:
-        """End all links and requests."""
-        for task in (self.requesting, self.opening):
+        """Ends all links and requests."""
+        for task in (self.request_task, self.open_task):
             if task:
                 task.cancel()
         self.links.close_all()
@@ -132,25 +144,31 @@
         super().close()
 
     async def open_server(self) -> None:
-        """Guards against an address that the process before still holds."""
+        """Starts to listen for links.
+
+        Retries until the address can be bound, since the previous process may still hold it.
+        """
         while True:
             try:
                 await self.server.open(self.listen)
                 break
             except OSError as error:
                 self.telemetry.log_once("links_address_in_use", address=self.listen, why=str(error))
-                await asyncio.sleep(BIND_RETRY_S)
+                await asyncio.sleep(BIND_RETRY_INTERVAL_S)
         self.telemetry.log.event("info", "links_open", address=self.listen)
 
     # The election
 
     async def watch_forever(self) -> None:
-        """The election's ticks; requests to the service are a task of their own."""
+        """Delivers the election's ticks and membership changes, and expires drain notices, forever.
+
+        Requests to the list service run in `request_task`.
+        """
         while True:
             events: list[Event] = [TickDue()]
-            table = self.members.core.table
-            if table.version != self.members_version:
-                self.members_version = table.version
+            table = self.membership.core.table
+            if table.version != self.member_table_version:
+                self.member_table_version = table.version
                 names = frozenset(table.record_at(index).name for index in table.living_indexes())
                 events.append(LiveControllersChanged(names))
             self.deliver(events)
@@ -158,7 +176,10 @@
             await asyncio.sleep(TICK_US / SECOND_US)
 
     def deliver(self, events: list[Event]) -> None:
-        """One step; an error of ours is logged, and must not leave the controller without ticks."""
+        """Delivers events to the election and carries out its commands.
+
+        An exception is only logged: if it propagated, it would end the election's ticks.
+        """
         try:
             for command in self.election.deliver(now_us(), events):
                 self.carry_out(command)
@@ -166,7 +187,7 @@
             self.telemetry.failed("election", error)
 
     def carry_out(self, command: Command) -> None:
-        """Carry out one command of the election."""
+        """Carries out one command of the election."""
         match command:
             case Connect():
                 self.connect(command)
@@ -178,15 +199,28 @@
                 self.report(transition, name)
 
     def set_watch(self, is_enabled: bool, watcher_rank: int | None) -> None:
-        """Start requests to the list service, or end them."""
-        if self.requesting:
-            self.requesting.cancel()
-            self.requesting = None
+        """Starts or stops the requests to the list service.
+
+        Args:
+            is_enabled: Whether to send requests.
+            watcher_rank: This controller's rank among the watchers; None if it is not a watcher.
+        """
+        if self.request_task:
+            self.request_task.cancel()
+            self.request_task = None
         if is_enabled:
-            self.requesting = asyncio.create_task(self.request_as(watcher_rank))
+            self.request_task = asyncio.create_task(self.watch_list_service(watcher_rank))
 
-    async def request_as(self, watcher_rank: int | None) -> None:
-        """Watch the service: a watcher at once, in rounds of the few watchers; else by own rank."""
+    async def watch_list_service(self, watcher_rank: int | None) -> None:
+        """Watches the list service, forever.
+
+        A watcher sends its first request after a delay by its rank, and further ones in rounds that
+        are as short as the small number of watchers allows. Any other controller waits for its
+        slot by its configured rank among all controllers.
+
+        Args:
+            watcher_rank: This controller's rank among the watchers; None if it is not a watcher.
+        """
         scheduler = self.scheduler
         event: BackoffEvent = Started()
         if watcher_rank is not None:
@@ -205,10 +239,14 @@
         await self.request_forever(scheduler, event)
 
     def report(self, transition: Transition, name: str) -> None:
-        """Log and count what the election has done."""
+        """Logs and counts a transition of the election.
+
+        A controller that was left because its revision is unknown to the list service may have sent
+        false drain notices; these are retracted.
+        """
         self.telemetry.count(f"election.{transition.value}")
         self.telemetry.log.event(
-            "warning" if transition in WARNINGS else "info",
+            "warning" if transition in WARNING_TRANSITIONS else "info",
             f"election_{transition.value}",
             other=name,
             revision=self.endpoint_list.revision,
@@ -219,72 +257,88 @@
     # Lists of the service and of other controllers
 
     def record_contact(self) -> None:
-        """A watch that goes on from the revision held says that the service knows it."""
+        """Records a contact with the list service.
+
+        While the election waits for the service to confirm a revision, the contact does so: the
+        service would not continue a watch from a revision that it does not know.
+        """
         super().record_contact()
         if self.election.is_asking_service and self.endpoint_list.revision >= 0:
             self.deliver([ListUpdated(self.endpoint_list.revision, from_service=True)])
 
     def accept_list(self, text: bytes) -> bool:
-        """What the service itself says."""
+        """Accepts a list from the list service; returns False if it cannot be used."""
         if not super().accept_list(text):
             return False
-        self.hold_list(text, from_service=True)
+        self.store_list(text, from_service=True)
         return True
 
-    def hold_list(self, text: bytes, from_service: bool) -> None:
-        """Hold a list that was accepted, and hand it on."""
+    def store_list(self, text: bytes, from_service: bool) -> None:
+        """Stores an accepted list, and notifies the followers and the election."""
         self.endpoint_list.apply(orjson.loads(text))
         self.server.on_list_changed()
         self.deliver([ListUpdated(self.endpoint_list.revision, from_service)])
 
     def accept_list_from(self, name: str, text: bytes) -> None:
-        """A list from another controller.
+        """Accepts a list from another controller.
+
+        A lower revision replaces a higher one only if the complete list was requested from this
+        controller. The election requests it when both followed controllers report that the list
+        service restarted its revisions.
 
-        A lower revision never replaces a higher one, but where the service began anew, as two that
-        are followed say.
+        Args:
+            name: Name of the controller that sent the list.
+            text: The list as JSON.
 
         Raises:
-            LinkError: it is no list.
+            LinkError: The text is not a valid list.
         """
         try:
             revision = orjson.loads(text)["rev"]
         except (ValueError, KeyError, TypeError) as error:
-            raise LinkError("no list") from error
+            raise LinkError("not a valid endpoint list") from error
         is_lower = isinstance(revision, int) and revision < self.endpoint_list.revision
         if not isinstance(revision, int) or (is_lower and name not in self.full_list_from):
             self.telemetry.count("links.dropped.lower_revision")
             if isinstance(revision, int):
-                return  # what the controller goes on to say may explain it
-            raise LinkError("no list")
+                return  # not an error: later frames of the controller may explain the revision
+            raise LinkError("not a valid endpoint list")
         self.full_list_from.discard(name)
         if not Discovery.accept_list(self, text):
-            raise LinkError("no list")
-        self.hold_list(text, from_service=False)
+            raise LinkError("not a valid endpoint list")
+        self.store_list(text, from_service=False)
 
     # What followed controllers say
 
     def on_service_contact(self, age_us: int) -> None:
-        """A followed controller's contact with the service is this one's too."""
+        """Counts a followed controller's contact with the list service as this controller's own.
+
+        Args:
+            age_us: Microseconds since that contact.
+        """
         if not self.election.is_watching:
             self.has_contact = True
             self.last_contact_us = max(self.last_contact_us, now_us() - age_us)
             self.clear_old()
 
     def on_health_checks(self, frame: HealthCheckResults) -> None:
-        """Results of another controller, whichever side dialled."""
+        """Passes on health check results of another controller, whichever side opened the link."""
         self.result_listener(frame)
 
     def on_drain_notices(
-        self, name: str, revision: int, closed: list[tuple[str, HostState]]
+        self, name: str, revision: int, closed_hosts: list[tuple[str, HostState]]
     ) -> None:
-        """Drains ahead of their list."""
-        self.drain_notices.receive(name, revision, closed)
+        """Passes on notices of hosts that are draining or deleted in a list of that revision."""
+        self.drain_notices.receive(name, revision, closed_hosts)
 
     # Links
 
     def connect(self, command: Connect) -> None:
-        """Dial a controller at the address that membership has."""
-        record = self.members.core.table.record_of(command.name)
+        """Opens a link to a controller, at its host in the member table and the common port.
+
+        If the member table does not have the controller, the link counts as closed at once.
+        """
+        record = self.membership.core.table.record_of(command.name)
         if record is None:
             self.deliver([LinkClosed(command.name)])
             return
@@ -304,17 +358,17 @@
         self.links.open(target, hello)
 
     def on_link_closed(self, name: str) -> None:
-        """The other end has closed a link, or it broke."""
+        """Handles a link that the other end has closed, or that broke."""
         self.telemetry.count("links.closed")
         self.transfers.end(name)
         self.deliver([LinkClosed(name)])
 
     def disconnect(self, name: str) -> None:
-        """Close a link from this side."""
+        """Closes a link from this side."""
         if self.links.close(name):
             self.transfers.end(name)
 
     def share_health_checks(self, frame: HealthCheckResults) -> None:
-        """Send results to those that are followed, and to those that follow."""
+        """Sends results to the followed controllers and to the followers."""
         self.links.send_to_all(frame)
         self.server.share_results(list(frame.results))
