--- a/plankroute/net/__init__.py
+++ b/plankroute/net/__init__.py
@@ -1,4 +1,4 @@
-"""asyncio adapters: connections, discovery, health checks and other controllers by their protocols.
+"""asyncio adapters for the network: proxies, discovery, health checks and other controllers.
 
-No decisions are made here.
+Decisions are made in other packages; this one does the I/O.
 """
--- a/plankroute/net/peers/__init__.py
+++ b/plankroute/net/peers/__init__.py
@@ -1,1 +1,1 @@
-"""Other controllers: links, membership datagrams, warm start."""
+"""asyncio adapters between controllers: membership datagrams, links, and snapshots of hosts."""
--- a/plankroute/net/peers/shared_discovery.py
+++ b/plankroute/net/peers/shared_discovery.py
@@ -128,9 +128,8 @@
         """
         super().start(initial_list)
         if self.revision is not None:
-            self.endpoint_list.apply(
-                cast(RawList, initial_list)
-            )  # validated by Discovery.start, which sets `revision`
+            # `Discovery.start` has validated the list; otherwise there would be no revision.
+            self.endpoint_list.apply(cast(RawList, initial_list))
             self.deliver([ListUpdated(self.endpoint_list.revision, from_service=False)])
         self.open_task = asyncio.create_task(self.open_server())
 
@@ -241,8 +240,8 @@
     def report(self, transition: Transition, name: str) -> None:
         """Logs and counts a transition of the election.
 
-        A controller that was left because its revision is unknown to the list service may have sent
-        false drain notices; these are retracted.
+        If a controller was left because its revision is ahead of the list service's, its drain
+        notices may be false; they are retracted.
         """
         self.telemetry.count(f"election.{transition.value}")
         self.telemetry.log.event(
--- a/plankroute/net/peers/snapshot_exchange.py
+++ b/plankroute/net/peers/snapshot_exchange.py
@@ -1,4 +1,8 @@
-"""Snapshots between controllers: requested at the start, served, handed over at the end."""
+"""Exchange of snapshots between controllers.
+
+A controller requests snapshots when it starts, serves them to others while it runs, and hands its
+own over when it shuts down.
+"""
 
 import asyncio
 import time
@@ -20,26 +24,27 @@
 from plankroute.warm_start.core import SnapshotReceived
 from plankroute.warm_start.snapshot import Snapshot
 
-# By then a controller's own requests say more than a snapshot.
+# After that time, what a controller has observed itself is more informative than a snapshot.
 ASKING_PERIOD_S = 10.0
-MEMBERSHIP_CHECK_INTERVAL_S = 0.05  # between looks for a living member that can be asked
-# Together with the file's last write within the 0.7 s that operators leave after SIGTERM.
+MEMBERSHIP_CHECK_INTERVAL_S = 0.05  # between checks for live members that were not asked yet
+# Operators allow 0.7 s after SIGTERM for the handover and the last write of the snapshot file.
 HANDOVER_TIMEOUT_S = 0.3
-# Snapshots held for others: a rolling restart ends controllers one after another.
+# Handovers kept for other controllers. A few are enough: a rolling restart stops controllers one
+# after another.
 MAX_HANDOVERS = 16
 
 Address = tuple[str, int]
 RunTask = Callable[[Coroutine[None, None, None]], None]
-EncodedSnapshot = tuple[str, int, bytes]  # as the links carry it: controller, age in us, bytes
+EncodedSnapshot = tuple[str, int, bytes]  # controller, age in microseconds, encoded snapshot
 
 
 @dataclass(frozen=True, slots=True)
 class Peer:
-    """A living controller.
+    """A live controller.
 
     Attributes:
         name: Its name.
-        address: Where its links are.
+        address: The host and port at which it accepts links.
     """
 
     name: str
@@ -48,10 +53,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Handover:
-    """What a controller handed over as it ended.
+    """The snapshot that a controller handed over when it shut down.
 
     Attributes:
-        received_us: When, on the monotonic clock.
+        received_us: Monotonic time of its receipt.
         data: The encoded snapshot.
     """
 
@@ -60,12 +65,16 @@
 
 
 class SnapshotExchange:
-    """Asks peers, answers them, and hands over to one.
+    """Requests snapshots from peers, serves them to peers, and hands over to one peer.
 
     Attributes:
-        max_view_bytes: The largest snapshot that is read from a link, in bytes.
-        peers: Living controllers, in the order in which they are asked.
-        handovers: What others handed over here, by their names, oldest first.
+        controller: Name of this controller.
+        own_host: Local address of outgoing links.
+        current_snapshot: Returns the snapshot of this controller.
+        on_snapshot: Called with each snapshot that a peer sent.
+        max_view_bytes: Size limit of a snapshot that is read from a link.
+        handovers: Snapshots that other controllers handed over, by controller, oldest first.
+        peers: Returns the live controllers in the order in which they are asked; none by default.
     """
 
     def __init__(
@@ -74,24 +83,31 @@
         group: str,
         own_host: str,
         telemetry: Telemetry,
-        current: Callable[[], Snapshot],
+        current_snapshot: Callable[[], Snapshot],
         on_snapshot: Callable[[SnapshotReceived], None],
     ) -> None:
         self.controller = controller
         self.group = group
         self.own_host = own_host
         self.telemetry = telemetry
-        self.current = current
+        self.current_snapshot = current_snapshot
         self.on_snapshot = on_snapshot
         self.max_view_bytes = MAX_FILE_BYTES
         self.handovers: dict[str, Handover] = {}
         self.peers: Callable[[], list[Peer]] = list
 
-    # Serving others; the names are those of the protocol `ViewStore` of the link server.
+    # Serving others: implements the protocol `ViewStore` of the link server.
 
     def views_for(self, name: str) -> list[EncodedSnapshot]:
-        """What is known here, and what the asking controller handed over here as it last ended."""
-        snapshots = [(self.controller, 0, encode_snapshot(self.current()))]
+        """Returns the snapshots to send to a controller that requests them.
+
+        These are this controller's own snapshot and, if there is one, the snapshot that the
+        requesting controller handed over when it last shut down.
+
+        Args:
+            name: Name of the requesting controller.
+        """
+        snapshots = [(self.controller, 0, encode_snapshot(self.current_snapshot()))]
         handover = self.handovers.get(name)
         if handover is not None:
             snapshots.append((name, monotonic_us() - handover.received_us, handover.data))
@@ -99,7 +115,11 @@
         return snapshots
 
     def keep_handover(self, name: str, data: bytes) -> None:
-        """Holds the newest handover of a controller, of `MAX_HANDOVERS` controllers at most."""
+        """Stores the newest handover of a controller; counts and drops an invalid one.
+
+        Handovers of at most `MAX_HANDOVERS` controllers are kept; beyond that, the oldest is
+        dropped.
+        """
         snapshot = decode_snapshot(data)
         if snapshot is None or snapshot.controller != name:
             self.telemetry.count("warm_start.dropped.handover_received")
@@ -111,17 +131,19 @@
         self.handovers[name] = Handover(monotonic_us(), data)
         self.telemetry.count("warm_start.handovers_received")
 
-    # Asking
+    # Requesting
 
     async def ask_peers(self, count: int, timeout_s: float, run_task: RunTask) -> None:
-        """Asks up to that many living peers, each once, as soon as membership knows them.
+        """Requests snapshots from live peers, once from each, as soon as membership knows them.
 
-        The controller serves meanwhile; answers are merged when they come.
+        Ends after `ASKING_PERIOD_S` if fewer peers than wanted were found. The controller serves
+        proxies meanwhile; a response is merged when it arrives.
 
         Args:
-            count: How many peers are asked.
-            timeout_s: Limit of one peer's whole answer.
-            run_task: Runs a request beside the others, none of which ends with another's failure.
+            count: The number of peers to ask.
+            timeout_s: Limit for the whole response of one peer.
+            run_task: Starts a task for each request, so that a failed request does not affect the
+                others.
         """
         asked: set[str] = set()
         end_s = time.monotonic() + ASKING_PERIOD_S
@@ -133,22 +155,25 @@
             await asyncio.sleep(MEMBERSHIP_CHECK_INTERVAL_S)
 
     async def ask(self, peer: Peer, timeout_s: float) -> None:
-        """Asks one peer for its snapshots; of an answer that breaks off, whole snapshots count."""
+        """Requests the snapshots of one peer, and logs the outcome.
+
+        If the response is interrupted, the snapshots that arrived completely are still used.
+        """
         snapshots: list[EncodedSnapshot] = []
-        why = ""
+        failure = ""
         began_us = monotonic_us()
         try:
             async with asyncio.timeout(timeout_s):
-                await self.read_answer(peer, snapshots)
+                await self.read_response(peer, snapshots)
         except (OSError, TimeoutError) as error:
-            why = f"{type(error).__name__}: {error}".strip(": ")
+            failure = f"{type(error).__name__}: {error}".strip(": ")
         self.telemetry.count("warm_start.requests_sent")
         self.telemetry.log.event(
             "info",
             "warm_start_peer_asked",
             other=peer.name,
             views=len(snapshots),
-            why=why,
+            why=failure,
             took_ms=(monotonic_us() - began_us) // 1000,
         )
         for source, age_us, data in snapshots:
@@ -156,15 +181,15 @@
             if snapshot is None or snapshot.controller != source:
                 self.telemetry.count("warm_start.dropped.snapshot")
                 continue
-            # It was on its way for at most as long as the whole call.
-            age_with_call_us = age_us + monotonic_us() - began_us
-            self.on_snapshot(SnapshotReceived(source, snapshot, age_with_call_us))
+            # The transfer took at most as long as the whole request.
+            age_with_transfer_us = age_us + monotonic_us() - began_us
+            self.on_snapshot(SnapshotReceived(source, snapshot, age_with_transfer_us))
 
-    async def read_answer(self, peer: Peer, snapshots: list[EncodedSnapshot]) -> None:
-        """Adds each snapshot that comes whole to `snapshots`.
+    async def read_response(self, peer: Peer, snapshots: list[EncodedSnapshot]) -> None:
+        """Requests a peer's snapshots, and adds each complete one to `snapshots`.
 
         Raises:
-            OSError: The link could not be opened, or broke.
+            OSError: The link could not be opened, or it broke.
         """
         reader, writer = await self.connect(peer.address)
         try:
@@ -175,13 +200,21 @@
             writer.transport.abort()
 
     async def connect(self, address: Address) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
-        """Opens a link from this controller's own address."""
+        """Opens a link with `own_host` as its local address.
+
+        Raises:
+            OSError: The link could not be opened.
+        """
         return await asyncio.open_connection(*address, local_addr=(self.own_host, 0))
 
     # Handing over
 
     async def hand_over(self) -> str:
-        """Hands the snapshot over to the first peer; returns its name, "" if none has it."""
+        """Hands this controller's snapshot over to the first peer.
+
+        Returns:
+            The name of the peer; "" if there is none, or if the handover failed.
+        """
         peers = self.peers()
         if not peers:
             return ""
@@ -201,13 +234,13 @@
         return peer.name
 
     async def send_handover(self, peer: Peer) -> None:
-        """Sends the snapshot to a peer, and waits until the kernel has taken it.
+        """Sends the snapshot to a peer, and waits until the kernel has accepted all of it.
 
         Raises:
-            OSError: The link could not be opened, or broke.
+            OSError: The link could not be opened, or it broke.
         """
         _, writer = await self.connect(peer.address)
-        data = encode_snapshot(self.current())
+        data = encode_snapshot(self.current_snapshot())
         writer.write(encode_frame(WarmStartHandover(LINK_VERSION, self.group, self.controller)))
         await writer.drain()
         for frame in view_frames(self.controller, 0, data):
@@ -218,5 +251,9 @@
 
 
 def asking_order(names: list[str], controller: str) -> list[str]:
-    """Whom a controller asks, and hands over to: by rendezvous hashing over its own name."""
+    """Returns the other controllers in the order in which a controller asks them.
+
+    It hands over to the first one. The order is by rendezvous hashing over the controller's own
+    name.
+    """
     return rendezvous_order([name for name in names if name != controller], controller)
--- a/plankroute/net/peers/warm_start.py
+++ b/plankroute/net/peers/warm_start.py
@@ -1,6 +1,6 @@
-"""The warm start of a controller: connects the core with the file, the peers and the policy.
+"""The warm start of a controller: connects its core with the snapshot file, peers and the policy.
 
-What counts, and whose word stands, is decided by `warm_start.core`.
+Which observations count, and which ones take precedence, is decided in `warm_start.core`.
 """
 
 import asyncio
@@ -32,16 +32,21 @@
 )
 from plankroute.warm_start.snapshot import HostKnowledge, Snapshot
 
-LIST_WORD_BY_STATE = {HostState.DRAINING: "DRAINING", HostState.GONE: "DELETED"}
-NO_REVISION = -1  # of a snapshot whose controller had no endpoint list
+LISTED_STATE_NAMES = {HostState.DRAINING: "DRAINING", HostState.GONE: "DELETED"}
+NO_REVISION = -1  # list revision in a snapshot of a controller without an endpoint list
 
 
 class WarmStartService:
-    """Runs the core: delivers its events, carries out its commands, keeps the file and asks peers.
+    """Runs the warm-start core, maintains the snapshot file and exchanges snapshots with peers.
 
     Attributes:
-        file: The snapshot file; None where no folder is set.
-        exchange: The snapshots between this controller and its peers.
+        section: The section of the feature file.
+        name: Name of this controller.
+        submit: Submits an event to the controller.
+        core: The warm-start core.
+        file: The snapshot file; None if no folder is configured.
+        exchange: The exchange of snapshots with peers.
+        tasks: Running tasks, which `hand_over` cancels.
     """
 
     def __init__(
@@ -51,18 +56,20 @@
         group: str,
         own_host: str,
         telemetry: Telemetry,
-        put: Callable[[events.Event], None],
+        submit: Callable[[events.Event], None],
         disk: Disk | None = None,
     ) -> None:
         self.section = section
         self.name = name
         self.telemetry = telemetry
-        self.put = put
+        self.submit = submit
         self.core = WarmStart(WarmStartSettings(int(section.limit_s * 1e6)))
         self.file: SnapshotFile | None = None
         if section.folder:
             self.file = SnapshotFile(Path(section.folder), name, telemetry, disk or Disk())
-        self.exchange = SnapshotExchange(name, group, own_host, telemetry, self.snapshot, self.work)
+        self.exchange = SnapshotExchange(
+            name, group, own_host, telemetry, self.snapshot, self.deliver
+        )
         self.tasks: set[asyncio.Task[None]] = set()
 
     def attach(
@@ -72,23 +79,26 @@
         discovery: Discovery,
         drain_notices: DrainNoticeOverlay,
     ) -> None:
-        """Connects it with the rest of the process; before the first endpoint list."""
+        """Connects the service to the rest of the process, before the first endpoint list."""
         self.controller = controller
         self.directory = directory
         self.discovery = discovery
         self.drain_notices = drain_notices
-        # More may be known of hosts that a list brings.
-        drain_notices.after_list = lambda: self.work(self.hosts_listed())
+        # Prior knowledge may be available for hosts that a list adds.
+        drain_notices.after_list = lambda: self.deliver(self.hosts_listed())
 
-    # The life of the process
+    # Start and shutdown
 
     async def load_snapshot_file(self) -> None:
-        """Reads the file, within a bound, before the first proxy can join."""
+        """Reads the snapshot file; called before the first proxy can connect.
+
+        Returns after `READ_TIMEOUT_S` at the latest (see `SnapshotFile.load`).
+        """
         if self.file:
-            await self.file.load(self.work)
+            await self.file.load(self.deliver)
 
     def start(self) -> None:
-        """Starts to write the file and to ask peers."""
+        """Starts to write the file and to request snapshots from peers, as far as configured."""
         if self.file and self.section.every_s:
             self.file.start_writing()
             self.run_task(self.file.write_periodically(self.section.every_s, self.snapshot))
@@ -97,14 +107,14 @@
             count = self.section.ask_peers
             self.run_task(self.exchange.ask_peers(count, timeout_s, self.run_task))
 
-    def run_task(self, work: Coroutine[None, None, None]) -> None:
-        """Runs until `hand_over`."""
-        task = asyncio.create_task(work)
+    def run_task(self, coroutine: Coroutine[None, None, None]) -> None:
+        """Starts a task, which `hand_over` cancels if it still runs."""
+        task = asyncio.create_task(coroutine)
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
     async def hand_over(self) -> None:
-        """Writes the last file and hands over to a peer at the same time, each within its bound."""
+        """Writes the file a last time and hands over to a peer, concurrently and with timeouts."""
         for task in list(self.tasks):
             task.cancel()
         if self.file:
@@ -113,17 +123,24 @@
         self.telemetry.log.event("info", "warm_start_handed_over", file=is_written, peer=peer)
 
     async def hand_over_to_peer(self) -> str:
-        """The name of the peer that has the snapshot; "" if none has."""
+        """Hands over to a peer.
+
+        Returns:
+            The name of the peer; "" if no peers are to be asked, or if the handover failed.
+        """
         return await self.exchange.hand_over() if self.section.ask_peers else ""
 
     async def finish_file(self) -> bool:
-        """Whether the file was written in time."""
+        """Waits for the last write, and returns whether it ended in time; False without a file."""
         return await self.file.finish() if self.file else False
 
     # The core
 
-    def work(self, event: Event) -> None:
-        """Delivers an event to the core and carries out its commands."""
+    def deliver(self, event: Event) -> None:
+        """Delivers an event to the core and carries out its commands.
+
+        The core receives the hosts that are listed now ahead of a snapshot.
+        """
         now_us = monotonic_us()
         commands: list[Command] = []
         if isinstance(event, SnapshotReceived):
@@ -133,7 +150,7 @@
             self.carry_out(command)
 
     def hosts_listed(self) -> HostsListed:
-        """The hosts that discovery lists now."""
+        """Returns the hosts that discovery lists now, except deleted ones."""
         return HostsListed(
             {
                 known.uid: known.boot_ms
@@ -146,21 +163,21 @@
         """Carries out one command of the core."""
         match command:
             case ProvidePriorKnowledge():
-                self.provide(command)
+                self.provide_prior_knowledge(command)
             case AnnounceWithdrawals(source, revision, withdrawn):
                 self.drain_notices.receive(source, revision, withdrawn)
             case ReportMerge():
-                self.report(command)
+                self.report_merge(command)
 
-    def provide(self, command: ProvidePriorKnowledge) -> None:
-        """Tells the policy of a host that the directory knows."""
+    def provide_prior_knowledge(self, command: ProvidePriorKnowledge) -> None:
+        """Submits prior knowledge of a host for the policy, if the host is in the directory."""
         host = self.directory.ids.get(command.uid)
         if host is None:
             return
         health = command.known.health.knowledge
         capacity = command.known.capacity.knowledge
         self.telemetry.count("warm_start.hosts_provided")
-        self.put(
+        self.submit(
             events.HostPriorKnowledge(
                 host,
                 weight=capacity.weight,
@@ -174,8 +191,8 @@
             )
         )
 
-    def report(self, merge: ReportMerge) -> None:
-        """Counts and logs what became of a snapshot."""
+    def report_merge(self, merge: ReportMerge) -> None:
+        """Counts and logs how many hosts of a snapshot were accepted, expired or superseded."""
         self.telemetry.count("warm_start.accepted", merge.accepted)
         self.telemetry.count("warm_start.expired", merge.expired)
         self.telemetry.count("warm_start.superseded", merge.superseded)
@@ -188,10 +205,13 @@
             superseded=merge.superseded,
         )
 
-    # What this controller knows
+    # The snapshot of this controller
 
     def snapshot(self) -> Snapshot:
-        """What is known now; it does not change any more, so that a thread may encode it."""
+        """Returns what this controller knows of the hosts now.
+
+        The snapshot is immutable, so that another thread may encode it.
+        """
         revision = self.discovery.revision
         own = Snapshot(
             controller=self.name,
@@ -203,7 +223,7 @@
         return self.core.snapshot(monotonic_us(), own)
 
     def observed_hosts(self) -> tuple[HostKnowledge, ...]:
-        """What this controller observed itself."""
+        """Returns this controller's own observations of hosts."""
         observed: list[HostKnowledge] = []
         for host in self.controller.prior_knowledge():
             known = self.directory.hosts[host.host]
@@ -223,9 +243,9 @@
         return tuple(observed)
 
     def withdrawn_hosts(self) -> tuple[tuple[str, str], ...]:
-        """Hosts that drain or are deleted, with the list's word for it."""
+        """Returns draining and deleted hosts, each with its state as named in the list."""
         return tuple(
-            (known.uid, LIST_WORD_BY_STATE[known.entry.state])
+            (known.uid, LISTED_STATE_NAMES[known.entry.state])
             for known in self.directory.hosts.values()
-            if known.entry and known.entry.state in LIST_WORD_BY_STATE
+            if known.entry and known.entry.state in LISTED_STATE_NAMES
         )
