--- a/plankroute/net/peers/shared_discovery.py
+++ b/plankroute/net/peers/shared_discovery.py
@@ -307,7 +307,7 @@
             raise LinkError("not a valid endpoint list")
         self.store_list(text, from_service=False)
 
-    # What followed controllers say
+    # Content of frames from followed controllers
 
     def on_service_contact(self, age_us: int) -> None:
         """Counts a followed controller's contact with the list service as this controller's own.
--- a/plankroute/net/peers/snapshot_file.py
+++ b/plankroute/net/peers/snapshot_file.py
@@ -39,7 +39,8 @@
 def snapshot_file_name(controller: str) -> str:
     """Returns the name of a controller's snapshot file.
 
-    A controller name with characters that are unsafe in a file name is replaced by its CRC-32.
+    A controller name that is too long or has characters outside `PLAIN_FILE_NAME` is replaced by
+    its CRC-32, so that the file stays in its folder.
     """
     if PLAIN_FILE_NAME.fullmatch(controller):
         return f"{controller}.learned"
