--- a/tests/cold_start/test_drain_notices.py
+++ b/tests/cold_start/test_drain_notices.py
@@ -86,7 +86,7 @@
     }  # this list settles the notices on b and c
     overlay.receive("n1", 9, [("d", HostState.GONE)])
     overlay.retract("n1")
-    assert states_of(submitted[-1]) == {"d": "ready"} and not overlay.listed
+    assert states_of(submitted[-1]) == {"d": "ready"} and not overlay.overridden_entries
     overlay.receive("n1", 9, DRAINS[1:])
     assert listed(2, True, **all_hosts) == dict.fromkeys(
         "abcdef", "ready"
--- a/tests/warm_start/test_snapshot_store.py
+++ b/tests/warm_start/test_snapshot_store.py
@@ -181,7 +181,7 @@
         )
         service.snapshot = lambda: snapshot_of(HEALTHY)  # type: ignore[method-assign] # no controller
         began_s = time.monotonic()
-        await service.recall()
+        await service.load_snapshot_file()
         durations_s.append(time.monotonic() - began_s)
         service.start()
         began_s = time.monotonic()
