--- a/plankroute/net/peers/membership.py
+++ b/plankroute/net/peers/membership.py
@@ -182,7 +182,7 @@
             for command in self.core.deliver(now_us, core_events):
                 self.carry_out(command)
         except Exception as error:
-            self.telemetry.failed("membership_core", error)
+            self.telemetry.record_failure("membership_core", error)
             self.wake_at(now_us + ERROR_RETRY_US)
 
     def carry_out(self, command: Command) -> None:
--- a/plankroute/net/peers/shared_discovery.py
+++ b/plankroute/net/peers/shared_discovery.py
@@ -163,7 +163,7 @@
             for command in self.election.deliver(now_us(), events):
                 self.carry_out(command)
         except Exception as error:
-            self.telemetry.failed("election", error)
+            self.telemetry.record_failure("election", error)
 
     def carry_out(self, command: Command) -> None:
         """Carry out one command of the election."""
--- a/plankroute/net/process/core_runner.py
+++ b/plankroute/net/process/core_runner.py
@@ -106,7 +106,7 @@
             self._forget_hosts(decided)
             self.publishing_log.report(now_us, self.controller.publisher.status)
         except Exception as error:
-            self.telemetry.failed("core", error)
+            self.telemetry.record_failure("core", error)
 
     def _carry_out(self, now_us: int, decided: list[commands.Command]) -> None:
         """Carries out the commands that become no messages."""
--- a/plankroute/net/process/service.py
+++ b/plankroute/net/process/service.py
@@ -197,7 +197,7 @@
         except TimeoutError:
             self.telemetry.log_once("features_cut_short")
         except Exception as error:
-            self.telemetry.failed("features", error)
+            self.telemetry.record_failure("features", error)
 
     def reload(self) -> None:
         """Takes a new configuration while it runs: what can change does.
--- a/plankroute/net/process/telemetry.py
+++ b/plankroute/net/process/telemetry.py
@@ -98,7 +98,7 @@
         """Adds to a counter."""
         self.counts[name] += by
 
-    def failed(self, part: str, error: Exception) -> None:
+    def record_failure(self, part: str, error: Exception) -> None:
         """Counts and logs an error of this program, with its place; the part goes on."""
         place = traceback.extract_tb(error.__traceback__)[-1]
         self.count(f"{part}.failed")
