--- a/plankroute/net/process/__init__.py
+++ b/plankroute/net/process/__init__.py
@@ -1,1 +1,1 @@
-"""The process: signals, configuration, clock, log, metrics and the router that runs the core."""
+"""The controller process: signals, configuration, clock, log, counters and the core runner."""
--- a/plankroute/net/process/clock.py
+++ b/plankroute/net/process/clock.py
@@ -1,4 +1,4 @@
-"""The controller's clock and timers, and a timeout that allows for pauses of this process."""
+"""The controller's clock and timers, and a timeout that tolerates pauses of this process."""
 
 import asyncio
 import heapq
@@ -7,15 +7,23 @@
 from contextlib import asynccontextmanager
 
 ReadClock = Callable[[], int]  # nanoseconds
-# A timer that is so late shows that the process stood still; at work it is late by a few ms.
-PAUSE_S = 0.05
+# A timer that fires later than this indicates that the process was paused; in normal operation
+# timers are late by a few ms.
+MIN_PAUSE_S = 0.05
 
 
 @asynccontextmanager
 async def tolerant_timeout(seconds: float) -> AsyncGenerator[None, None]:
-    """A timeout (TimeoutError) that is extended by as much as its own timer was late.
+    """Limits the time of a block; extends the limit if this process was paused at the deadline.
 
-    Guards against others blamed for a pause of this process: what came meanwhile is read first.
+    The extension equals the delay of the timer. Without it, a pause of this process would count as
+    a timeout of the remote side, although the data may have arrived meanwhile and wait to be read.
+
+    Args:
+        seconds: The limit, and also the upper bound of the extension.
+
+    Raises:
+        TimeoutError: The block took longer than the limit and its extension.
     """
     loop = asyncio.get_running_loop()
     due = loop.time() + seconds
@@ -23,7 +31,7 @@
 
         def expire_or_extend() -> None:
             late_s = loop.time() - due
-            extension_s = min(late_s, seconds) if late_s > PAUSE_S else 0.0
+            extension_s = min(late_s, seconds) if late_s > MIN_PAUSE_S else 0.0
             timeout.reschedule(loop.time() + extension_s)
 
         handle = loop.call_at(due, expire_or_extend)
@@ -34,14 +42,18 @@
 
 
 def monotonic_us() -> int:
-    """The monotonic clock, in microseconds: for spans, never for moments that others are told."""
+    """Returns the monotonic clock in microseconds; for durations, never for shared timestamps."""
     return time.monotonic_ns() // 1000
 
 
 class Clock:
-    """Unix time as it was at the start, and monotonic from there on, in microseconds.
+    """A clock in microseconds: Unix time when it was created, advanced by the monotonic clock.
+
+    It never steps, so that a change of the system time affects neither timers nor the age of hosts.
 
-    It never steps: a system time that is set anew moves neither timers nor the age of hosts.
+    Args:
+        system_ns: Returns the system's Unix time in nanoseconds.
+        monotonic_ns: Returns the system's monotonic time in nanoseconds.
     """
 
     def __init__(
@@ -52,32 +64,32 @@
         self.offset_us = (system_ns() - monotonic_ns()) // 1000
 
     def now_us(self) -> int:
-        """Returns the time now."""
+        """Returns the current time of this clock in microseconds."""
         return self.monotonic_ns() // 1000 + self.offset_us
 
     def from_system_us(self, unix_us: int) -> int:
-        """Converts a moment of today's system time into one of this clock."""
+        """Converts a Unix time of the current system clock, in microseconds, to this clock."""
         return unix_us - (self.system_ns() // 1000 - self.now_us())
 
 
 class Timers:
-    """Pending timers, ordered by when they are due and then by when they were scheduled."""
+    """Pending timers, ordered by due time and, for equal due times, by the order of scheduling."""
 
     def __init__(self) -> None:
-        self.heap: list[tuple[int, int, int]] = []  # due, sequence, token
+        self.heap: list[tuple[int, int, int]] = []  # due_us, sequence, token
         self.sequence = 0
 
     def schedule(self, due_us: int, token: int) -> None:
-        """Adds a timer."""
+        """Adds a timer; `token` is what `pop_due` returns for it."""
         self.sequence += 1
         heapq.heappush(self.heap, (due_us, self.sequence, token))
 
     def next_due_us(self) -> int | None:
-        """Returns when the first timer is due, or None if there is none."""
+        """Returns the due time of the earliest timer, or None if no timer is pending."""
         return self.heap[0][0] if self.heap else None
 
     def pop_due(self, now_us: int) -> list[int]:
-        """Removes the timers that are due and returns their tokens."""
+        """Removes all timers that are due and returns their tokens in due order."""
         tokens = []
         while self.heap and self.heap[0][0] <= now_us:
             _, _, token = heapq.heappop(self.heap)
--- a/plankroute/net/process/configuration.py
+++ b/plankroute/net/process/configuration.py
@@ -1,4 +1,4 @@
-"""What operators hand a controller process: addresses, limits, first endpoint list, settings."""
+"""The configuration of a controller process: addresses, limits, initial endpoint list, settings."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass, replace
@@ -11,7 +11,7 @@
 from plankroute.net.process.address import host_and_port
 from plankroute.net.process.resource_limits import ResourceLimits, resource_limits_for
 
-# For settings that name no value.
+# Defaults of optional settings and limits.
 DEFAULT_BATCH_INTERVAL_MS = 5.0
 DEFAULT_MEMORY_MB = 192.0
 DEFAULT_DESCRIPTORS = 1024
@@ -25,16 +25,18 @@
     Attributes:
         name: The controller's name.
         listen: The address at which proxies and collectors connect.
-        discovery: The address of discovery.
-        seed: Of its random numbers.
-        limits: Bounds of what it holds.
-        initial_list: The endpoint list handed over at the start, as discovery's JSON has it.
-        facts: What the core is told at the start.
-        zones: Names by index.
-        machine_types: Names by index.
-        request_classes: Names by index.
-        min_batch_interval_us: Batches of the core follow no closer.
-        connect_timeout_us: For a connection to a host.
+        discovery: The address of the discovery service.
+        seed: Seed of the controller's random numbers.
+        limits: Limits of connections, health checks and buffers.
+        initial_list: The endpoint list to start with, decoded from JSON in the format of the
+            discovery service; None if the configuration has none.
+        facts: The core's start parameters.
+        zones: Zone names by index.
+        machine_types: Machine type names by index.
+        request_classes: Request class names by index.
+        min_batch_interval_us: Minimum interval between a batch of the core and the one that the
+            next event triggers.
+        connect_timeout_us: Limit for establishing a connection to a host.
     """
 
     name: str
@@ -52,21 +54,25 @@
 
 
 def parse_configuration(text: bytes) -> Configuration:
-    """Parses the configuration's JSON; raises SettingsError with one clear line."""
+    """Parses the configuration's JSON.
+
+    Raises:
+        SettingsError: The configuration is invalid; the message is one line.
+    """
     try:
         return _configuration_from(orjson.loads(text))
     except (KeyError, TypeError, ValueError, AttributeError, OverflowError) as error:
         raise SettingsError(f"{type(error).__name__}: {error}") from error
 
 
-# JSON of any shape comes in: `parse_configuration` wraps the errors of what is not as expected.
+# The JSON may have any shape; `parse_configuration` wraps the errors that an unexpected one raises.
 def _configuration_from(raw: Any) -> Configuration:  # noqa: ANN401 - any JSON
     settings = raw["settings"]
     facts, _ = parse_settings(settings)
     return Configuration(
         name=str(raw["name"]),
-        listen=_address(raw["listen"]),
-        discovery=_address(raw["discovery"]),
+        listen=_checked_address(raw["listen"]),
+        discovery=_checked_address(raw["discovery"]),
         seed=int(str(raw["seed"]), 16),
         limits=_limits_from(raw.get("limits") or {}),
         initial_list=raw.get("known"),
@@ -86,19 +92,19 @@
 
 
 def _limits_from(limits: dict[str, Any]) -> ResourceLimits:
-    memory_mb = _limit(limits.get("memory_mb", DEFAULT_MEMORY_MB))
-    descriptors = _limit(limits.get("sockets", DEFAULT_DESCRIPTORS))
+    memory_mb = _parse_limit(limits.get("memory_mb", DEFAULT_MEMORY_MB))
+    descriptors = _parse_limit(limits.get("sockets", DEFAULT_DESCRIPTORS))
     return resource_limits_for(memory_mb, int(descriptors))
 
 
-def _limit(value: str | float) -> float:
+def _parse_limit(value: str | float) -> float:
     number = finite(float(value))
     if number < 1:
-        raise ValueError(f"{value!r} is no limit")
+        raise ValueError(f"{value!r} is not a valid limit; it must be at least 1")
     return number
 
 
-def _address(text: str) -> str:
+def _checked_address(text: str) -> str:
     host_and_port(text)
     return text
 
--- a/plankroute/net/process/core_runner.py
+++ b/plankroute/net/process/core_runner.py
@@ -1,4 +1,4 @@
-"""Runs the core: gathers events into batches, lets it decide, and carries out its commands."""
+"""Runs the core: delivers events to it in batches and executes the commands it returns."""
 
 import asyncio
 from collections.abc import Callable
@@ -14,18 +14,18 @@
 
 
 def _ignore(_: object) -> None:
-    """Stands in for an output that is not connected."""
+    """Default output: discards its argument."""
 
 
 @dataclass(slots=True)
 class CoreOutputs:
-    """Where commands of the core go.
+    """The functions that execute the core's commands.
 
     Attributes:
         send_message: Sends a message to its proxy.
         check_health: Starts a health check of a host.
-        request_list: Polls the endpoint list, or subscribes to it.
-        forget_host: Frees what is kept of a host.
+        request_list: Polls the endpoint list, or starts or ends a subscription to it.
+        forget_host: Frees the state kept for a host.
     """
 
     send_message: Callable[[Message], None] = _ignore
@@ -35,7 +35,16 @@
 
 
 class CoreRunner:
-    """Runs one batch at a time; batches follow no closer than operators state."""
+    """Runs the core in batches, one at a time.
+
+    Args:
+        controller: The core.
+        message_builder: Builds messages to proxies from the core's commands.
+        clock: The controller's clock.
+        telemetry: Counters and log.
+        min_batch_interval_us: Minimum interval between a batch and the one that the next event
+            triggers.
+    """
 
     def __init__(
         self,
@@ -55,31 +64,34 @@
         self.last_batch_us = 0
         self.timers = Timers()
         self.pending = list[events.Event]()
-        self.handle: asyncio.TimerHandle | None = None
-        self.handle_due_us = 0
+        self.wakeup: asyncio.TimerHandle | None = None
+        self.wakeup_due_us = 0
 
     def submit(self, event: events.Event) -> None:
-        """Hands the core an event, which goes into the next batch."""
+        """Queues an event for the next batch and schedules that batch."""
         self.pending.append(event)
         self._wake_at(self.last_batch_us + self.min_batch_interval_us)
 
     def _wake_at(self, due_us: int) -> None:
-        """One timer of the event loop serves both pending events and the core's timers."""
-        if self.handle:
-            if self.handle_due_us <= due_us:
+        """Schedules `flush` for `due_us` at the latest.
+
+        One timer of the event loop serves both pending events and the core's timers.
+        """
+        if self.wakeup:
+            if self.wakeup_due_us <= due_us:
                 return
-            self.handle.cancel()
+            self.wakeup.cancel()
         loop = asyncio.get_running_loop()
-        self.handle_due_us = due_us
+        self.wakeup_due_us = due_us
         delay_us = max(0, due_us - self.clock.now_us())
-        self.handle = loop.call_later(delay_us / 1e6, self.flush)
+        self.wakeup = loop.call_later(delay_us / 1e6, self.flush)
 
     def flush(self) -> None:
-        """Runs what is pending and due as a batch, now."""
-        self.handle = None
+        """Runs a batch of all pending events and due timers now."""
+        self.wakeup = None
         now_us = self.clock.now_us()
-        # Timers first: guards against an event that fails and takes along the timers that the core
-        # lives by.
+        # Timers come first: an event that raises an exception ends the batch, and the core would
+        # not schedule its periodic timers again if they came after it.
         batch: list[events.Event] = [
             events.TimerExpired(token) for token in self.timers.pop_due(now_us)
         ]
@@ -93,24 +105,24 @@
             self._wake_at(max(next_due_us, self.last_batch_us))
 
     def run_batch(self, now_us: int, batch: list[events.Event]) -> None:
-        """Runs a batch; a failure is logged with its place, and the next one runs all the same."""
+        """Runs one batch; an exception ends it and is logged, and later batches run as usual."""
         self.telemetry.count("core.batches")
         self.telemetry.count("core.events", len(batch))
         try:
             for event in batch:
                 self.message_builder.observe(event)
-            decided = self.controller.deliver(now_us, batch)
-            self._carry_out(now_us, decided)
-            for message in self.message_builder.build(decided):
+            commands_issued = self.controller.deliver(now_us, batch)
+            self._execute(now_us, commands_issued)
+            for message in self.message_builder.build(commands_issued):
                 self.outputs.send_message(message)
-            self._forget_hosts(decided)
+            self._forget_hosts(commands_issued)
             self.publishing_log.report(now_us, self.controller.publisher.status)
         except Exception as error:
             self.telemetry.record_failure("core", error)
 
-    def _carry_out(self, now_us: int, decided: list[commands.Command]) -> None:
-        """Carries out the commands that become no messages."""
-        for command in decided:
+    def _execute(self, now_us: int, commands_issued: list[commands.Command]) -> None:
+        """Executes the commands that do not result in messages to proxies."""
+        for command in commands_issued:
             match command:
                 case commands.SetTimer(after_us, token):
                     self.timers.schedule(now_us + after_us, token)
@@ -121,12 +133,12 @@
                 case commands.LogMessage(text):
                     self.telemetry.log.event("info", "core", text=text)
                 case commands.SendToPeer():
-                    # The protocol has no messages between controllers.
+                    # The network protocol has no messages between controllers.
                     self.telemetry.log_once("unsupported_peer_message")
 
-    def _forget_hosts(self, decided: list[commands.Command]) -> None:
-        """Last of all: from here on no message can name the hosts."""
-        for command in decided:
+    def _forget_hosts(self, commands_issued: list[commands.Command]) -> None:
+        """Forgets hosts; called after all messages of the batch, which may name them, are sent."""
+        for command in commands_issued:
             if isinstance(command, commands.ForgetHost):
                 self.message_builder.forget(command.host)
                 self.outputs.forget_host(command.host)
--- a/plankroute/net/process/errors.py
+++ b/plankroute/net/process/errors.py
@@ -5,7 +5,7 @@
 
 
 class RejectionStage(Enum):
-    """Where on its way into the controller a piece of input was rejected."""
+    """The stage of input processing at which input was rejected."""
 
     FRAMING = "framing"
     PARSING = "parsing"
@@ -14,13 +14,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Rejection:
-    """Input that goes no further.
+    """Input that is rejected and not processed further.
 
     Attributes:
-        stage: Where it was rejected.
-        reason: What is wrong with it, for the log.
-        breaks_framing: Where the next line begins is not known any more, so that the connection is
-            of no further use.
+        stage: The stage that rejected it.
+        reason: What is wrong with the input, for the log.
+        breaks_framing: The start of the next line can no longer be determined, so that the
+            connection must be closed.
     """
 
     stage: RejectionStage
@@ -29,7 +29,7 @@
 
 
 class CallProgress(Enum):
-    """How far an HTTP call had come when it failed."""
+    """The last step that an HTTP call had completed when it failed."""
 
     NOT_CONNECTED = "not connected"
     CONNECTED = "connected"
@@ -40,7 +40,13 @@
 
 @dataclass(frozen=True, slots=True)
 class CallFailure:
-    """An HTTP call that brought no complete response."""
+    """An HTTP call that returned no complete response.
+
+    Attributes:
+        progress: The last step that the call had completed.
+        reason: What failed, for the log.
+        timed_out: The call exceeded its time limit.
+    """
 
     progress: CallProgress
     reason: str
--- a/plankroute/net/process/file_store.py
+++ b/plankroute/net/process/file_store.py
@@ -1,6 +1,8 @@
-"""An atomic file store: a file is written beside the old one, synced and renamed, in a thread.
+"""Atomic replacement of files from a background thread.
 
-Knows nothing of what it stores. A write that fails is reported; the next one is another attempt.
+New content is written to a temporary file in the same folder, synced and renamed over the old
+file. The content is opaque bytes. A write that fails is reported and not retried; the next
+requested write starts from scratch.
 """
 
 import os
@@ -17,21 +19,21 @@
 
 
 class Disk:
-    """The file operations in use; tests replace it by one that loses what was not synced."""
+    """File operations; tests substitute a disk that loses data that was not synced."""
 
     def write(self, path: Path, data: bytes) -> None:
-        """Writes a file and syncs it; follows no symbolic link.
+        """Writes and syncs a file; refuses to follow a symbolic link.
 
         Raises:
-            OSError: The bytes may not be on the disk.
+            OSError: The data may not have reached the disk.
         """
         flags = os.O_WRONLY | os.O_CREAT | os.O_TRUNC | os.O_NOFOLLOW | os.O_CLOEXEC
         file = os.open(path, flags, FILE_MODE)
         try:
-            rest = memoryview(data)
-            while rest:
-                written = os.write(file, rest)
-                rest = rest[written:]
+            unwritten = memoryview(data)
+            while unwritten:
+                written = os.write(file, unwritten)
+                unwritten = unwritten[written:]
             os.fsync(file)
         finally:
             os.close(file)
@@ -40,7 +42,7 @@
         """Renames a file and syncs its folder.
 
         Raises:
-            OSError: The new name may not be on the disk.
+            OSError: The rename may not have reached the disk.
         """
         os.rename(path, target)
         folder = os.open(target.parent, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
@@ -50,12 +52,17 @@
             os.close(folder)
 
     def read(self, path: Path, max_bytes: int) -> bytes | None:
-        """Reads at most `max_bytes` and one more; None: there is no such file.
+        """Reads a regular file.
 
-        Guards against a named pipe in the file's place, which would block the start for good.
+        Opens without blocking and rejects other file types: a named pipe in the file's place would
+        block the start of the controller forever.
+
+        Returns:
+            The first `max_bytes` + 1 bytes, so that a caller can detect a file that is too large;
+            None if the file does not exist.
 
         Raises:
-            OSError: It can't be read, or is no regular file.
+            OSError: The file can't be read or is not a regular file.
         """
         flags = os.O_RDONLY | os.O_NONBLOCK | os.O_NOFOLLOW | os.O_CLOEXEC
         try:
@@ -64,30 +71,30 @@
             return None
         try:
             if not stat.S_ISREG(os.fstat(file).st_mode):
-                raise OSError(f"{path.name} is no regular file")
+                raise OSError(f"{path.name} is not a regular file")
             return read_up_to(file, max_bytes + 1)
         finally:
             os.close(file)
 
 
 def read_up_to(file: int, max_bytes: int) -> bytes:
-    """Reads a file descriptor to its end, or that many bytes of it."""
-    pieces: list[bytes] = []
-    left = max_bytes
-    while left:
-        piece = os.read(file, left)
-        if not piece:
+    """Reads a file descriptor up to its end or `max_bytes`, whichever comes first."""
+    chunks: list[bytes] = []
+    remaining = max_bytes
+    while remaining:
+        chunk = os.read(file, remaining)
+        if not chunk:
             break
-        pieces.append(piece)
-        left -= len(piece)
-    return b"".join(pieces)
+        chunks.append(chunk)
+        remaining -= len(chunk)
+    return b"".join(chunks)
 
 
 def replace_file(disk: Disk, path: Path, data: bytes) -> None:
-    """Replaces a file: a reader meets all of the old content or all of the new, never a mixture.
+    """Replaces a file atomically: a reader sees all of the old content or all of the new content.
 
     Raises:
-        OSError: The old content is still there.
+        OSError: Writing or renaming failed. After a failed write the old content is in place.
     """
     temporary = path.with_name(path.name + TEMPORARY_SUFFIX)
     disk.write(temporary, data)
@@ -95,10 +102,15 @@
 
 
 class FileWriter:
-    """Writes the newest content it was given, in a thread of its own; the event loop never waits.
+    """Writes a file in a background thread, so that the event loop never blocks on the disk.
+
+    A write that is requested while another one is pending replaces the pending one.
 
-    Content that is replaced before its turn is skipped. `on_done` is called in the thread, with the
-    bytes written or with the error.
+    Args:
+        disk: File operations.
+        path: The file to replace.
+        on_done: Called in the thread after each write, with the number of bytes written and None,
+            or with 0 and the error.
     """
 
     def __init__(self, disk: Disk, path: Path, on_done: WriteDone) -> None:
@@ -109,22 +121,25 @@
         self.requested = threading.Event()
         self.idle = threading.Event()
         self.idle.set()
-        self.is_ending = False
+        self.is_stopping = False
         self.thread = threading.Thread(target=self.run, daemon=True)
         self.thread.start()
 
     def write(self, encode: Callable[[], bytes]) -> None:
-        """Requests a write; `encode` runs in the thread: what it uses must not change any more."""
+        """Requests a write of what `encode` returns.
+
+        `encode` runs in the thread, so that the data it reads must not change after this call.
+        """
         self.encode = encode
         self.idle.clear()
         self.requested.set()
 
     def run(self) -> None:
-        """The thread's work."""
+        """Main loop of the thread: performs requested writes until `finish`."""
         while True:
             self.requested.wait()
             self.requested.clear()
-            if self.is_ending:
+            if self.is_stopping:
                 return
             data = self.encode()
             try:
@@ -136,8 +151,12 @@
                 self.idle.set()
 
     def finish(self, timeout_s: float) -> bool:
-        """Waits for the last write, and ends the thread; False: the write took longer than that."""
+        """Waits for pending writes and ends the thread.
+
+        Returns:
+            False if the writes were not finished within `timeout_s`.
+        """
         finished = self.idle.wait(timeout_s)
-        self.is_ending = True
+        self.is_stopping = True
         self.requested.set()
         return finished
--- a/plankroute/net/process/optional_features.py
+++ b/plankroute/net/process/optional_features.py
@@ -1,4 +1,4 @@
-"""Assembles what the feature file switches on. Imported only where there is such a file."""
+"""Creates the features that the feature file enables; imported only if there is a feature file."""
 
 import asyncio
 from collections.abc import Callable, Coroutine
@@ -29,13 +29,20 @@
 
 
 class OptionalFeatures:
-    """The features of one process; each is None where its section is missing.
+    """The optional features of one process; a feature is None if its section is missing.
 
     Attributes:
         members: Failure detection among controllers.
-        backoff_discovery: Discovery with backoff, be it shared or not.
-        shared_discovery: Discovery through other controllers.
-        warm_start: Prior knowledge of hosts.
+        backoff_discovery: Discovery with backoff; the same object as `shared_discovery` if that is
+            set.
+        shared_discovery: Discovery that also receives the endpoint list from other controllers.
+        warm_start: Storage and exchange of prior knowledge of hosts.
+
+    Args:
+        feature_file: The enabled features and their settings.
+        configuration: The configuration of this controller.
+        telemetry: Counters and log.
+        submit: Hands an event to the core.
     """
 
     def __init__(
@@ -43,17 +50,17 @@
         feature_file: FeatureFile,
         configuration: Configuration,
         telemetry: Telemetry,
-        put: Callable[[events.Event], None],
+        submit: Callable[[events.Event], None],
     ) -> None:
         self.feature_file = feature_file
         self.configuration = configuration
         self.telemetry = telemetry
-        self.put = put
+        self.submit = submit
         self.local_member = local_member(configuration)
         self.members: MembershipService | None = None
         if feature_file.membership:
             self.members = MembershipService(
-                feature_file.membership, self.local_member, telemetry, put
+                feature_file.membership, self.local_member, telemetry, submit
             )
         self.backoff_discovery: BackoffDiscovery | None = None
         self.shared_discovery: SharedDiscovery | None = None
@@ -62,32 +69,37 @@
     def make_discovery(
         self,
         address: str,
-        most_list: int,
+        max_list_bytes: int,
         directory: Directory,
         telemetry: Telemetry,
         seed: int,
-        by_order: bool,
-        put: Callable[[events.Event], None],
+        must_subscribe: bool,
+        submit: Callable[[events.Event], None],
     ) -> Discovery:
-        """The discovery that the file asks for; takes what `Discovery` takes."""
+        """Returns the discovery that the feature file selects.
+
+        The arguments are those of `Discovery`.
+        """
         section = self.feature_file.coldstart
         if section is None:
-            return Discovery(address, most_list, directory, telemetry, seed, by_order, put)
-        calls = call_facts(section, self.configuration)
+            return Discovery(
+                address, max_list_bytes, directory, telemetry, seed, must_subscribe, submit
+            )
+        backoff = backoff_facts(section, self.configuration)
         discovery: BackoffDiscovery
         if section.links is None or self.members is None:
             discovery = BackoffDiscovery(
-                address, most_list, directory, telemetry, seed, by_order, put
+                address, max_list_bytes, directory, telemetry, seed, must_subscribe, submit
             )
         else:
             from plankroute.net.peers.shared_discovery import SharedDiscovery
 
             discovery = SharedDiscovery(
-                address, most_list, directory, telemetry, seed, by_order, put
+                address, max_list_bytes, directory, telemetry, seed, must_subscribe, submit
             )
-            self.prepare_links(discovery, self.members, section.links, calls)
+            self.prepare_links(discovery, self.members, section.links, backoff)
             self.shared_discovery = discovery
-        discovery.prepare(calls, int(section.list_old_s * 1e6), self.configuration.seed)
+        discovery.prepare(backoff, int(section.list_old_s * 1e6), self.configuration.seed)
         self.backoff_discovery = discovery
         return discovery
 
@@ -96,19 +108,19 @@
         discovery: "SharedDiscovery",
         members: MembershipService,
         links: LinksSection,
-        calls: BackoffFacts,
+        backoff: BackoffFacts,
     ) -> None:
-        """Tells shared discovery of its links to other controllers."""
+        """Configures the links of shared discovery to other controllers."""
         facts = ElectionFacts(
             self.local_member.name,
             members.part.group,
-            calls.controller_count,
+            backoff.controller_count,
             links.watchers,
             links.stall_ms * 1000,
         )
         port = links.port or host_and_port(links.listen)[1]
         seed = self.configuration.seed
-        discovery.prepare_links(members, facts, links.listen, port, calls, seed)
+        discovery.prepare_links(members, facts, links.listen, port, backoff, seed)
 
     def make_prober(
         self,
@@ -116,43 +128,53 @@
         directory: Directory,
         clock: Clock,
         telemetry: Telemetry,
-        dial_us: int,
-        at_once: Callable[[], int],
-        put: Callable[[events.Event], None],
+        connect_timeout_us: int,
+        capacity: Callable[[], int],
+        submit: Callable[[events.Event], None],
     ) -> HealthChecker:
-        """The health checker that the file asks for; takes what `HealthChecker` takes.
+        """Returns the health checker that the feature file selects.
 
-        Call it after `make_discovery`.
+        Must be called after `make_discovery`. The arguments are those of `HealthChecker`.
         """
         section = self.feature_file.coldstart
         if section is None or section.probers == 0:
-            return HealthChecker(facts, directory, clock, telemetry, dial_us, at_once, put)
+            return HealthChecker(
+                facts, directory, clock, telemetry, connect_timeout_us, capacity, submit
+            )
         from plankroute.net.probing.shared_prober import SharedHealthChecker
 
-        checker = SharedHealthChecker(facts, directory, clock, telemetry, dial_us, at_once, put)
+        checker = SharedHealthChecker(
+            facts, directory, clock, telemetry, connect_timeout_us, capacity, submit
+        )
         controller_count = section.stewards or self.configuration.facts.controller_count
         survey = Survey(self.local_member.name, section.probers, controller_count)
         zones = self.configuration.zones
         shared = self.shared_discovery
-        tell = shared.share_health_checks if shared else discard_results
-        checker.prepare_survey(survey, zones, self.reachable_controllers, tell)
+        share = shared.share_health_checks if shared else discard_results
+        checker.prepare_survey(survey, zones, self.reachable_controllers, share)
         if shared:
             shared.result_listener = checker.on_results
         return checker
 
     def reachable_controllers(self) -> dict[str, str]:
-        """Living controllers that results may reach, with their zones; this one among them."""
+        """Returns the zones of the controllers that can receive health check results, by name.
+
+        Includes this controller. Empty without membership or without links.
+        """
         if self.members is None or self.shared_discovery is None:
             return {}
         table = self.members.core.table
-        own_place = 0
+        own_index = 0
         return {
-            table.record_at(place).name: table.record_at(place).zone
-            for place in (own_place, *table.living_indexes())
+            table.record_at(index).name: table.record_at(index).zone
+            for index in (own_index, *table.living_indexes())
         }
 
     def attach(self, controller: Controller, directory: Directory, discovery: Discovery) -> None:
-        """Connects the warm start; before the first list, and after `make_discovery`."""
+        """Creates the warm start and connects it to the core and to discovery.
+
+        Must be called after `make_discovery` and before the first endpoint list arrives.
+        """
         section = self.feature_file.learned
         if section is None:
             return
@@ -164,14 +186,14 @@
         if shared:
             drain_notices = shared.drain_notices
             group = shared.group
-            own_host = host_and_port(shared.listen)[0]
+            own_link_host = host_and_port(shared.listen)[0]
         else:
-            drain_notices = DrainNoticeOverlay(directory, telemetry, self.put)
+            drain_notices = DrainNoticeOverlay(directory, telemetry, self.submit)
             group = ""
-            own_host = ""
+            own_link_host = ""
         discovery.list_filter = drain_notices.filter_list
         self.warm_start = WarmStartService(
-            section, self.local_member.name, group, own_host, telemetry, self.put
+            section, self.local_member.name, group, own_link_host, telemetry, self.submit
         )
         self.warm_start.attach(controller, directory, discovery, drain_notices)
         if shared:
@@ -179,51 +201,54 @@
             self.warm_start.exchange.peers = self.peers
 
     def peers(self) -> list["Peer"]:
-        """Living controllers with the addresses of their links, in the order they are asked."""
+        """Returns live controllers and their link addresses, in the order of snapshot requests."""
         from plankroute.net.peers.snapshot_exchange import Peer, asking_order
 
         assert self.members and self.shared_discovery
         table = self.members.core.table
         port = self.shared_discovery.port
         hosts = {
-            table.record_at(place).name: host_and_port(table.record_at(place).address)[0]
-            for place in table.living_indexes()
+            table.record_at(index).name: host_and_port(table.record_at(index).address)[0]
+            for index in table.living_indexes()
         }
         names = asking_order(list(hosts), self.local_member.name)
         return [Peer(name, (hosts[name], port)) for name in names]
 
-    async def recall(self) -> None:
-        """Reads the snapshot file, before the first proxy can join."""
+    async def load_snapshot(self) -> None:
+        """Loads the snapshot file; must be called before the first proxy can join."""
         if self.warm_start:
             await self.warm_start.recall()
 
     def start(self) -> None:
-        """Starts what runs beside the listener."""
+        """Starts the features that run while the listener serves connections."""
         if self.members:
             self.members.start()
         if self.warm_start:
             self.warm_start.start()
 
     def reload(self, new: FeatureFile | None) -> list[str]:
-        """Takes the seeds of a new file.
+        """Applies the membership seeds of a new feature file; nothing else can change at run time.
 
         Returns:
-            The names of all else that differs, which waits for a restart.
+            The names of all other sections and fields that differ and need a restart.
         """
-        waiting = [
+        needs_restart = [
             name
             for name in self.feature_file.__struct_fields__
             if name != "membership" and getattr(new, name, None) != getattr(self.feature_file, name)
         ]
         has_membership = new is not None and new.membership is not None
         if has_membership != (self.members is not None):
-            waiting.append("membership")
+            needs_restart.append("membership")
         elif self.members and new and new.membership:
-            waiting += self.members.reload(new.membership)
-        return waiting
+            needs_restart += self.members.reload(new.membership)
+        return needs_restart
 
     async def close(self) -> None:
-        """Hands over and leaves, in the time that operators leave after SIGTERM."""
+        """Hands over prior knowledge and leaves the group at the same time, then closes discovery.
+
+        The caller limits the duration, since operators allow little time after SIGTERM.
+        """
         closing: list[Coroutine[None, None, None]] = []
         if self.warm_start:
             closing.append(self.warm_start.hand_over())
@@ -235,18 +260,17 @@
 
 
 def local_member(configuration: Configuration) -> LocalMember:
-    """This controller as other controllers see it."""
+    """Returns the name, zone and seed with which this controller joins its group."""
     zones = configuration.zones
     own_zone = configuration.facts.own_zone
     zone_name = zones[own_zone] if own_zone < len(zones) else ""
     return LocalMember(configuration.name, zone_name, configuration.seed)
 
 
-def call_facts(section: ColdStartSection, configuration: Configuration) -> BackoffFacts:
-    """How discovery may be called.
+def backoff_facts(section: ColdStartSection, configuration: Configuration) -> BackoffFacts:
+    """Returns the rate limits and backoff bounds of requests to the discovery service.
 
-    The number of controllers is as stated in the feature file or in the settings, never as
-    membership has it.
+    The number of controllers comes from the feature file or the settings, never from membership.
     """
     rank = section.rank
     if rank is None:
@@ -261,4 +285,4 @@
 
 
 def discard_results(frame: HealthCheckResults) -> None:
-    """Where there are no links, results of health checks stay with this controller."""
+    """Discards health check results; used without links, when no controller can receive them."""
--- a/plankroute/net/process/publishing_log.py
+++ b/plankroute/net/process/publishing_log.py
@@ -1,4 +1,4 @@
-"""Logs once a second which proxies wait for their tables and what fills the channel meanwhile."""
+"""Logs once a second how many proxies wait for tables and which lines fill the channel."""
 
 from collections import Counter
 from collections.abc import Callable
@@ -11,24 +11,27 @@
 
 
 class PublishingLog:
-    """Reports while proxies wait or hosts are still to be withdrawn, and once as that ends."""
+    """Logs while proxies wait or withdrawals are pending, and once more after that has ended.
+
+    Counters are updated once per interval in any case.
+    """
 
     def __init__(self, telemetry: Telemetry) -> None:
         self.telemetry = telemetry
-        self._reported_us = -REPORT_INTERVAL_US
+        self._last_read_us = -REPORT_INTERVAL_US
         self._written_before: Counter[LineKind] = Counter()
         self._was_waiting = False
 
     def report(self, now_us: int, read_status: Callable[[], PublishingStatus]) -> None:
-        """Logs the status unless it was read within the interval.
+        """Reads the status, updates the counters and logs, at most once per interval.
 
         Args:
-            now_us: The monotonic clock's time, in microseconds.
-            read_status: Returns the status now; called once an interval at most.
+            now_us: The controller clock's time, in microseconds.
+            read_status: Returns the current status; called at most once per interval.
         """
-        if now_us - self._reported_us < REPORT_INTERVAL_US:
+        if now_us - self._last_read_us < REPORT_INTERVAL_US:
             return
-        self._reported_us = now_us
+        self._last_read_us = now_us
         status = read_status()
         is_waiting = bool(
             status.waiting_proxies or status.interim_proxies or status.pending_withdrawals
--- a/plankroute/net/process/resource_limits.py
+++ b/plankroute/net/process/resource_limits.py
@@ -1,33 +1,34 @@
-"""Divides the operators' limits of memory and descriptors among their uses."""
+"""Divides the configured memory and descriptor limits among their uses."""
 
 from dataclasses import dataclass
 
-# Interpreter, program and tables.
+# Memory of the interpreter, the program and its tables.
 PROCESS_MB = 20
-# Shares of the memory beside the process; parsing a list takes ten times its size.
+# Shares of the memory above PROCESS_MB; parsing a list takes ten times its size.
 BUFFERS_SHARE = 0.4
 LIST_SHARE = 0.05
-MIN_BUFFER_BYTES = 3 << 20  # one longest message received, another one being written
+MIN_BUFFER_BYTES = 3 << 20  # one message of maximum length being received and one being sent
 MIN_LIST_BYTES = 1 << 18
-# Descriptors not for connections: discovery, health checks, the log, files, what is being closed.
+# Descriptors reserved for other uses than connections at the listening address: discovery, health
+# checks, the log, files, and connections that are being closed.
 RESERVED_SHARE = 1 / 8
 MAX_RESERVED = 96
-# Of the reserved ones: what the process has open by itself, discovery's two calls among it.
+# Part of the reserved descriptors: those open in every process, including discovery's two calls.
 PROCESS_DESCRIPTORS = 12
-# Of the connections, for monitors that check liveness and stay: some dozens of them.
+# Share of the connections for monitors that stay connected after a liveness check: a few dozen.
 LIVENESS_CHECKERS_SHARE = 1 / 16
 
 
 @dataclass(frozen=True, slots=True)
 class ResourceLimits:
-    """Upper bounds of what the controller holds at one time.
+    """Upper bounds of the resources that the controller uses at one time.
 
     Attributes:
-        connections: At the listening address.
-        liveness_checkers: Of the connections, those that have only checked liveness.
-        health_checks: Under way at one time.
-        buffer_bytes: Of all connections' buffers together.
-        list_bytes: Of one endpoint list.
+        connections: Connections at the listening address.
+        liveness_checkers: Those of the connections that have only sent liveness checks.
+        health_checks: Concurrent health checks.
+        buffer_bytes: Size of the buffers of all connections together.
+        list_bytes: Size of one endpoint list.
     """
 
     connections: int
@@ -38,7 +39,11 @@
 
 
 def resource_limits_for(memory_mb: float, descriptors: int) -> ResourceLimits:
-    """Returns the limits that fit into the memory and the descriptors of the process."""
+    """Returns the limits for a process with this much memory and this many descriptors.
+
+    Each limit has a minimum, so that a process with too little memory or too few descriptors may
+    exceed what it was given.
+    """
     free_bytes = int(max(0.0, memory_mb - PROCESS_MB) * (1 << 20))
     share = int(descriptors * RESERVED_SHARE)
     reserved = min(MAX_RESERVED, max(PROCESS_DESCRIPTORS + 4, share))
--- a/plankroute/net/process/service.py
+++ b/plankroute/net/process/service.py
@@ -1,4 +1,4 @@
-"""The controller process: puts its parts together, runs them, and ends when it is told to."""
+"""The controller process: assembles its parts, runs them and shuts them down on a signal."""
 
 import asyncio
 import errno
@@ -39,31 +39,36 @@
     from plankroute.config.feature_file import FeatureFile
     from plankroute.net.process.optional_features import OptionalFeatures
 
-# Names our own JSON file; without it all that the file switches on is off.
+# Names the feature file; without one, all optional features are off.
 FEATURE_FILE_VARIABLE = "PLANKROUTE_FILE"
-# For how long, and how often, an address that is held is tried: operators end a start after 30 s.
+# Retries of a listening address that is in use. Operators abort a start after 30 s.
 OPEN_TIMEOUT_S = 25.0
-OPEN_RETRY_S = 0.1
-SWEEP_S = 0.25  # between looks at unidentified connections: their time is counted in seconds
-UNUSABLE = (KeyError, OSError, SettingsError)  # what a configuration that can't be used ends in
-# Fields of the configuration that hold for the life of the process.
-FIXED_FIELDS = ("listen", "facts", "zones", "machine_types", "request_classes")
-FINISH_S = 0.15  # for the last log lines: well within the 0.7 s that operators leave after SIGTERM
-FEATURES_CLOSE_S = 0.45  # for what our own file switched on, all together
-LATENCY_MARGIN = 2  # times the longest deadline: no attempt that was answered can have taken longer
+OPEN_RETRY_INTERVAL_S = 0.1
+SWEEP_INTERVAL_S = 0.25  # unidentified connections are given a time in the order of seconds
+CONFIGURATION_ERRORS = (KeyError, OSError, SettingsError)  # raised for an invalid configuration
+# Fields of the configuration that can't change while the process runs.
+RESTART_FIELDS = ("listen", "facts", "zones", "machine_types", "request_classes")
+# For the last log lines: well within the 0.7 s that operators allow after SIGTERM.
+LOG_FLUSH_TIMEOUT_S = 0.15
+FEATURES_CLOSE_TIMEOUT_S = 0.45  # for all optional features together
+# Factor on the longest deadline: no answered attempt can have taken longer.
+LATENCY_MARGIN = 2
 
 
 class Service:
-    """All parts of the controller process.
+    """All parts of the controller process, and its life cycle.
 
     Args:
-        configuration: What operators handed over.
+        configuration: The configuration from operators.
         telemetry: Counters and log.
-        own: What our own file switches on; None: all off, and none of it is imported.
+        feature_file: Enables optional features; None: all are off, and their code is not imported.
     """
 
     def __init__(
-        self, configuration: Configuration, telemetry: Telemetry, own: "FeatureFile | None" = None
+        self,
+        configuration: Configuration,
+        telemetry: Telemetry,
+        feature_file: "FeatureFile | None" = None,
     ) -> None:
         self.configuration = configuration
         self.telemetry = telemetry
@@ -71,7 +76,7 @@
         self.signals: dict[signal.Signals, Callable[[], None]] = {
             signal.SIGTERM: self.stop.set,
             signal.SIGINT: self.stop.set,
-            signal.SIGUSR1: telemetry.print,
+            signal.SIGUSR1: telemetry.log_counters,
             signal.SIGHUP: self.reload,
         }
         self.clock = Clock()
@@ -83,7 +88,7 @@
         )
         self.core = self._build_core()
         self.listener = self._build_listener()
-        self.optional_features = self._build_optional_features(own)
+        self.optional_features = self._build_optional_features(feature_file)
         self.discovery = self._build_discovery()
         self.prober = self._build_prober()
         self.core.outputs = self._build_outputs()
@@ -142,23 +147,29 @@
             forget_host=self.directory.forget,
         )
 
-    def _build_optional_features(self, own: "FeatureFile | None") -> "OptionalFeatures | None":
-        if own is None:
+    def _build_optional_features(
+        self, feature_file: "FeatureFile | None"
+    ) -> "OptionalFeatures | None":
+        if feature_file is None:
             return None
-        # Imported here: switched off, it costs a bare start neither time nor memory.
+        # Imported here, so that a bare start spends neither time nor memory on it.
         from plankroute.net.process.optional_features import OptionalFeatures
 
-        return OptionalFeatures(own, self.configuration, self.telemetry, self.core.submit)
+        return OptionalFeatures(feature_file, self.configuration, self.telemetry, self.core.submit)
 
     async def run(self) -> None:
-        """Runs until a signal tells it to end; raises OSError where the address can't be had."""
+        """Runs until SIGTERM or SIGINT arrives.
+
+        Raises:
+            OSError: The listening address can't be bound.
+        """
         self._handle_signals()
         if self.configuration.facts.slices:
             self.telemetry.log_once("unsupported_slices")
         self.discovery.start(self.configuration.initial_list)
         if self.optional_features:
-            await self.optional_features.recall()
-        # The core has its list before anybody can ask whether the controller is alive.
+            await self.optional_features.load_snapshot()
+        # Give the core its initial list before the controller answers liveness checks.
         self.core.flush()
         if await self._open():
             await self._serve()
@@ -176,23 +187,23 @@
             self.reload()
 
     async def _serve(self) -> None:
-        """Serves connections until the end."""
+        """Runs periodic work and the optional features until the stop signal."""
         self.telemetry.log.event(
             "info",
             "listening",
             address=self.configuration.listen,
             hosts=len(self.directory.hosts),
         )
-        sweeping = asyncio.create_task(self._sweep_forever())
+        sweep_task = asyncio.create_task(self._sweep_forever())
         if self.optional_features:
             self.optional_features.start()
         await self.stop.wait()
-        sweeping.cancel()
+        sweep_task.cancel()
 
     async def _close_optional_features(self, optional_features: "OptionalFeatures") -> None:
-        """Guards against a feature that fails, or is slow, as it closes: it holds up no end."""
+        """Closes the optional features; a slow or failing one must not delay the shutdown."""
         try:
-            async with asyncio.timeout(FEATURES_CLOSE_S):
+            async with asyncio.timeout(FEATURES_CLOSE_TIMEOUT_S):
                 await optional_features.close()
         except TimeoutError:
             self.telemetry.log_once("features_cut_short")
@@ -200,47 +211,56 @@
             self.telemetry.record_failure("features", error)
 
     def reload(self) -> None:
-        """Takes a new configuration while it runs: what can change does.
+        """Reads the configuration and the feature file again and applies what can change.
 
-        One that can't be used, or is another controller's, changes nothing.
+        An invalid configuration, or that of another controller, is logged and changes nothing.
+        Fields that need a restart keep their values and are named in the log.
         """
         try:
             new = read_configuration()
-            own = read_features()
+            feature_file = read_features()
             if new.name != self.configuration.name:
-                raise SettingsError(f"it is {new.name}'s")
-        except UNUSABLE as error:
+                raise SettingsError(f"the configuration names controller {new.name}, not this one")
+        except CONFIGURATION_ERRORS as error:
             self.telemetry.count("dropped.configurations")
             reason = f"{type(error).__name__}: {error}"
             self.telemetry.log.event("error", "reload_failed", why=reason)
             return
-        unchanged = self._fields_that_wait_for_a_restart(new, own)
-        has_moved = new.discovery != self.configuration.discovery
+        unchanged = self._fields_that_need_a_restart(new, feature_file)
+        discovery_changed = new.discovery != self.configuration.discovery
         self.configuration = replace(self.configuration, discovery=new.discovery, limits=new.limits)
         self.listener.set_limits(new.limits)
         self.discovery.set_max_list_bytes(new.limits.list_bytes)
-        if has_moved:
+        if discovery_changed:
             self.discovery.move(new.discovery)
         self.telemetry.count("received.configurations")
         level = "warning" if unchanged else "info"
         self.telemetry.log.event(level, "reloaded", discovery=new.discovery, kept=unchanged)
 
-    def _fields_that_wait_for_a_restart(
-        self, new: Configuration, own: "FeatureFile | None"
+    def _fields_that_need_a_restart(
+        self, new: Configuration, feature_file: "FeatureFile | None"
     ) -> list[str]:
         names = [
-            name for name in FIXED_FIELDS if getattr(new, name) != getattr(self.configuration, name)
+            name
+            for name in RESTART_FIELDS
+            if getattr(new, name) != getattr(self.configuration, name)
         ]
         if self.optional_features:
-            names += self.optional_features.reload(own)
-        elif own is not None:
-            names.append("own file")
+            names += self.optional_features.reload(feature_file)
+        elif feature_file is not None:
+            names.append("feature file")
         return names
 
     async def _open(self) -> bool:
-        """Starts to listen; False: told to end before that.
+        """Opens the listening address.
+
+        Retries while the address is in use, since the previous process may not have exited yet.
 
-        Guards against a start that fails because the previous process has not quite gone.
+        Returns:
+            False if a signal stopped the service first.
+
+        Raises:
+            OSError: The address can't be bound, or was in use for `OPEN_TIMEOUT_S`.
         """
         end = time.monotonic() + OPEN_TIMEOUT_S
         while not self.stop.is_set():
@@ -251,49 +271,58 @@
                 if error.errno != errno.EADDRINUSE or time.monotonic() > end:
                     raise
                 self.telemetry.log_once("address_in_use")
-                await asyncio.sleep(OPEN_RETRY_S)
+                await asyncio.sleep(OPEN_RETRY_INTERVAL_S)
         return False
 
     def _on_loop_error(self, _: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
-        """Logs what no connection caught, such as a lack of descriptors; asyncio goes on."""
+        """Logs an error that no task handled, such as a lack of descriptors; the loop goes on."""
         self.telemetry.count("loop.failed")
         reason = f"{context.get('message')}: {context.get('exception')!r}"
         self.telemetry.log.event("error", "loop_failed", why=reason)
 
     async def _sweep_forever(self) -> None:
         while True:
-            await asyncio.sleep(SWEEP_S)
+            await asyncio.sleep(SWEEP_INTERVAL_S)
             self.listener.table.sweep()
 
 
 def _max_latency_us(facts: StartFacts) -> int:
-    """Returns a bound of the mean latency of attempts that were answered."""
+    """Returns an upper bound of the mean latency of answered attempts, in microseconds.
+
+    0 without request classes.
+    """
     deadlines_us = [request_class.deadline_us for request_class in facts.request_classes]
     return LATENCY_MARGIN * max(deadlines_us, default=0)
 
 
 def _max_ack_s(facts: StartFacts) -> float:
-    """Returns the longest regular time until an acknowledgement: a full channel, and the way."""
+    """Returns the longest normal time until an acknowledgement, in seconds.
+
+    It is the time to send a full channel plus the longest one-way delay.
+    """
     channel_s = facts.backlog_cap_lines / max(1.0, facts.channel_lines_per_s)
     return channel_s + facts.max_one_way_delay_us / 1e6
 
 
 def read_configuration(read: FileReader = read_file) -> Configuration:
-    """The platform's configuration, from the file that ``GW_CONFIG`` names.
+    """Reads the configuration from the file that ``GW_CONFIG`` names.
 
     Raises:
         KeyError: ``GW_CONFIG`` is not set.
         OSError: The file cannot be read.
-        SettingsError: It cannot be used; the message is one line.
+        SettingsError: The configuration is invalid; the message is one line.
     """
     return parse_configuration(read(os.environ["GW_CONFIG"]))
 
 
 def read_features(read: FileReader = read_file) -> "FeatureFile | None":
-    """The project's own JSON file, if ``PLANKROUTE_FILE`` names one.
+    """Reads the feature file that ``PLANKROUTE_FILE`` names.
+
+    Returns:
+        None if the variable is unset or empty.
 
     Raises:
-        SettingsError: It cannot be used; the message is one line.
+        SettingsError: The file can't be read or is invalid; the message is one line.
     """
     if not (path := os.environ.get(FEATURE_FILE_VARIABLE)):
         return None
@@ -303,9 +332,9 @@
 
 
 async def run_until_stopped(service: Service) -> None:
-    """Runs the service, and leaves all its signals ignored."""
+    """Runs the service; afterwards its signals are blocked and ignored."""
     await service.run()
-    # Blocked, since each signal is without a handler for a moment.
+    # Block the signals while they change handlers: the default action would kill the process.
     signal.pthread_sigmask(signal.SIG_BLOCK, service.signals)
     for number in service.signals:
         asyncio.get_running_loop().remove_signal_handler(number)
@@ -316,20 +345,20 @@
     """Runs one controller until SIGTERM.
 
     Returns:
-        The exit status: 0 after a clean end, 1 if the address could not be had, 2 if the
-        configuration or the feature file cannot be used.
+        The exit status: 0 after a clean end, 1 if the listening address could not be bound, 2 if
+        the configuration or the feature file is invalid.
     """
     install_startup_handlers()
-    take_pending_reload()  # what is read from here on is the newest
+    take_pending_reload()  # a SIGHUP before this point needs no reload: the files are read below
     try:
         configuration = read_configuration(read_startup_file)
-    except UNUSABLE as error:
+    except CONFIGURATION_ERRORS as error:
         return _usage_error("GW_CONFIG", f"{type(error).__name__}: {error}")
     try:
-        features = read_features(read_startup_file)
+        feature_file = read_features(read_startup_file)
     except SettingsError as error:
         return _usage_error(FEATURE_FILE_VARIABLE, str(error))
-    return _run(configuration, features)
+    return _run(configuration, feature_file)
 
 
 def _usage_error(variable: str, reason: str) -> int:
@@ -337,17 +366,17 @@
     return 2
 
 
-def _run(configuration: Configuration, features: "FeatureFile | None") -> int:
+def _run(configuration: Configuration, feature_file: "FeatureFile | None") -> int:
     log = EventLog(configuration.name, to_stderr)
     telemetry = Telemetry(log)
     try:
         gc.freeze()
-        asyncio.run(run_until_stopped(Service(configuration, telemetry, features)))
+        asyncio.run(run_until_stopped(Service(configuration, telemetry, feature_file)))
     except OSError as error:
         log.event("error", "start_failed", why=str(error))
-        log.finish(FINISH_S)
+        log.finish(LOG_FLUSH_TIMEOUT_S)
         return 1
-    telemetry.print()
+    telemetry.log_counters()
     log.event("info", "ended")
-    log.finish(FINISH_S)
+    log.finish(LOG_FLUSH_TIMEOUT_S)
     return 0
--- a/plankroute/net/process/startup_file.py
+++ b/plankroute/net/process/startup_file.py
@@ -1,10 +1,10 @@
-"""Reads a file before the event loop runs, without missing a signal that arrives meanwhile.
+"""Reads a file before the event loop runs without remaining a signal that arrives meanwhile.
 
 A handler installed with :func:`signal.signal` runs between two instructions of the interpreter. A
 signal that arrives after the interpreter's last check and before a blocking system call is only
-recorded: the call is not interrupted, and a process that reads a pipe nobody writes to never ends.
-Here the process blocks in ``poll`` on the file and on the interpreter's wakeup descriptor together.
-The C-level handler writes to that descriptor, so that ``poll`` returns whenever the signal came.
+recorded: the call is not interrupted, and a process that reads a pipe without a writer never ends.
+This module therefore blocks in ``poll`` on both the file and the interpreter's wakeup descriptor.
+The C-level handler writes to that descriptor, so that ``poll`` returns whenever a signal arrives.
 """
 
 import os
@@ -20,27 +20,27 @@
 
 
 def read_startup_file(path: str | Path, max_bytes: int | None = None) -> bytes:
-    """Reads a file to its end, or its first ``max_bytes`` bytes; in the main thread alone.
+    """Reads a file to its end, or its first ``max_bytes`` bytes; only for the main thread.
 
     Raises:
         OSError: The file cannot be opened or read.
-        BaseException: Whatever a signal handler raises while this waits.
+        BaseException: Any exception that a signal handler raises while this function waits.
     """
-    with FileIO(path, "rb", opener=_open_without_waiting) as file:
+    with FileIO(path, "rb", opener=_open_nonblocking) as file:
         if stat.S_ISREG(os.fstat(file.fileno()).st_mode):
             return file.read() if max_bytes is None else file.read(max_bytes) or b""
         with _signal_wakeup() as wakeup:
             return _read_when_ready(file, wakeup, max_bytes)
 
 
-def _open_without_waiting(path: str, flags: int) -> int:
-    """Opens a pipe whether or not anybody has opened its other end."""
+def _open_nonblocking(path: str, flags: int) -> int:
+    """Opens a file without blocking on a pipe whose other end is not open."""
     return os.open(path, flags | os.O_NONBLOCK)
 
 
 @contextmanager
 def _signal_wakeup() -> Iterator[int]:
-    """A descriptor that becomes readable with each signal that has a handler."""
+    """Yields a descriptor that becomes readable with each signal that has a handler."""
     reader, writer = os.pipe2(os.O_NONBLOCK | os.O_CLOEXEC)
     previous = signal.set_wakeup_fd(writer, warn_on_full_buffer=False)
     try:
@@ -56,19 +56,19 @@
     poller.register(file, select.POLLIN)
     poller.register(wakeup, select.POLLIN)
     chunks: list[bytes] = []
-    missing = max_bytes
-    while missing is None or missing > 0:
+    remaining = max_bytes
+    while remaining is None or remaining > 0:
         ready = {descriptor for descriptor, _ in poller.poll()}
         if wakeup in ready:
-            os.read(wakeup, CHUNK_BYTES)  # the handler has run by now, and raised nothing
+            os.read(wakeup, CHUNK_BYTES)  # the Python handler has already run and raised nothing
         if file.fileno() not in ready:
             continue
-        chunk = file.read(CHUNK_BYTES if missing is None else min(missing, CHUNK_BYTES))
+        chunk = file.read(CHUNK_BYTES if remaining is None else min(remaining, CHUNK_BYTES))
         if chunk is None:
-            continue  # another reader was faster
+            continue  # another reader has consumed the data
         if not chunk:
             break
         chunks.append(chunk)
-        if missing is not None:
-            missing -= len(chunk)
+        if remaining is not None:
+            remaining -= len(chunk)
     return b"".join(chunks)
--- a/tests/config/test_feature_file.py
+++ b/tests/config/test_feature_file.py
@@ -41,7 +41,7 @@
         ),
         (
             {"membership": MEMBERSHIP | {"listen": "10.0.0.4:70000"}},
-            "membership.listen: '10.0.0.4:70000' is no address",
+            "membership.listen: '10.0.0.4:70000' is not a host:port address",
         ),
         (
             {"membership": MEMBERSHIP | {"seeds": ["a.example:1"]}},
--- a/tests/net/test_event_log.py
+++ b/tests/net/test_event_log.py
@@ -20,6 +20,6 @@
     assert log.dropped >= 1900
     gate.set()
     log.finish(30.0)
-    telemetry.print()
+    telemetry.log_counters()
     log.finish(30.0)
     assert len(written) == 3001 - log.dropped and b'"counters"' in written[-1]
--- a/tests/net/test_process_configuration.py
+++ b/tests/net/test_process_configuration.py
@@ -84,4 +84,4 @@
     reloads = [line for line in lines if line["event"] in ("reloaded", "reload_failed")]
     assert [line["level"] for line in reloads] == ["error"] * 7 + ["warning"] * 2
     assert reloads[-1]["kept"] == ["listen"]
-    assert "it is n2's" in reloads[5]["why"]
+    assert "names controller n2" in reloads[5]["why"]
