--- a/plankroute/config/__init__.py
+++ b/plankroute/config/__init__.py
@@ -1,1 +1,1 @@
-"""The feature file: optional features and their limits."""
+"""The feature file, which enables optional features and sets their limits."""
--- a/plankroute/config/feature_file.py
+++ b/plankroute/config/feature_file.py
@@ -1,7 +1,7 @@
-"""The feature file: what operators switch on beside the platform's settings.
+"""The feature file, with which operators enable optional features in addition to the settings.
 
-Types, limits, JSON Schema and messages of mistakes. Without a file, or without a section in it,
-that feature is off and none of its code is imported.
+Defines its types, limits, JSON Schema and error messages. A feature without a section in the file
+is off, and its code is not imported; without a file all features are off.
 """
 
 import re
@@ -14,11 +14,11 @@
 from plankroute.events.settings import SettingsError
 from plankroute.net.process.address import host_and_port
 
-SCHEMA_PATH = Path("deploy/plankroute.schema.json")  # from the root of the repository
-MAX_FILE_BYTES = 1 << 20  # a feature file is some hundred bytes; a larger one is something else
+SCHEMA_PATH = Path("deploy/plankroute.schema.json")  # relative to the root of the repository
+MAX_FILE_BYTES = 1 << 20  # a feature file has some hundred bytes; a larger one is another file
 
-# What msgspec appends to the message of a mistake: the path of the field at fault.
-PATH_OF_MISTAKE = re.compile(r" - at `\$?([^`]*)`$")
+# Patterns for the error messages of msgspec, which end with the path of the invalid field.
+FIELD_PATH = re.compile(r" - at `\$?([^`]*)`$")
 UNKNOWN_FIELD = re.compile(r"unknown field `([^`]*)`")
 MISSING_FIELD = re.compile(r"missing required field `([^`]*)`")
 
@@ -46,7 +46,7 @@
         tuple[Address, ...],
         msgspec.Meta(
             max_length=64,
-            description="some of the group, asked at the start; may include this controller",
+            description="addresses of group members to contact at the start; may include this one",
         ),
     ] = ()
     patience_ms: Annotated[
@@ -54,8 +54,8 @@
         msgspec.Meta(
             ge=500,
             le=60_000,
-            description="how long a member may be silent: half a second and a round trip above the "
-            "longest pause",
+            description="how long a member may be silent: at least the longest pause, a round trip "
+            "and half a second",
         ),
     ] = 2600
     probe_ms: Annotated[
@@ -63,7 +63,7 @@
         msgspec.Meta(
             ge=50,
             le=10_000,
-            description="interval of probes by this controller, each of another member",
+            description="interval between probes by this controller, each to another member",
         ),
     ] = 200
     forget_s: Annotated[
@@ -71,15 +71,15 @@
         msgspec.Meta(
             ge=60,
             le=86_400,
-            description="how long members that failed or left are remembered and called",
+            description="how long failed and left members are remembered and contacted again",
         ),
     ] = 3600
 
 
 class LinksSection(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """The endpoint list through peers.
+    """Distribution of the endpoint list among controllers.
 
-    A few controllers watch the discovery service, the others get the list from them over TCP.
+    A few controllers watch the discovery service, the others receive the list from them over TCP.
     """
 
     listen: Annotated[
@@ -88,7 +88,8 @@
     port: Annotated[
         Annotated[int, msgspec.Meta(ge=1, le=65535)] | None,
         msgspec.Meta(
-            description="port of all others, at their membership hosts; default: that of `listen`"
+            description="link port of all other controllers, at their membership hosts; "
+            "default: that of `listen`"
         ),
     ] = None
     watchers: Annotated[
@@ -105,30 +106,30 @@
 
 
 class ColdStartSection(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """Starts of many controllers at once that spare discovery and hosts (docs/cold-start.md)."""
+    """Limits the load on discovery and hosts when many controllers start (docs/cold-start.md)."""
 
     calls_a_second: Annotated[
         float,
         msgspec.Meta(
             ge=0.1,
             le=100_000,
-            description="calls a second that the discovery service answers, for all controllers",
+            description="calls per second that the discovery service answers, for all controllers",
         ),
     ] = 20.0
     stewards: Annotated[
         Annotated[int, msgspec.Meta(ge=1, le=10_000)] | None,
-        msgspec.Meta(description="number of controllers at most; default: as the settings state"),
+        msgspec.Meta(description="maximum number of controllers; default: from the settings"),
     ] = None
     rank: Annotated[
         Annotated[int, msgspec.Meta(ge=0, le=10_000)] | None,
-        msgspec.Meta(description="rank of this one, from 0; default: as the settings state"),
+        msgspec.Meta(description="rank of this controller, from 0; default: from the settings"),
     ] = None
     pause_most_s: Annotated[
         float,
         msgspec.Meta(
             ge=1,
             le=3600,
-            description="longest backoff while the service keeps refusing",
+            description="longest backoff while the discovery service fails",
         ),
     ] = 60.0
     retry_after_most_s: Annotated[
@@ -147,7 +148,7 @@
         msgspec.Meta(
             ge=0,
             le=100,
-            description="controllers that check each host when all hosts are checked; 0: every one",
+            description="controllers that check each host when all hosts are checked; 0: all",
         ),
     ] = 3
     links: LinksSection | None = None
@@ -162,21 +163,23 @@
             msgspec.Meta(
                 min_length=1,
                 max_length=1024,
-                description="folder that outlives the process; default: nothing is written",
+                description="folder for snapshots; must survive restarts; default: none written",
             ),
         ]
         | None
     ) = None
     every_s: Annotated[
         float,
-        msgspec.Meta(ge=0.01, le=3600, description="interval of writes, if something has changed"),
+        msgspec.Meta(
+            ge=0.01, le=3600, description="interval between writes, if anything has changed"
+        ),
     ] = 3.0
     limit_s: Annotated[
         float,
         msgspec.Meta(
             ge=0,
             le=2_592_000,
-            description="age from which knowledge counts for nothing; 0: none counts",
+            description="age from which prior knowledge is ignored; 0: it is always ignored",
         ),
     ] = 900.0
     ask_peers: Annotated[
@@ -184,16 +187,16 @@
         msgspec.Meta(
             ge=0,
             le=2,
-            description="living controllers that are asked at the start; needs coldstart.links",
+            description="live controllers that are asked at the start; needs coldstart.links",
         ),
     ] = 2
     ask_ms: Annotated[
-        int, msgspec.Meta(ge=50, le=10_000, description="limit of a whole answer")
+        int, msgspec.Meta(ge=50, le=10_000, description="time limit for a complete answer")
     ] = 1000
 
 
 class FeatureFile(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """The feature file; each section switches one feature on."""
+    """The feature file; each section enables one feature."""
 
     membership: MembershipSection | None = None
     coldstart: ColdStartSection | None = None
@@ -201,7 +204,10 @@
 
 
 class FeatureFileError(SettingsError):
-    """The feature file can't be used; one line, with the path of the field at fault."""
+    """The feature file can't be read or is invalid.
+
+    The message is one line with the path of the file and, if a field is invalid, of that field.
+    """
 
 
 def read_feature_file(path: str | Path, read: FileReader = read_file) -> FeatureFile:
@@ -209,32 +215,33 @@
 
     Args:
         path: The file.
-        read: Reads its bytes.
+        read: Returns the content of a file.
 
     Raises:
-        FeatureFileError: It can't be used.
+        FeatureFileError: The file can't be read, is too large or is invalid.
     """
     try:
         text = read(path, MAX_FILE_BYTES + 1)
     except OSError as error:
         raise FeatureFileError(f"{path}: {error.strerror or error}") from error
     if len(text) > MAX_FILE_BYTES:
-        raise FeatureFileError(f"{path}: over {MAX_FILE_BYTES} bytes")
+        raise FeatureFileError(f"{path}: larger than {MAX_FILE_BYTES} bytes")
     try:
         feature_file = msgspec.json.decode(text, type=FeatureFile)
-        check_addresses(feature_file)
+        check_constraints(feature_file)
     except msgspec.ValidationError as error:
-        raise FeatureFileError(f"{path}: {describe(str(error))}") from error
+        raise FeatureFileError(f"{path}: {describe_validation_error(str(error))}") from error
     except msgspec.DecodeError as error:
-        raise FeatureFileError(f"{path}: no JSON: {error}") from error
+        raise FeatureFileError(f"{path}: not valid JSON: {error}") from error
     return feature_file
 
 
-def check_addresses(feature_file: FeatureFile) -> None:
-    """Checks what the types can't express: ports, and links without membership.
+def check_constraints(feature_file: FeatureFile) -> None:
+    """Checks the constraints that the types can't express: port ranges, and links need membership.
 
     Raises:
-        msgspec.ValidationError: In the words of the library, with the path of the field.
+        msgspec.ValidationError: A constraint is violated; the message has the format of msgspec and
+            ends with the path of the field.
     """
     addresses = addresses_of(feature_file)
     has_links = feature_file.coldstart is not None and feature_file.coldstart.links is not None
@@ -248,7 +255,7 @@
 
 
 def addresses_of(feature_file: FeatureFile) -> dict[str, str]:
-    """All addresses of a feature file, by the paths of their fields."""
+    """Returns all addresses of a feature file by the paths of their fields."""
     addresses: dict[str, str] = {}
     membership = feature_file.membership
     if membership:
@@ -262,25 +269,25 @@
     return addresses
 
 
-def describe(message: str) -> str:
-    """The library's message, led by the path of the field at fault."""
-    match = PATH_OF_MISTAKE.search(message)
+def describe_validation_error(message: str) -> str:
+    """Converts an error message of msgspec so that it begins with the path of the field."""
+    match = FIELD_PATH.search(message)
     path = match[1] if match else ""
-    mistake = PATH_OF_MISTAKE.sub("", message)
-    unknown = UNKNOWN_FIELD.search(mistake)
+    problem = FIELD_PATH.sub("", message)
+    unknown = UNKNOWN_FIELD.search(problem)
     if unknown:
         return f"{path}.{unknown[1]}".lstrip(".") + ": unknown key"
-    missing = MISSING_FIELD.search(mistake)
+    missing = MISSING_FIELD.search(problem)
     if missing:
         return f"{path}.{missing[1]}".lstrip(".") + ": missing"
-    return f"{path.lstrip('.') or 'the file'}: {mistake[:1].lower()}{mistake[1:]}"
+    return f"{path.lstrip('.') or 'the file'}: {problem[:1].lower()}{problem[1:]}"
 
 
 def schema() -> dict[str, Any]:
-    """JSON Schema of the feature file, from the types above."""
+    """Returns the JSON Schema of the feature file, derived from its types."""
     return msgspec.json.schema(FeatureFile)
 
 
 def schema_text() -> bytes:
-    """The schema as it is kept in `SCHEMA_PATH`."""
+    """Returns the schema as formatted text, as stored in `SCHEMA_PATH`."""
     return msgspec.json.format(msgspec.json.encode(schema(), order="sorted"), indent=2) + b"\n"
