--- a/plankroute/cli/common.py
+++ b/plankroute/cli/common.py
@@ -1,4 +1,4 @@
-"""What all commands share: exit codes, arguments, and mistakes as one line."""
+"""Exit codes, argument types and error handling that all commands share."""
 
 from pathlib import Path
 
@@ -7,15 +7,15 @@
 from plankroute.config.feature_file import FeatureFile, FeatureFileError, read_feature_file
 
 EXIT_GOOD = 0
-EXIT_FAILED = 1  # a check failed, or nobody answered
-EXIT_USAGE = 2  # what was given can't be used
+EXIT_FAILED = 1  # a check failed, or no controller answered
+EXIT_USAGE = 2  # invalid arguments or files
 
 FILE_PATH = click.Path(exists=False, dir_okay=False, path_type=Path)
 FEATURE_FILE_VARIABLE = "PLANKROUTE_FILE"
 
 
-# Names of earlier releases, still understood but not listed.
-OLD_COMMAND_NAMES = {
+# Names in earlier releases, still accepted but not listed in the help.
+COMMAND_ALIASES = {
     "lab": "testbed",
     "coldstart": "cold-start",
     "restart": "warm-restart",
@@ -24,15 +24,15 @@
 
 
 class CommandGroup(click.Group):
-    """A group that understands old names of its commands."""
+    """A command group that also accepts the names in `COMMAND_ALIASES`."""
 
     def get_command(self, ctx: click.Context, cmd_name: str) -> click.Command | None:
-        """The command of that name, be it an old one."""
-        return super().get_command(ctx, OLD_COMMAND_NAMES.get(cmd_name, cmd_name))
+        """Returns the command with this name or alias, or None if there is none."""
+        return super().get_command(ctx, COMMAND_ALIASES.get(cmd_name, cmd_name))
 
 
-class UsageMistake(click.ClickException):
-    """One line on standard error, and the exit status of a mistake in what was given."""
+class CommandUsageError(click.ClickException):
+    """An invalid argument or file; exits with `EXIT_USAGE` and one line on standard error."""
 
     exit_code = EXIT_USAGE
 
@@ -41,26 +41,26 @@
     """Reads the feature file.
 
     Raises:
-        UsageMistake: It can't be used.
+        CommandUsageError: The file can't be read or is invalid.
     """
     try:
         return read_feature_file(path)
     except FeatureFileError as error:
-        raise UsageMistake(str(error)) from error
+        raise CommandUsageError(str(error)) from error
 
 
-def reject_unknown(named: list[str], known: dict[str, list[str]]) -> None:
-    """Checks names that were given.
+def reject_unknown(names: list[str], known: dict[str, list[str]]) -> None:
+    """Rejects names that are not among the known ones.
 
     Args:
-        named: What was given.
-        known: By kind, what there is.
+        names: The names to check.
+        known: The known names by category; the error message lists them.
 
     Raises:
-        UsageMistake: A name is of no kind.
+        CommandUsageError: A name is in no category.
     """
-    all_known = {name for names in known.values() for name in names}
-    unknown = [name for name in named if name not in all_known]
+    all_known = {name for group in known.values() for name in group}
+    unknown = [name for name in names if name not in all_known]
     if unknown:
-        choices = "; ".join(f"{kind}: {', '.join(names)}" for kind, names in known.items())
-        raise UsageMistake(f"not known: {', '.join(unknown)}; {choices}")
+        choices = "; ".join(f"{kind}: {', '.join(group)}" for kind, group in known.items())
+        raise CommandUsageError(f"unknown: {', '.join(unknown)}; {choices}")
--- a/plankroute/cli/main.py
+++ b/plankroute/cli/main.py
@@ -1,6 +1,6 @@
-"""The commands behind `python -m plankroute`.
+"""The commands of `python -m plankroute`.
 
-Exit status: 0 good, 1 a check failed, 2 a mistake in what was given.
+Exit status: 0 success, 1 a check failed or no controller answered, 2 invalid arguments or files.
 """
 
 import click
@@ -16,7 +16,8 @@
 def cli_group() -> None:
     """plankroute: a controller that publishes routing tables to a fleet of proxies.
 
-    Without a command it is `run`; the environment variable GW_CONFIG names its configuration.
+    Without arguments it runs a controller, like `run`; the environment variable GW_CONFIG names the
+    configuration file.
     """
 
 
--- a/plankroute/cli/members.py
+++ b/plankroute/cli/members.py
@@ -1,8 +1,8 @@
-"""Asks a running controller for the members it knows, and prints them.
+"""Requests the member table of a running controller and formats it.
 
-By datagrams to its membership address, since that is there anyway: no further listener, and no
-file that a read-only file system would refuse. A controller answers only what is asked from its
-own machine.
+Requests are datagrams to the controller's membership address: that needs no further listener, and
+no file, which a read-only file system would reject. A controller answers only requests from its own
+machine.
 """
 
 import socket
@@ -16,47 +16,51 @@
 from plankroute.net.process.address import host_and_port
 from plankroute.text_table import text_table
 
-MAX_ATTEMPTS = 3  # for each part: a datagram may be lost, also on one machine
+MAX_ATTEMPTS = 3  # per datagram: it may be lost even on one machine
 HEADINGS = ("name", "state", "for", "zone", "address", "incarnation")
 
 
-def ask(address: str, group: str, wait_s: float) -> list[ViewLine] | None:
-    """Asks a controller for its members.
+def request_members(address: str, group: str, wait_s: float) -> list[ViewLine] | None:
+    """Requests the member table of a controller.
 
     Args:
-        address: Its membership address.
-        group: The name of the group.
-        wait_s: Limit of each attempt, in seconds.
+        address: The membership address of the controller.
+        group: The name of its group.
+        wait_s: Time limit of each receive operation, in seconds.
 
     Returns:
-        A line for each member, the controller's own first; None: nobody answers.
+        A line for each member, the controller itself first; None if no attempt was answered.
 
     Raises:
-        ValueError: The address is none.
+        ValueError: The address is malformed.
     """
-    server = host_and_port(address)
+    target = host_and_port(address)
     codec = Codec(group)
     lines: list[ViewLine] = []
-    with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as client:
-        client.settimeout(wait_s)
+    with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sock:
+        sock.settimeout(wait_s)
         while True:
-            piece = ask_piece(client, server, codec, len(lines))
-            if piece is None:
+            part = request_part(sock, target, codec, len(lines))
+            if part is None:
                 return None
-            lines += piece.lines
-            if len(lines) >= piece.total_lines or not piece.lines:
+            lines += part.lines
+            if len(lines) >= part.total_lines or not part.lines:
                 return lines
 
 
-def ask_piece(
-    client: socket.socket, server: tuple[str, int], codec: Codec, first: int
+def request_part(
+    sock: socket.socket, target: tuple[str, int], codec: Codec, first: int
 ) -> ViewResponse | None:
-    """The lines from `first` on that fit into a datagram; None: no answer to any attempt."""
+    """Requests as many lines from `first` on as fit into one datagram.
+
+    Returns:
+        The response, or None if no attempt was answered.
+    """
     for _ in range(MAX_ATTEMPTS):
         try:
-            client.sendto(codec.encode(ViewRequest(first)), server)
+            sock.sendto(codec.encode(ViewRequest(first)), target)
             while True:
-                message = codec.decode(client.recv(MAX_DATAGRAM_BYTES + 1))
+                message = codec.decode(sock.recv(MAX_DATAGRAM_BYTES + 1))
                 if isinstance(message, ViewResponse) and message.first_line == first:
                     return message
         except OSError:
@@ -65,13 +69,16 @@
 
 
 def state_of(line: ViewLine) -> str:
-    """The word for a state in the output, which scripts read: a failed member is "gone"."""
+    """Returns the output text of a state: "gone" for a failed member, else the state's own name.
+
+    Scripts read this text, so that it must not change.
+    """
     state = MemberState(line.state)
     return "gone" if state is MemberState.FAILED else state.name.lower()
 
 
 def as_json_text(lines: list[ViewLine]) -> str:
-    """One JSON object for machines; its keys are part of the interface."""
+    """Formats the members as one JSON object; its keys are part of the interface."""
     members = [
         {
             "name": line.record.name,
@@ -90,12 +97,12 @@
 
 
 def as_table(lines: list[ViewLine]) -> str:
-    """A table for people."""
+    """Formats the members as a text table."""
     return text_table([HEADINGS, *(table_row(line) for line in lines)])
 
 
 def table_row(line: ViewLine) -> tuple[str, ...]:
-    """One member under `HEADINGS`."""
+    """Returns the row of one member, with the columns of `HEADINGS`."""
     return (
         line.record.name,
         state_of(line),
--- a/plankroute/cli/run_commands.py
+++ b/plankroute/cli/run_commands.py
@@ -1,4 +1,4 @@
-"""`run` starts a controller; `check` looks at its feature file."""
+"""The commands `run`, which runs a controller, and `check`, which validates a feature file."""
 
 import os
 import sys
@@ -9,7 +9,7 @@
 from plankroute.cli.common import (
     FEATURE_FILE_VARIABLE,
     FILE_PATH,
-    UsageMistake,
+    CommandUsageError,
     load_feature_file,
 )
 from plankroute.config.feature_file import FeatureFile, schema_text
@@ -21,13 +21,13 @@
     "path",
     type=FILE_PATH,
     envvar=FEATURE_FILE_VARIABLE,
-    help="The feature file (see deploy/plankroute.example.json); without one, all optional "
-    "features are off.",
+    help="Feature file (see deploy/plankroute.example.json); without one, all optional features "
+    "are off.",
 )
 def run(path: Path | None) -> None:
     """Run one controller.
 
-    The environment variable GW_CONFIG names the file with its configuration.
+    The environment variable GW_CONFIG names the configuration file.
     """
     from plankroute.net.process.service import main
 
@@ -45,13 +45,13 @@
         click.echo(schema_text(), nl=False)
         return
     if path is None:
-        raise UsageMistake("check: which FILE?")
+        raise CommandUsageError("check: FILE is required")
     sections = sections_of(load_feature_file(path))
     click.echo(f"{path}: good; switches on: {', '.join(sections) or 'nothing'}")
 
 
 def sections_of(feature_file: FeatureFile) -> list[str]:
-    """The names of the sections that a feature file has."""
+    """Returns the names of the sections that a feature file contains."""
     return [
         name for name in feature_file.__struct_fields__ if getattr(feature_file, name) is not None
     ]
--- a/plankroute/cli/state.py
+++ b/plankroute/cli/state.py
@@ -1,4 +1,4 @@
-"""What a controller knows of hosts, from its file or asked of it as it runs: a table, or JSON."""
+"""Reads a controller's prior knowledge of hosts from its file or over a link, and formats it."""
 
 import asyncio
 import time
@@ -21,33 +21,33 @@
 from plankroute.warm_start.snapshot import HostKnowledge, Snapshot
 
 ANSWER_TIMEOUT_S = 2.0  # a controller answers within milliseconds
-ASKING_NAME = "state-show"  # no controller's name: nothing was handed over for it
+REQUESTER_NAME = "state-show"  # not the name of a controller, so that no handover is kept for it
 HEADINGS = ("host", "age", "weight", "failed", "ejected", "counts for")
 
 
 @dataclass(frozen=True, slots=True)
-class FoundSnapshot:
-    """A snapshot that was read.
+class AgedSnapshot:
+    """A snapshot and its age.
 
     Attributes:
-        snapshot: What it holds.
-        age_us: Microseconds since it was written down; None: unknown.
+        snapshot: The snapshot.
+        age_us: Microseconds since the snapshot was written; None if unknown.
     """
 
     snapshot: Snapshot
     age_us: int | None
 
     def age_s_of(self, host: HostKnowledge) -> float | None:
-        """Seconds since a host was observed; None: unknown."""
+        """Returns the seconds since a host was last observed, or None if unknown."""
         return None if self.age_us is None else (host.age_us + self.age_us) / 1e6
 
 
 class StateError(Exception):
-    """There is no snapshot to be had; the message says why."""
+    """No snapshot could be read; the message gives the reason."""
 
 
 def is_address(where: str) -> bool:
-    """Whether it looks like an IPv4 address and port."""
+    """Returns whether the text looks like an IPv4 address and port, rather than a file."""
     try:
         host, _ = host_and_port(where)
     except ValueError:
@@ -55,11 +55,11 @@
     return host.replace(".", "").isdigit()
 
 
-def read_file(path: Path) -> FoundSnapshot:
-    """Reads a snapshot file, whichever controller wrote it.
+def read_snapshot_file(path: Path) -> AgedSnapshot:
+    """Reads a snapshot file of any controller.
 
     Raises:
-        StateError: It can't be read or used.
+        StateError: The file is missing, unreadable or invalid.
     """
     try:
         data = Disk().read(path, MAX_FILE_BYTES)
@@ -70,47 +70,49 @@
     stored = decode_file(data, None, time.time_ns() // 1_000_000)
     if isinstance(stored, FileProblem):
         raise StateError(stored.value)
-    return FoundSnapshot(stored.snapshot, stored.age_us)
+    return AgedSnapshot(stored.snapshot, stored.age_us)
 
 
-def ask_controller(address: str, group: str) -> list[FoundSnapshot]:
-    """Asks a running controller, as another controller would.
+def ask_controller(address: str, group: str) -> list[AgedSnapshot]:
+    """Requests snapshots from a running controller, as another controller would.
 
     Raises:
-        StateError: It does not answer.
+        StateError: The controller does not answer or sends no snapshot.
     """
     try:
         found = asyncio.run(request_snapshots(address, group))
     except (OSError, TimeoutError) as error:
         raise StateError(f"no answer: {error}".strip(": ")) from error
     if not found:
-        raise StateError("no answer; is it of this group, with a learned section?")
+        raise StateError(
+            "no answer; the controller must be in this group and have a learned section"
+        )
     return found
 
 
-async def request_snapshots(address: str, group: str) -> list[FoundSnapshot]:
-    """All snapshots that a running controller sends.
+async def request_snapshots(address: str, group: str) -> list[AgedSnapshot]:
+    """Returns all snapshots that a running controller sends on request.
 
     Raises:
-        OSError: The link could not be opened, or broke.
-        TimeoutError: It took too long.
+        OSError: The link could not be opened or was broken.
+        TimeoutError: The exchange took longer than `ANSWER_TIMEOUT_S`.
     """
-    found: list[FoundSnapshot] = []
+    found: list[AgedSnapshot] = []
     async with asyncio.timeout(ANSWER_TIMEOUT_S):
         reader, writer = await asyncio.open_connection(*host_and_port(address))
         try:
-            writer.write(encode_frame(WarmStartRequest(LINK_VERSION, group, ASKING_NAME)))
+            writer.write(encode_frame(WarmStartRequest(LINK_VERSION, group, REQUESTER_NAME)))
             async for _, age_us, data in read_views(reader, FrameDecoder(), MAX_FILE_BYTES):
                 snapshot = decode_snapshot(data)
                 if snapshot is not None:
-                    found.append(FoundSnapshot(snapshot, age_us))
+                    found.append(AgedSnapshot(snapshot, age_us))
         finally:
             writer.transport.abort()
     return found
 
 
-def effect_on_start(host: HostKnowledge, found: FoundSnapshot, max_age_s: float) -> str:
-    """What the knowledge of a host would do at a start now."""
+def effect_on_start(host: HostKnowledge, found: AgedSnapshot, max_age_s: float) -> str:
+    """Describes the effect that the knowledge of a host would have on a start now."""
     age_s = found.age_s_of(host)
     if age_s is None or age_s >= max_age_s:
         return "nothing"
@@ -121,8 +123,8 @@
     return f"starts near {host.weight:.2f}"
 
 
-def as_table(found: FoundSnapshot, max_age_s: float) -> str:
-    """A table for people, unhealthy hosts first."""
+def as_table(found: AgedSnapshot, max_age_s: float) -> str:
+    """Formats a snapshot as a text table, unhealthy hosts first."""
     snapshot = found.snapshot
     written = "at an unknown time" if found.age_us is None else f"{found.age_us / 1e6:.1f} s ago"
     head = (
@@ -135,8 +137,8 @@
     return "\n".join([head, text_table(rows), *withdrawn])
 
 
-def table_row(host: HostKnowledge, found: FoundSnapshot, max_age_s: float) -> tuple[str, ...]:
-    """One host under `HEADINGS`."""
+def table_row(host: HostKnowledge, found: AgedSnapshot, max_age_s: float) -> tuple[str, ...]:
+    """Returns the row of one host, with the columns of `HEADINGS`."""
     age_s = found.age_s_of(host)
     failure_ratio = host.failed / host.attempts if host.attempts else 0.0
     return (
@@ -149,8 +151,8 @@
     )
 
 
-def as_json_text(found: FoundSnapshot, max_age_s: float) -> str:
-    """One JSON object for machines; its keys are part of the interface."""
+def as_json_text(found: AgedSnapshot, max_age_s: float) -> str:
+    """Formats a snapshot as one JSON object; its keys are part of the interface."""
     snapshot = found.snapshot
     hosts = [
         {
--- a/plankroute/cli/testbed_commands.py
+++ b/plankroute/cli/testbed_commands.py
@@ -1,4 +1,4 @@
-"""`testbed` runs real controllers on loopback under faults, and measures."""
+"""The command group `testbed`: measurements and fault injection with real controllers."""
 
 import asyncio
 import os
@@ -17,12 +17,12 @@
 
 
 def write_json(path: Path, rows: object) -> None:
-    """Writes figures as indented JSON."""
+    """Writes results as indented JSON."""
     path.write_bytes(msgspec.json.format(msgspec.json.encode(rows), indent=2) + b"\n")
 
 
 def show_progress(text: str) -> None:
-    """Prints a line for a person who waits; nothing where nobody watches."""
+    """Prints a progress line to standard error if that is a terminal."""
     if sys.stderr.isatty():
         click.echo(text, err=True)
 
@@ -38,7 +38,7 @@
     help="Size of a group in simulated time; may be repeated.",
 )
 @click.option(
-    "--seeds", default=3, show_default=True, type=click.IntRange(1, 100), help="Runs of each kind."
+    "--seeds", default=3, show_default=True, type=click.IntRange(1, 100), help="Runs of each case."
 )
 @click.option(
     "--minutes",
@@ -56,10 +56,13 @@
     "--parts",
     default="killed,lossy,paused,healed,load",
     show_default=True,
-    help="What to measure, separated by commas.",
+    help="Cases to measure, separated by commas.",
 )
 @click.option(
-    "--jobs", default=os.cpu_count() or 1, show_default=True, help="Processes that run at once."
+    "--jobs",
+    default=os.cpu_count() or 1,
+    show_default=True,
+    help="Maximum number of parallel processes.",
 )
 @click.option("--json", "json_path", type=FILE_PATH, help="Write all figures to this file as well.")
 def membership(
@@ -99,11 +102,13 @@
 )
 @click.option("--seed", default=1, show_default=True, help="Seed of the injected faults.")
 @click.option(
-    "--full", is_flag=True, help="Pause processes for 39 s, as operators have seen, not for 13 s."
+    "--full",
+    is_flag=True,
+    help="Pause processes for 39 s, which operators have observed, instead of 13 s.",
 )
 @click.option("--json", "as_json", is_flag=True, help="Print JSON.")
 def trial(names: tuple[str, ...], processes: int, seed: int, full: bool, as_json: bool) -> None:
-    """Run real controllers on loopback with faulty links between them, and judge what they do."""
+    """Run real controllers on loopback with faulty links, and check their behaviour."""
     from plankroute.testbed.scenarios import SCENARIOS, report, run_all
 
     reject_unknown(list(names), {"scenarios": list(SCENARIOS)})
@@ -122,25 +127,29 @@
     help="Controllers that start.",
 )
 @click.option(
-    "--hosts", default=500, show_default=True, type=click.IntRange(1, 2000), help="Listed hosts."
+    "--hosts",
+    default=500,
+    show_default=True,
+    type=click.IntRange(1, 2000),
+    help="Hosts in the endpoint list.",
 )
 @click.option(
     "--rate",
     default=20.0,
     show_default=True,
-    help="Calls that the discovery service answers in a second.",
+    help="Calls per second that the discovery service answers.",
 )
 @click.option(
     "--outage",
     default=0.0,
     show_default=True,
-    help="Seconds for which the discovery service is down at first.",
+    help="Seconds for which the discovery service is down at the start.",
 )
 @click.option(
     "--peers/--alone",
     default=True,
     show_default=True,
-    help="Whether controllers talk to each other.",
+    help="Whether controllers are linked to each other.",
 )
 @click.option(
     "--today/--no-today",
@@ -148,7 +157,7 @@
     show_default=True,
     help="Also run a start without a feature file, for comparison.",
 )
-@click.option("--seed", default=1, show_default=True, help="Seed of all that is drawn.")
+@click.option("--seed", default=1, show_default=True, help="Seed of all random choices.")
 @click.option("--json", "json_path", type=FILE_PATH, help="Write all figures to this file as well.")
 @click.option("--report", "report_path", type=FILE_PATH, help="Write an HTML page with curves.")
 def cold_start(  # noqa: PLR0913, PLR0917 - a parameter for each option
@@ -162,7 +171,7 @@
     json_path: Path | None,
     report_path: Path | None,
 ) -> None:
-    """Start all controllers of a site at one moment, and count calls and health checks."""
+    """Start all controllers of a site at once, and count calls and health checks."""
     from plankroute.testbed import cold_start_report
     from plankroute.testbed.cold_start import Case, down_until, run_case
 
@@ -191,16 +200,20 @@
     help="Sources of prior knowledge to compare, separated by commas.",
 )
 @click.option(
-    "--hosts", default=50, show_default=True, type=click.IntRange(5, 500), help="Listed hosts."
+    "--hosts",
+    default=50,
+    show_default=True,
+    type=click.IntRange(5, 500),
+    help="Hosts in the endpoint list.",
 )
 @click.option(
-    "--bad", default=0.2, show_default=True, help="Share of the hosts that fail all requests."
+    "--bad", default=0.2, show_default=True, help="Fraction of the hosts that fail all requests."
 )
 @click.option(
     "--warm", "warm_s", default=20.0, show_default=True, help="Seconds before the restart."
 )
 @click.option(
-    "--seeds", default=1, show_default=True, type=click.IntRange(1, 20), help="Runs of each kind."
+    "--seeds", default=1, show_default=True, type=click.IntRange(1, 20), help="Runs of each case."
 )
 @click.option(
     "--kill/--term",
@@ -235,7 +248,7 @@
     json_path: Path | None,
     report_path: Path | None,
 ) -> None:
-    """Measure what the restart of a controller costs, with and without prior knowledge."""
+    """Measure the cost of a controller restart with and without prior knowledge."""
     from plankroute.testbed import warm_restart as restart
     from plankroute.testbed import warm_restart_report as report
     from plankroute.testbed.traffic import Mix
@@ -270,25 +283,25 @@
     default="1:3",
     show_default=True,
     metavar="A:B",
-    help="Seeds from A to B, played one after another.",
+    help="Seeds from A to B, both included, run one after another.",
 )
 @click.option(
     "--seconds",
     default=25.0,
     show_default=True,
     type=click.FloatRange(10.0, 3600.0),
-    help="Length of each play.",
+    help="Duration of each run.",
 )
 @click.option(
     "--net",
     default=90,
     show_default=True,
     type=click.IntRange(1, 249),
-    help="Loopback network; soaks that run at once need different ones.",
+    help="Number of the loopback network; concurrent soaks need different ones.",
 )
 @click.option("--json", "json_path", type=FILE_PATH, help="Write all results to this file as well.")
 def soak(seed_range: str, seconds: float, net: int, json_path: Path | None) -> None:
-    """Run real controllers under signals, kills, releases and floods, and judge the rules."""
+    """Run real controllers under signals, kills, releases and floods, and check invariants."""
     from plankroute.testbed.soak import run_soak
 
     results = []
@@ -312,10 +325,10 @@
 
 
 def parse_seeds(text: str) -> range:
-    """Returns the seeds of `A:B`, both included.
+    """Parses a range of seeds `A:B`, both included.
 
     Raises:
-        click.BadParameter: It is no such range.
+        click.BadParameter: The text is not a range of this form.
     """
     first, separator, last = text.partition(":")
     if not separator or not first.isdigit() or not last.isdigit() or int(last) < int(first):
@@ -331,9 +344,9 @@
     type=click.IntRange(1, 10_000),
     help="Kills to send.",
 )
-@click.option("--seed", default=1, show_default=True, help="Seed of the moments of the kills.")
+@click.option("--seed", default=1, show_default=True, help="Seed of the times of the kills.")
 def write_kills(kills: int, seed: int) -> None:
-    """Kill a process that writes its snapshot file, again and again, and check the file."""
+    """Repeatedly kill a process while it writes its snapshot file, and check the file."""
     from plankroute.testbed.write_kills import run_kills
 
     counts = asyncio.run(run_kills(kills, seed))
