--- a/tests/cli/test_bare_start.py
+++ b/tests/cli/test_bare_start.py
@@ -1,4 +1,4 @@
-"""What a start without a feature file imports."""
+"""Imports of a bare start, a start without a feature file."""
 
 import os
 import subprocess
@@ -25,10 +25,10 @@
 """
 
 
-def test_a_bare_start_imports_nothing_of_what_is_switched_off() -> None:
-    """Guards against a listener, a library or memory that `run` did not have before."""
+def test_a_bare_start_imports_no_optional_features() -> None:
+    """Guards against optional features that cost a bare start listeners, libraries or memory."""
     environment = {name: value for name, value in os.environ.items() if name != "PLANKROUTE_FILE"}
-    done = subprocess.run(
+    completed = subprocess.run(
         [sys.executable, "-c", LIST_IMPORTS],
         check=False,
         capture_output=True,
@@ -36,13 +36,13 @@
         text=True,
         env=environment,
     )
-    assert done.returncode == 0, done.stderr
-    modules = done.stdout.split()
+    assert completed.returncode == 0, completed.stderr
+    modules = completed.stdout.split()
     assert "plankroute.net.process.service" in modules
     prefixes = [f"plankroute.{package}" for package in OPTIONAL_PACKAGES]
-    switched_off = [
+    imported_optional = [
         module
         for module in modules
         if module.split(".")[0] in OPTIONAL_LIBRARIES or module.startswith(tuple(prefixes))
     ]
-    assert not switched_off
+    assert not imported_optional
--- a/tests/cli/test_command_line.py
+++ b/tests/cli/test_command_line.py
@@ -1,4 +1,4 @@
-"""The command line: exit statuses, one line for each mistake, names of earlier releases."""
+"""The command line: exit statuses, one-line errors, command names of earlier releases."""
 
 import subprocess
 import sys
@@ -15,7 +15,7 @@
 def run_command(
     *arguments: str, environment: dict[str, str] | None = None
 ) -> subprocess.CompletedProcess[str]:
-    """`subprocess.run` kills the process if it takes longer than the limit."""
+    """Runs a command; `subprocess.run` kills the process after the timeout."""
     return subprocess.run(
         [sys.executable, "-m", "plankroute", *arguments],
         check=False,
@@ -27,24 +27,24 @@
 
 
 def test_help_lists_the_commands() -> None:
-    done = run_command("--help")
-    assert done.returncode == 0
-    assert "members" in done.stdout
+    completed = run_command("--help")
+    assert completed.returncode == 0
+    assert "members" in completed.stdout
 
 
-def test_check_names_the_features_of_a_good_file() -> None:
-    done = run_command("check", str(EXAMPLE))
-    assert done.returncode == 0
-    assert "switches on: membership, coldstart" in done.stdout
+def test_check_lists_the_features_of_a_valid_file() -> None:
+    completed = run_command("check", str(EXAMPLE))
+    assert completed.returncode == 0
+    assert "switches on: membership, coldstart" in completed.stdout
 
 
-def test_check_of_a_missing_file_is_one_line_and_status_2() -> None:
-    done = run_command("check", "/nowhere.json")
-    assert done.returncode == 2
-    assert done.stderr.count("\n") == 1
+def test_check_of_a_missing_file_prints_one_line_and_exits_with_2() -> None:
+    completed = run_command("check", "/nowhere.json")
+    assert completed.returncode == 2
+    assert completed.stderr.count("\n") == 1
 
 
-def test_check_without_a_file_is_a_usage_mistake() -> None:
+def test_check_without_a_file_is_a_usage_error() -> None:
     assert run_command("check").returncode == 2
 
 
@@ -52,10 +52,10 @@
     assert run_command("check", "--schema").stdout.encode() == schema_text()
 
 
-def test_a_bare_start_without_a_configuration_is_status_2() -> None:
-    done = run_command()
-    assert done.returncode == 2
-    assert "GW_CONFIG" in done.stderr
+def test_a_bare_start_without_a_configuration_exits_with_2() -> None:
+    completed = run_command()
+    assert completed.returncode == 2
+    assert "GW_CONFIG" in completed.stderr
 
 
 @pytest.mark.parametrize(
@@ -67,7 +67,7 @@
         ("lab kills", "testbed write-kills"),
     ],
 )
-def test_a_command_is_understood_by_the_name_of_earlier_releases(old: str, new: str) -> None:
+def test_command_names_of_earlier_releases_are_accepted(old: str, new: str) -> None:
     by_old_name = run_command(*old.split(), "--help")
     assert by_old_name.returncode == 0
     _, _, old_text = by_old_name.stdout.partition("\n")
@@ -75,7 +75,7 @@
     assert old_text == new_text
 
 
-def test_a_feature_file_that_cannot_be_used_stops_the_start(tmp_path: Path) -> None:
+def test_an_invalid_feature_file_aborts_the_start(tmp_path: Path) -> None:
     configuration = tmp_path / "config.json"
     configuration.write_bytes(
         orjson.dumps(
@@ -88,12 +88,12 @@
             }
         )
     )
-    feature_file = tmp_path / "own.json"
+    feature_file = tmp_path / "features.json"
     feature_file.write_bytes(orjson.dumps({"membership": {"group": "g"}}))
-    done = run_command(
+    completed = run_command(
         "run", "--file", str(feature_file), environment={"GW_CONFIG": str(configuration)}
     )
-    assert done.returncode == 2
-    assert done.stderr.splitlines() == [
+    assert completed.returncode == 2
+    assert completed.stderr.splitlines() == [
         f"plankroute: PLANKROUTE_FILE can't be used: {feature_file}: membership.listen: missing"
     ]
--- a/tests/config/test_feature_file.py
+++ b/tests/config/test_feature_file.py
@@ -1,4 +1,4 @@
-"""The feature file: one line for each mistake, a schema that is current."""
+"""The feature file: errors are one line, and the stored schema matches the types."""
 
 from pathlib import Path
 
@@ -16,13 +16,13 @@
 MEMBERSHIP = {"group": "g", "listen": "10.0.0.4:3001"}
 
 
-def test_the_schema_is_current() -> None:
+def test_the_stored_schema_matches_the_types() -> None:
     assert SCHEMA_PATH.read_bytes() == schema_text(), (
         "python -m plankroute check --schema > deploy/plankroute.schema.json"
     )
 
 
-def test_the_example_can_be_used() -> None:
+def test_the_example_file_is_valid() -> None:
     feature_file = read_feature_file(EXAMPLE)
     assert feature_file.membership
     assert feature_file.membership.patience_ms == 2600
@@ -54,10 +54,10 @@
         ([], "the file: expected `object`, got `array`"),
     ],
 )
-def test_a_mistake_is_one_line_with_the_path_of_its_field(
+def test_a_validation_error_is_one_line_with_the_path_of_the_field(
     tmp_path: Path, content: object, line: str
 ) -> None:
-    path = tmp_path / "own.json"
+    path = tmp_path / "features.json"
     path.write_bytes(orjson.dumps(content))
     with pytest.raises(FeatureFileError) as caught:
         read_feature_file(path)
--- a/tests/net/test_core_runner.py
+++ b/tests/net/test_core_runner.py
@@ -1,4 +1,4 @@
-"""The core's runner: failures cost one batch, memory and the channel's accounting stay right."""
+"""The core runner: a failure affects one batch; memory is bounded; channel accounting is right."""
 
 import asyncio
 
@@ -19,7 +19,9 @@
 from plankroute.net.process.telemetry import EventLog, Telemetry
 
 
-def test_an_event_that_fails_takes_no_timer_along() -> None:
+def test_a_failing_event_loses_no_timer() -> None:
+    """Guards against a core that stops because an exception removed its periodic timers."""
+
     async def run() -> None:
         telemetry = Telemetry(EventLog("n", lambda line: None))
         runner = CoreRunner(
@@ -37,7 +39,7 @@
         runner.submit(events.HostRequestStats(100, 0, None, 0, 1.0, SECOND, None))  # type: ignore[arg-type]
         runner.flush()
         assert telemetry.counts["core.failed"] == 1 and not runner.timers.heap
-        for _ in range(2):  # the event was for two parts
+        for _ in range(2):  # the failing event was queued for the host and for the admission policy
             runner.submit(events.ProxyLeft(1))
             runner.flush()
         assert sorted(token for _, _, token in runner.timers.heap) == tokens
@@ -45,8 +47,8 @@
     asyncio.run(run())
 
 
-def test_hosts_replaced_all_day_leave_nothing_behind() -> None:
-    """Guards against what grows with hosts that are gone: names, indexes, routes, withdrawals."""
+def test_replaced_hosts_leave_no_state_behind() -> None:
+    """Guards against state that grows with removed hosts: names, indexes, routes, withdrawals."""
     directory = directory_of(*[f"s-{n}" for n in range(12)])
     telemetry = Telemetry(EventLog("n1", lambda line: None))
     sent = list[Message]()
@@ -74,15 +76,15 @@
         changed = [host_json(f"s-{n}", "DRAINING"), host_json(f"s-{n + 12}", boot_ms=now / 1000)]
         if n > 2:
             changed.append(host_json(f"s-{n - 3}", "DELETED"))
-        left_proxy = n % 4
+        reconnecting_proxy = n % 4
         last = max([message.sequence_number for message in sent], default=0)
         acknowledged = [events.Acknowledged(proxy, last, 1) for proxy in range(4)]
         sent.clear()
         run_batch(
             directory.apply_list(list_from(list_json(*changed, rev=42 + n, whole=False)))[0],
             *(acknowledged if last else []),
-            events.ProxyLeft(left_proxy),
-            events.ProxyJoined(left_proxy, 0, 9.0, False),
+            events.ProxyLeft(reconnecting_proxy),
+            events.ProxyJoined(reconnecting_proxy, 0, 9.0, False),
             events.HostRequestStats(directory.ids[f"s-{n + 5}"], 0, 9, 0, 2e5, SECOND, None),
         )
         sizes.append(
@@ -111,15 +113,15 @@
     assert all(late <= early for early, late in zip(largest_early, largest_late, strict=False))
 
 
-def test_the_channel_accounts_for_all_lines_whatever_hosts_proxies_may_have_withdrawn() -> None:
-    """Guards against a channel fuller than its cap by lines that reinstate hosts at a proxy."""
+def test_the_channel_accounts_for_all_lines_that_reinstate_hosts() -> None:
+    """Guards against a channel above its cap because reinstating lines were not accounted for."""
     directory = directory_of(*[f"s-{n}" for n in range(40)])
     facts = start_facts(bind_reinstates_hosts=True, warmup_us=SECOND)
     runner = CoreRunner(
         Controller(facts, 7), MessageBuilder(1), Clock(), Telemetry(EventLog("n", print)), 1000
     )
     now = 10**15
-    surplus_lines = list[int]()  # of each message, in the channel's accounting
+    surplus_lines = list[int]()  # lines accounted for minus lines sent, for each message
     channel = runner.controller.publisher.channel
 
     def send(message: Message) -> None:
@@ -136,23 +138,25 @@
     run_batch(directory.apply_list(list_from(list_json(*first)), ListKind.CACHED)[0])
     run_batch(*[events.ProxyJoined(proxy, 0, 9.0, proxy % 2 == 0) for proxy in range(6)])
     for n in range(30):
-        now += 7 * SECOND  # longer than it learns from what old tables bring
+        now += 7 * SECOND  # longer than first weights wait for reports on old tables
         changed = [host_json(f"s-{n}", "DRAINING"), host_json(f"s-{n + 40}", boot_ms=now / 1000)]
         if n > 9:
-            changed.append(host_json(f"s-{n - 9}", boot_ms=now / 1000))  # it is back
-        left_proxy = n % 6
+            changed.append(
+                host_json(f"s-{n - 9}", boot_ms=now / 1000)
+            )  # drained before, now restarted
+        reconnecting_proxy = n % 6
         run_batch(
             directory.apply_list(list_from(list_json(*changed, rev=42 + n, whole=False)))[0],
             *[events.Acknowledged(p, channel.sequence_number, 1) for p in range(6)],
-            events.ProxyLeft(left_proxy),
-            events.ProxyJoined(left_proxy, 0, 9.0, n % 4 == 0),
+            events.ProxyLeft(reconnecting_proxy),
+            events.ProxyJoined(reconnecting_proxy, 0, 9.0, n % 4 == 0),
         )
     assert len(surplus_lines) > 100 and min(surplus_lines) >= 0
     assert runner.telemetry.counts["core.failed"] == 0
-    assert sum(surplus_lines) < 5 * len(surplus_lines)  # it holds little more than that
+    assert sum(surplus_lines) < 5 * len(surplus_lines)  # the accounting overestimates only slightly
 
 
-def test_a_failing_decision_is_logged_and_the_controller_goes_on(
+def test_a_failing_decision_is_logged_and_the_controller_continues(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     log: list[bytes] = []
@@ -160,11 +164,11 @@
     async def scenario(running: RunningService) -> None:
         runner = running.service.core
         for part, name in ((runner.controller, "deliver"), (runner.message_builder, "build")):
-            works = getattr(part, name)
+            original = getattr(part, name)
             monkeypatch.setattr(part, name, lambda *_: 1 // 0)
             proxy = await running.connect(HELLO)
             await running.wait_until(lambda: running.counts["core.failed"] > 0)
-            monkeypatch.setattr(part, name, works)
+            monkeypatch.setattr(part, name, original)
             running.counts["core.failed"] = 0
             proxy.writer.transport.abort()
         proxy = await running.connect(HELLO.replace("=3", "=5"))
--- a/tests/net/test_event_log.py
+++ b/tests/net/test_event_log.py
@@ -1,16 +1,16 @@
-"""The log never holds up the controller."""
+"""The event log never blocks the controller."""
 
 import threading
 
 from plankroute.net.process.telemetry import EventLog, Telemetry
 
 
-def test_a_blocked_log_drops_lines_and_blocks_nobody() -> None:
+def test_a_blocked_log_drops_lines_without_blocking_callers() -> None:
     written = list[bytes]()
-    gate = threading.Event()
+    unblocked = threading.Event()
 
     def write(line: bytes) -> None:
-        if gate.wait(30):
+        if unblocked.wait(30):
             written.append(line)
 
     log = EventLog("n", write)
@@ -18,7 +18,7 @@
     for number in range(3000):
         log.event("info", f"event{number}")
     assert log.dropped >= 1900
-    gate.set()
+    unblocked.set()
     log.finish(30.0)
     telemetry.log_counters()
     log.finish(30.0)
--- a/tests/net/test_process_configuration.py
+++ b/tests/net/test_process_configuration.py
@@ -1,4 +1,4 @@
-"""The configuration that operators hand over, at the start and on SIGHUP."""
+"""The configuration from operators, at the start and on SIGHUP."""
 
 import asyncio
 import os
@@ -24,12 +24,12 @@
 @pytest.mark.parametrize(
     "text", [b"", b"[]", b"{}", b'{"settings": {}}', b'{"name": "n", "listen": "x"}']
 )
-def test_a_malformed_configuration_raises_one_clear_error(text: bytes) -> None:
+def test_a_malformed_configuration_raises_a_settings_error(text: bytes) -> None:
     with pytest.raises(SettingsError):
         parse_configuration(text)
 
 
-def test_a_new_configuration_moves_the_watch_and_a_bad_one_changes_nothing(
+def test_a_reload_moves_the_watch_and_an_invalid_one_changes_nothing(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     path = tmp_path / "config.json"
@@ -45,9 +45,9 @@
     async def scenario(running: RunningService) -> None:
         proxy = await running.connect(HELLO)
         await proxy.receive("replace=1")
-        old = await running.discovery.watches.get()
-        elsewhere = FakeDiscovery()
-        async with await asyncio.start_server(elsewhere.serve, "127.0.0.1", 0) as server:
+        old_watch = await running.discovery.watches.get()
+        new_discovery = FakeDiscovery()
+        async with await asyncio.start_server(new_discovery.serve, "127.0.0.1", 0) as server:
             moved = orjson.loads(config(server.sockets[0].getsockname()[1]))
             moved["limits"]["sockets"] = 600
             moved["listen"] = "127.0.0.1:1"
@@ -63,21 +63,21 @@
             path.unlink()
             os.kill(os.getpid(), signal.SIGHUP)
             await running.wait_until(lambda: running.counts["dropped.configurations"] == 7)
-            assert elsewhere.targets.empty() and not old.transport.is_closing()
+            assert new_discovery.targets.empty() and not old_watch.transport.is_closing()
             await reload(running, orjson.dumps(moved), "received.configurations")
-            assert await elsewhere.targets.get() == "/catalog/members?watch=1&after=41"
-            watch = await elsewhere.watches.get()
-            elsewhere.send(
+            assert await new_discovery.targets.get() == "/catalog/members?watch=1&after=41"
+            watch = await new_discovery.watches.get()
+            new_discovery.send(
                 watch, orjson.dumps(listing(42, "s-1", whole=False, state="DRAINING")) + b"\n"
             )
-            assert "s-1:0" in await proxy.receive("rows")  # in the same session
+            assert "s-1:0" in await proxy.receive("rows")  # in the existing session
             await running.wait_until(
-                lambda: old.write(b"1\r\n\n\r\n") or old.transport.is_closing()
+                lambda: old_watch.write(b"1\r\n\n\r\n") or old_watch.transport.is_closing()
             )
             assert running.service.listener.table.limits == resource_limits_for(192, 600)
-            # The same again: nothing moves.
+            # Reloading the same configuration does not restart the watch.
             await reload(running, orjson.dumps(moved), "received.configurations")
-            assert elsewhere.targets.empty() and running.discovery.targets.qsize() == 1
+            assert new_discovery.targets.empty() and running.discovery.targets.qsize() == 1
 
     run_scenario(scenario, log)
     lines = map(orjson.loads, log)
--- a/tests/net/test_process_start_and_end.py
+++ b/tests/net/test_process_start_and_end.py
@@ -1,4 +1,4 @@
-"""The controller in a process of its own: bad starts, a clean end, restarts."""
+"""A controller process: failed starts, a clean shutdown, restarts."""
 
 import json
 import os
@@ -14,24 +14,24 @@
 
 
 @pytest.mark.parametrize(
-    "text, word", [(None, "KeyError"), (b"{", "JSONDecodeError"), (b"{}", "KeyError")]
+    "text, error_name", [(None, "KeyError"), (b"{", "JSONDecodeError"), (b"{}", "KeyError")]
 )
-def test_a_bad_configuration_ends_the_start_with_one_line(
-    tmp_path: Path, text: bytes | None, word: str
+def test_an_invalid_configuration_aborts_the_start_with_one_line(
+    tmp_path: Path, text: bytes | None, error_name: str
 ) -> None:
     path = tmp_path / "config.json"
     path.write_bytes(text or b"")
     env = {name: value for name, value in os.environ.items() if name != "GW_CONFIG"}
     if text is not None:
         env["GW_CONFIG"] = str(path)
-    done = subprocess.run(
+    completed = subprocess.run(
         [sys.executable, "-m", "plankroute"], env=env, capture_output=True, timeout=60, check=False
     )
-    assert done.returncode == 2
-    assert done.stderr.count(b"\n") == 1 and word.encode() in done.stderr
+    assert completed.returncode == 2
+    assert completed.stderr.count(b"\n") == 1 and error_name.encode() in completed.stderr
 
 
-def test_sigterm_prints_the_counters_and_ends_cleanly(tmp_path: Path) -> None:
+def test_sigterm_logs_the_counters_and_exits_cleanly(tmp_path: Path) -> None:
     port = free_port()
     text = config(discovery=9, listen=port)
     with (
@@ -47,7 +47,7 @@
     assert not [line for line in lines if line["level"] == "error"]
 
 
-def test_a_killed_controller_listens_again_at_once_at_its_address(tmp_path: Path) -> None:
+def test_a_restart_after_a_kill_listens_at_the_same_address(tmp_path: Path) -> None:
     port = free_port()
     text = config(discovery=9, listen=port)
     with process(tmp_path / "config.json", text), socket.create_connection(("127.0.0.1", port)):
@@ -56,7 +56,7 @@
         assert ask(port) == b"alive\r\n"
 
 
-def test_no_descriptors_left_for_accepting_is_survived(tmp_path: Path) -> None:
+def test_the_controller_survives_running_out_of_descriptors(tmp_path: Path) -> None:
     port = free_port()
     text = config(discovery=9, listen=port)
 
@@ -65,9 +65,9 @@
 
     path = tmp_path / "config.json"
     with process(path, text, preexec_fn=allow_few_descriptors) as controller:
-        silent = [socket.create_connection(("127.0.0.1", port)) for _ in range(40)]
+        connections = [socket.create_connection(("127.0.0.1", port)) for _ in range(40)]
         while b'"loop_failed"' not in controller.stderr.readline():
             pass
-        for connection in silent:
+        for connection in connections:
             connection.close()
         assert ask(port) == b"alive\r\n"
--- a/tests/net/test_publishing_log.py
+++ b/tests/net/test_publishing_log.py
@@ -1,4 +1,4 @@
-"""The log says once a second who waits for tables, and what filled the channel meanwhile."""
+"""The log states once a second how many proxies wait for tables and what filled the channel."""
 
 from collections import Counter
 
@@ -24,11 +24,11 @@
     )
 
 
-def test_waiting_proxies_are_reported_once_a_second_until_none_waits() -> None:
+def test_waiting_proxies_are_logged_once_a_second_until_none_is_waiting() -> None:
     telemetry = Telemetry(EventLog("n1", lambda line: None))
     events: list[dict[str, object]] = []
     telemetry.log.event = (  # type: ignore[method-assign]
-        lambda level, event, **facts: events.append({"level": level, "event": event, **facts})
+        lambda level, event, **fields: events.append({"level": level, "event": event, **fields})
     )
     log = PublishingLog(telemetry)
     log.report(0, lambda: status(waiting=0, overdue=0, binds=100))
@@ -38,11 +38,11 @@
     log.report(2 * SECOND_US, lambda: status(waiting=2, overdue=2, binds=180))
     log.report(3 * SECOND_US, lambda: status(waiting=0, overdue=0, binds=180))
     log.report(4 * SECOND_US, lambda: status(waiting=0, overdue=0, binds=180))
-    shown = [
+    logged = [
         (event["level"], event["waiting"], event["overdue"], event["binds_lines"])
         for event in events
     ]
-    assert shown == [("info", 3, 0, 50), ("warning", 2, 2, 30), ("info", 0, 0, 0)]
+    assert logged == [("info", 3, 0, 50), ("warning", 2, 2, 30), ("info", 0, 0, 0)]
     assert orjson.dumps(events[0])
     assert telemetry.counts["channel.lines.binds"] == 180
     assert telemetry.counts["proxies.overdue_s"] == 2
--- a/tests/net/test_recorded_days.py
+++ b/tests/net/test_recorded_days.py
@@ -1,4 +1,7 @@
-"""What a controller writes on a day of changes: the same bytes, and no name that steers."""
+"""Golden test of the bytes that a controller writes while hosts and proxies change.
+
+It also checks that names have no influence on decisions.
+"""
 
 import hashlib
 import re
@@ -24,10 +27,18 @@
 from plankroute.policy.interim_binding import InterimBinder
 
 
-def day_of(name: Callable[[str], str], controllers: int) -> list[str]:
-    """Returns what a controller writes on a day of changes; all names go through `name`."""
-    zones, machine_types = [name(f"z{n}") for n in range(3)], [name(f"k{n}") for n in range(2)]
-    request_classes = [name(f"p{n}") for n in range(3)]
+def recorded_day(rename: Callable[[str], str], controllers: int) -> list[str]:
+    """Simulates a fixed sequence of changes.
+
+    Args:
+        rename: Applied to the names of all hosts, zones, machine types and request classes.
+        controllers: Number of controllers in the settings.
+
+    Returns:
+        The messages in the order written, each after the number of its proxy.
+    """
+    zones, machine_types = [rename(f"z{n}") for n in range(3)], [rename(f"k{n}") for n in range(2)]
+    request_classes = [rename(f"p{n}") for n in range(3)]
     settings = {
         "classes": [
             {"name": request_class, "idempotency": effect}
@@ -58,7 +69,7 @@
     configuration = parse_configuration(
         orjson.dumps(
             {
-                "name": name("n1"),
+                "name": rename("n1"),
                 "listen": "127.0.0.1:0",
                 "discovery": "127.0.0.1:9",
                 "seed": "7",
@@ -66,13 +77,13 @@
             }
         )
     )
-    known = Directory(
+    hosts = Directory(
         Clock(lambda: 10**18, lambda: 10**18),
         configuration.zones,
         configuration.machine_types,
         configuration.request_classes,
     )
-    admission = Admission(known, 60 * controllers, 8 * SECOND)
+    admission = Admission(hosts, 60 * controllers, 8 * SECOND)
     telemetry = Telemetry(EventLog("n", lambda line: None))
     runner = CoreRunner(
         Controller(configuration.facts, configuration.seed),
@@ -81,43 +92,47 @@
         telemetry,
         1000,
     )
-    encoder, out, now = (
-        MessageEncoder(configuration.request_classes, known.uid),
+    encoder, written_messages, now = (
+        MessageEncoder(configuration.request_classes, hosts.uid),
         list[str](),
         10**15,
     )
-    runner.outputs.send_message = lambda message: out.append(
+    runner.outputs.send_message = lambda message: written_messages.append(
         f"{message.proxy} {encoder.encode(message).decode()}"
     )
 
     def host(n: int, state: str = "SERVING", boot_ms: float = 0) -> dict:
         return host_json(
-            name(f"h{n:03}"), state, zones[n * 7 % 3], boot_ms, model=machine_types[n * 5 % 2]
+            rename(f"h{n:03}"), state, zones[n * 7 % 3], boot_ms, model=machine_types[n * 5 % 2]
         )
 
-    def work(*batch: events.Event) -> None:
+    def run(*batch: events.Event) -> None:
         runner.run_batch(
             now, [*batch, *map(events.TimerExpired, (TimerToken.PULSE, TimerToken.TURN))]
         )
 
     def admit(*lines: str) -> list[events.Event]:
-        identity, said = PeerIdentity(), [parse_line(f"{line}\r".encode()) for line in lines]
-        return [event for line in said if (event := admission.admit(identity, line)) is not None]
+        identity, messages = PeerIdentity(), [parse_line(f"{line}\r".encode()) for line in lines]
+        return [
+            event
+            for message in messages
+            if (event := admission.admit(identity, message)) is not None
+        ]
 
-    work(known.apply_list(list_from(list_json(*[host(n) for n in range(200)])), ListKind.CACHED)[0])
+    run(hosts.apply_list(list_from(list_json(*[host(n) for n in range(200)])), ListKind.CACHED)[0])
     for proxy in range(60):
-        work(*admit(f"hello node={proxy} locality={zones[proxy % 3]} w=9 cold=1"))
+        run(*admit(f"hello node={proxy} locality={zones[proxy % 3]} w=9 cold=1"))
     for turn in range(20):
         now += SECOND
         changed = [host(turn, "DRAINING"), host(200 + turn, boot_ms=1e12 + turn)]
-        listed = known.apply_list(list_from(list_json(*changed, rev=42 + turn, whole=False)))[0]
+        listed = hosts.apply_list(list_from(list_json(*changed, rev=42 + turn, whole=False)))[0]
         outcomes = [
-            f"outcomes locality={zones[0]} endpoint={name(f'h{n:03}')} total=9 errors={n % 4} "
+            f"outcomes locality={zones[0]} endpoint={rename(f'h{n:03}')} total=9 errors={n % 4} "
             f"rtt={40 + n} interval=1000"
             for n in range(turn, 200, 3)
         ]
-        work(listed, *admit(f"agent locality={zones[0]}", *outcomes))
-        work(
+        run(listed, *admit(f"agent locality={zones[0]}", *outcomes))
+        run(
             *(
                 events.Acknowledged(p, runner.controller.publisher.channel.sequence_number, 1)
                 for p in range(60)
@@ -129,11 +144,12 @@
         assert 24 <= len(published) < 150  # a subset of the hosts
     else:
         assert len(published) == 200
-    return out
+    return written_messages
 
 
-# Any change of a byte is a change of behaviour. Hosts drain while most proxies wait: with interim
-# tables, and without them as recorded before the packages were renamed.
+# Digests of the written bytes; any change of a byte is a change of behaviour. Hosts drain while
+# most proxies wait. The first digests are with interim tables; the second ones are without them, as
+# recorded before the packages were renamed.
 RECORDED_DAYS = {
     1: "18c0d2e553fc8a7354ba4d5a94afc700a849d9b8a8bb7534e4e2ce84e495140b",
     4: "215df78c19333604f90f8ba25f0c5db52d3e99517cbe50ad446404f761973c3a",
@@ -145,36 +161,36 @@
 
 
 def digest_of_day(controllers: int) -> str:
-    written = "".join(day_of(lambda name: name, controllers))
+    written = "".join(recorded_day(lambda name: name, controllers))
     return hashlib.sha256(written.encode()).hexdigest()
 
 
 @pytest.mark.parametrize("controllers", RECORDED_DAYS)
-def test_a_recorded_day_is_answered_with_the_same_bytes(controllers: int) -> None:
+def test_a_recorded_day_produces_the_same_bytes(controllers: int) -> None:
     assert digest_of_day(controllers) == RECORDED_DAYS[controllers]
 
 
 @pytest.mark.parametrize("controllers", RECORDED_DAYS_WITHOUT_INTERIM_TABLES)
-def test_a_recorded_day_without_interim_tables_is_answered_with_the_same_bytes(
+def test_a_recorded_day_without_interim_tables_produces_the_same_bytes(
     controllers: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Guards against interim tables that change anything while nobody uses them."""
+    """Guards against interim tables that change behaviour while no proxy uses them."""
     monkeypatch.setattr(InterimBinder, "_is_needed", lambda self: False)
     assert digest_of_day(controllers) == RECORDED_DAYS_WITHOUT_INTERIM_TABLES[controllers]
 
 
 @pytest.mark.parametrize("controllers", [1, 4])
-def test_names_steer_nothing(controllers: int) -> None:
-    """Guards against a request class, zone, machine type or host whose name steers."""
+def test_names_do_not_influence_decisions(controllers: int) -> None:
+    """Guards against decisions that depend on the name of a class, zone, machine type or host."""
 
     def other_name(name: str) -> str:
         return f"{name[0]}{name[1:].translate(str.maketrans('0123456789', 'acegikmoqs'))}-x"
 
-    plain, said = day_of(lambda name: name, controllers), re.compile(r"[hkpz]\d+")
-    other = day_of(other_name, controllers)
-    back = str.maketrans("acegikmoqs", "0123456789")
-    assert len(plain) > 200 and any(said.search(line) for line in plain)
+    plain, name_pattern = recorded_day(lambda name: name, controllers), re.compile(r"[hkpz]\d+")
+    renamed = recorded_day(other_name, controllers)
+    to_digits = str.maketrans("acegikmoqs", "0123456789")
+    assert len(plain) > 200 and any(name_pattern.search(line) for line in plain)
     assert [
-        re.sub(r"([hkpz])([acegikmoqs]+)-x", lambda m: m[1] + m[2].translate(back), line)
-        for line in other
+        re.sub(r"([hkpz])([acegikmoqs]+)-x", lambda m: m[1] + m[2].translate(to_digits), line)
+        for line in renamed
     ] == plain
--- a/tests/net/test_resource_limits.py
+++ b/tests/net/test_resource_limits.py
@@ -1,4 +1,4 @@
-"""The operators' limits are divided among connections, health checks and buffers."""
+"""Division of the configured limits among connections, health checks and buffers."""
 
 import pytest
 
--- a/tests/net/test_startup_file.py
+++ b/tests/net/test_startup_file.py
@@ -1,4 +1,4 @@
-"""Reading a file before the event loop runs: pipes, limits, and signals that arrive meanwhile."""
+"""Reading a file before the event loop runs: pipes, limits, signals during the read."""
 
 import os
 import signal
@@ -17,7 +17,7 @@
 
 @pytest.fixture
 def pipe(tmp_path: Path) -> Path:
-    """A named pipe that nobody has opened."""
+    """A named pipe that is not open at either end."""
     path = tmp_path / "pipe"
     os.mkfifo(path)
     return path
@@ -25,7 +25,7 @@
 
 @pytest.fixture
 def raising_handler() -> Iterator[None]:
-    """SIGUSR2 raises in the main thread."""
+    """Installs a handler of SIGUSR2 that raises `InterruptedBySignalError`."""
 
     def interrupt(*_: object) -> None:
         raise InterruptedBySignalError
@@ -36,7 +36,7 @@
 
 
 def write_in_two_parts(path: Path, first: bytes, second: bytes) -> threading.Thread:
-    """Opens the pipe, once somebody reads it, in a thread of its own."""
+    """Writes to a pipe in a thread, which blocks until the pipe has a reader."""
 
     def write() -> None:
         with open(path, "wb", buffering=0) as file:
@@ -61,7 +61,7 @@
 @pytest.mark.parametrize(
     ("max_bytes", "expected"), [(None, b"abcdef"), (4, b"abcd"), (9, b"abcdef")]
 )
-def test_a_pipe_is_waited_for_and_read_to_its_end(
+def test_a_pipe_is_read_up_to_the_limit_once_data_arrives(
     pipe: Path, max_bytes: int | None, expected: bytes
 ) -> None:
     writer = write_in_two_parts(pipe, b"abc", b"def")
@@ -69,7 +69,7 @@
     writer.join()
 
 
-def test_a_file_that_does_not_exist_or_is_a_folder_is_an_error_that_names_it(
+def test_a_missing_file_or_a_folder_raises_an_error_with_its_path(
     tmp_path: Path,
 ) -> None:
     with pytest.raises(FileNotFoundError, match="missing"):
@@ -78,10 +78,13 @@
         read_startup_file(tmp_path)
 
 
-def test_a_signal_while_nobody_writes_interrupts_the_read(
+def test_a_signal_interrupts_the_read_of_a_pipe_without_data(
     pipe: Path, raising_handler: None
 ) -> None:
-    """The signal is sent by a thread, so that it also arrives just before the system call."""
+    """Guards against a start that hangs on a signal received just before the blocking call.
+
+    A thread sends the signal, so that it arrives at varying moments.
+    """
     for _ in range(50):
         sender = threading.Thread(target=os.kill, args=(os.getpid(), signal.SIGUSR2))
         with pytest.raises(InterruptedBySignalError):
@@ -90,7 +93,7 @@
         sender.join()
 
 
-def test_the_wakeup_descriptor_of_before_is_restored(pipe: Path, raising_handler: None) -> None:
+def test_the_previous_wakeup_descriptor_is_restored(pipe: Path, raising_handler: None) -> None:
     reader, writer = os.pipe2(os.O_NONBLOCK)
     previous = signal.set_wakeup_fd(writer)
     try:
