--- a/plankroute/cli/testbed_commands.py
+++ b/plankroute/cli/testbed_commands.py
@@ -13,7 +13,7 @@
 
 @click.group(cls=CommandGroup)
 def testbed() -> None:
-    """Run measurements and fault-injection trials; running controllers are not touched."""
+    """Run measurements and fault-injection trials; controllers in operation are not affected."""
 
 
 def write_json(path: Path, rows: object) -> None:
--- a/plankroute/net/process/service.py
+++ b/plankroute/net/process/service.py
@@ -44,7 +44,7 @@
 # Retries of a listening address that is in use. Operators abort a start after 30 s.
 OPEN_TIMEOUT_S = 25.0
 OPEN_RETRY_INTERVAL_S = 0.1
-SWEEP_INTERVAL_S = 0.25  # unidentified connections are given a time in the order of seconds
+SWEEP_INTERVAL_S = 0.25  # short compared to the seconds allowed to unidentified connections
 CONFIGURATION_ERRORS = (KeyError, OSError, SettingsError)  # raised for an invalid configuration
 # Fields of the configuration that can't change while the process runs.
 RESTART_FIELDS = ("listen", "facts", "zones", "machine_types", "request_classes")
@@ -342,7 +342,7 @@
 
 
 def main() -> int:
-    """Runs one controller until SIGTERM.
+    """Runs one controller until SIGTERM or SIGINT.
 
     Returns:
         The exit status: 0 after a clean end, 1 if the listening address could not be bound, 2 if
