--- a/plankroute/net/process/file_store.py
+++ b/plankroute/net/process/file_store.py
@@ -94,8 +94,8 @@
     """Replaces a file atomically: a reader sees all of the old content or all of the new content.
 
     Raises:
-        OSError: A step failed. The old content is still in place, unless only the sync of the folder
-            after the rename failed.
+        OSError: A step failed. The old content is still in place, unless only the sync of the
+            folder after the rename failed.
     """
     temporary = path.with_name(path.name + TEMPORARY_SUFFIX)
     disk.write(temporary, data)
