--- a/plankroute/testbed/checkers.py
+++ b/plankroute/testbed/checkers.py
@@ -5,7 +5,7 @@
 from typing import NamedTuple
 
 from plankroute.testbed.faults import Act
-from plankroute.testbed.history import Entry, History
+from plankroute.testbed.history import History, StatusReport
 
 PRESENT = ("joined", "recovered")  # status changes after which a member counts as there
 VERDICTS = ("failed", "left", *PRESENT)  # suspicions are none
@@ -44,7 +44,7 @@
     return any(span.start_us <= at_us < span.end_us for span in lives(history, member))
 
 
-def wrongly_gone(history: History, excused: Iterable[int] = ()) -> list[Entry]:
+def wrongly_gone(history: History, excused: Iterable[int] = ()) -> list[StatusReport]:
     """Reports of failure while the subject's process ran.
 
     Args:
@@ -53,11 +53,11 @@
     """
     excused = set(excused)
     return [
-        entry
-        for entry in history.of("failed")
-        if entry.subject not in excused
-        and entry.observer not in excused
-        and was_alive(history, entry.subject, entry.at_us)
+        report
+        for report in history.of("failed")
+        if report.subject not in excused
+        and report.observer not in excused
+        and was_alive(history, report.subject, report.at_us)
     ]
 
 
@@ -66,29 +66,29 @@
 ) -> dict[int, int | None]:
     """By survivor, how long after the kill it reported the change; None where it never did."""
     first: dict[int, int | None] = dict.fromkeys(survivors)
-    for entry in history.of(change):
-        if entry.subject != member or entry.at_us < killed_us:
+    for report in history.of(change):
+        if report.subject != member or report.at_us < killed_us:
             continue
-        if entry.observer in first and first[entry.observer] is None:
-            first[entry.observer] = entry.at_us - killed_us
+        if report.observer in first and first[report.observer] is None:
+            first[report.observer] = report.at_us - killed_us
     return first
 
 
 def verdict_changes(history: History, from_us: int, until_us: int) -> Counter[tuple[int, int]]:
     """By observer and subject, how often the verdict changed in that time."""
     return Counter(
-        (entry.observer, entry.subject)
-        for entry in history.of(*VERDICTS)
-        if from_us <= entry.at_us < until_us
+        (report.observer, report.subject)
+        for report in history.of(*VERDICTS)
+        if from_us <= report.at_us < until_us
     )
 
 
 def standing_at(history: History, at_us: int) -> dict[tuple[int, int], str]:
     """By observer and subject, the last verdict reported until then."""
     return {
-        (entry.observer, entry.subject): entry.change
-        for entry in history.of(*VERDICTS)
-        if entry.at_us <= at_us
+        (report.observer, report.subject): report.change
+        for report in history.of(*VERDICTS)
+        if report.at_us <= at_us
     }
 
 
@@ -125,28 +125,28 @@
         if observer != subject and verdicts.get((observer, subject)) not in PRESENT
     }
     agreed_us: int | None = None if missing else 0
-    for entry in history.of(*VERDICTS):
-        if entry.at_us <= from_us or entry.observer not in alive or entry.subject not in alive:
+    for report in history.of(*VERDICTS):
+        if report.at_us <= from_us or report.observer not in alive or report.subject not in alive:
             continue
-        pair = entry.observer, entry.subject
-        if entry.change in PRESENT:
+        pair = report.observer, report.subject
+        if report.change in PRESENT:
             missing.discard(pair)
         else:
             missing.add(pair)
         if missing:
             agreed_us = None
         elif agreed_us is None:
-            agreed_us = entry.at_us - from_us
+            agreed_us = report.at_us - from_us
     return agreed_us
 
 
-def resurrected(history: History) -> list[Entry]:
+def resurrected(history: History) -> list[StatusReport]:
     """Reports that a member is there while no process of its ran, nor had run shortly before."""
     return [
-        entry
-        for entry in history.of(*PRESENT)
+        report
+        for report in history.of(*PRESENT)
         if not any(
-            span.start_us <= entry.at_us < span.end_us + NEWS_ON_THEIR_WAY_US
-            for span in lives(history, entry.subject)
+            span.start_us <= report.at_us < span.end_us + NEWS_ON_THEIR_WAY_US
+            for span in lives(history, report.subject)
         )
     ]
--- a/plankroute/testbed/history.py
+++ b/plankroute/testbed/history.py
@@ -6,7 +6,7 @@
 import msgspec
 
 
-class Entry(msgspec.Struct, frozen=True):
+class StatusReport(msgspec.Struct, frozen=True):
     """A member reported a change of another one's status.
 
     Attributes:
@@ -41,20 +41,20 @@
 
 
 class History(msgspec.Struct):
-    """All entries of a run.
+    """All reports of a run.
 
     Attributes:
         members: The size of the group.
-        entries: What was reported, in order of time.
+        reports: What was reported, in order of time.
         done: What was done, in order of time.
         ends_us: When the run ended.
     """
 
     members: int
-    entries: list[Entry] = []
+    reports: list[StatusReport] = []
     done: list[Done] = []
     ends_us: int = 0
 
-    def of(self, *changes: str) -> list[Entry]:
-        """The entries about these status changes."""
-        return [entry for entry in self.entries if entry.change in changes]
+    def of(self, *changes: str) -> list[StatusReport]:
+        """The reports about these status changes."""
+        return [report for report in self.reports if report.change in changes]
--- a/plankroute/testbed/membership_measurements.py
+++ b/plankroute/testbed/membership_measurements.py
@@ -26,7 +26,7 @@
 from plankroute.testbed import checkers
 from plankroute.testbed.faults import SECOND, Act, Rule, Script, Step, partition, pauses
 from plankroute.testbed.heartbeats import Heartbeats
-from plankroute.testbed.history import Entry
+from plankroute.testbed.history import StatusReport
 from plankroute.testbed.simulated_members import (
     WALL_US,
     Core,
@@ -122,9 +122,9 @@
     return [time_us for time_us in times if time_us is not None]
 
 
-def failed_instances(entries: list[Entry]) -> int:
+def failed_instances(reports: list[StatusReport]) -> int:
     """How many members were wrongly called failed, counted again after each refutation."""
-    return len({(entry.subject, entry.incarnation) for entry in entries})
+    return len({(report.subject, report.incarnation) for report in reports})
 
 
 def killed(job: Job) -> Figures:
@@ -202,14 +202,14 @@
     """
     failed: set[tuple[int, int]] = set()
     last_us = 0
-    for entry in group.history.of("failed", "recovered"):
-        pair = entry.observer, entry.subject
-        if entry.change == "failed":
+    for report in group.history.of("failed", "recovered"):
+        pair = report.observer, report.subject
+        if report.change == "failed":
             failed.add(pair)
         else:
             failed.discard(pair)
-        if entry.at_us > healed_us:
-            last_us = entry.at_us
+        if report.at_us > healed_us:
+            last_us = report.at_us
     return None if failed else max(0, last_us - healed_us)
 
 
--- a/plankroute/testbed/membership_scenarios.py
+++ b/plankroute/testbed/membership_scenarios.py
@@ -160,12 +160,12 @@
             if observer != subject and verdicts.get((observer, subject)) == "failed"
         ]
         objections += [
-            f"{entry.observer} called {entry.subject} failed after the heal"
-            for entry in trial.history.of("failed")
-            if entry.at_us > healed_us + SECOND // 2
+            f"{report.observer} called {report.subject} failed after the heal"
+            for report in trial.history.of("failed")
+            if report.at_us > healed_us + SECOND // 2
         ]
         objections += [
-            f"{entry.subject} was brought back" for entry in checkers.resurrected(trial.history)
+            f"{report.subject} was brought back" for report in checkers.resurrected(trial.history)
         ]
         trial.notes["called_gone"] = list(verdicts.values()).count("failed")
         trial.notes["agreed_after_s"] = trial.agreed_s(healed_us)
@@ -190,9 +190,9 @@
     def instances(self, trial: Trial, observer: int) -> set[int]:
         """The instances of the member that an observer has seen."""
         return {
-            entry.life
-            for entry in trial.history.of("joined")
-            if entry.observer == observer and entry.subject == SUBJECT
+            report.life
+            for report in trial.history.of("joined")
+            if report.observer == observer and report.subject == SUBJECT
         }
 
     def judge(self, trial: Trial) -> list[str]:
@@ -209,7 +209,7 @@
 
     def is_over(self, trial: Trial) -> bool:
         """All others have reported that it left."""
-        observers = {entry.observer for entry in trial.history.of("left")}
+        observers = {report.observer for report in trial.history.of("left")}
         return observers == set(trial.all_but(SUBJECT))
 
     def judge(self, trial: Trial) -> list[str]:
@@ -239,16 +239,16 @@
 
     def is_over(self, trial: Trial) -> bool:
         """All others have reported it, and one process has lost the name."""
-        observers = {entry.observer for entry in trial.history.of("duplicate_name")}
+        observers = {report.observer for report in trial.history.of("duplicate_name")}
         return observers >= set(trial.all_but(SUBJECT)) and bool(trial.history.of("name_lost"))
 
     def judge(self, trial: Trial) -> list[str]:
         """All must settle on one instance, and the older process must lose the name."""
         objections = trial.reported("failed")
-        instances = {entry.life for entry in trial.history.of("duplicate_name")}
+        instances = {report.life for report in trial.history.of("duplicate_name")}
         if len(instances) != 1:
             objections.append(f"settled on {len(instances)} instances")
-        losers = [entry.observer for entry in trial.history.of("name_lost")]
+        losers = [report.observer for report in trial.history.of("name_lost")]
         if losers != [SUBJECT]:
             objections.append(f"lost the name: {losers}")
         return objections
@@ -276,7 +276,7 @@
     def judge(self, trial: Trial) -> list[str]:
         """Notes when all agreed."""
         began_us = trial.processes.at(0.0)
-        early = [entry for entry in trial.history.of("joined") if entry.at_us < began_us]
+        early = [report for report in trial.history.of("joined") if report.at_us < began_us]
         trial.notes["joined_after_s"] = trial.agreed_s(trial.processes.at(self.seed_starts_s))
         objections = trial.false_failures()
         if early:
--- a/plankroute/testbed/processes.py
+++ b/plankroute/testbed/processes.py
@@ -19,7 +19,7 @@
 
 from plankroute.net.process.service import FEATURE_FILE_VARIABLE
 from plankroute.testbed.faults import SECOND, Act, Step
-from plankroute.testbed.history import Done, Entry, History
+from plankroute.testbed.history import Done, History, StatusReport
 from plankroute.testbed.links import Address, DatagramLinks, StreamLinks
 from plankroute.testbed.plan import JsonObject, Plan
 
@@ -322,10 +322,10 @@
         kind, _, change = str(line.get("event", "")).partition("_")
         subject = self.member_by_name.get(line.get("member", ""))
         if kind in ("member", "membership") and subject is not None:
-            entry = Entry(
+            report = StatusReport(
                 line["at_us"], observer, subject, change, line["life"], line["incarnation"]
             )
-            self.history.entries.append(entry)
+            self.history.reports.append(report)
 
     def has_logged(self, member: int, event: str, **details: object) -> bool:
         """Whether the newest lines of a member have such an event."""
@@ -339,7 +339,7 @@
         """Whether each of them was told of each other one, by whatever name it goes."""
         members = list(members)
         known = {
-            (entry.observer, entry.subject) for entry in self.history.of("joined", "recovered")
+            (report.observer, report.subject) for report in self.history.of("joined", "recovered")
         }
         return all(
             (one, self.member_by_name[self.name(other)]) in known
--- a/plankroute/testbed/scenario.py
+++ b/plankroute/testbed/scenario.py
@@ -39,7 +39,7 @@
 
     def failed_for_all(self, subjects: Iterable[int], observers: Iterable[int]) -> bool:
         """Whether each observer has reported that each subject failed."""
-        reported = {(entry.observer, entry.subject) for entry in self.history.of("failed")}
+        reported = {(report.observer, report.subject) for report in self.history.of("failed")}
         observers = list(observers)
         return all(
             (observer, subject) in reported
@@ -60,15 +60,15 @@
     def false_failures(self) -> list[str]:
         """Objections to reports of failure while the subject ran."""
         return [
-            f"{entry.observer} called {entry.subject} failed, which ran"
-            for entry in checkers.wrongly_gone(self.history)
+            f"{report.observer} called {report.subject} failed, which ran"
+            for report in checkers.wrongly_gone(self.history)
         ]
 
     def reported(self, *changes: str) -> list[str]:
         """Objections to all reports of these changes."""
         return [
-            f"{entry.observer}: {entry.change} of {entry.subject}"
-            for entry in self.history.of(*changes)
+            f"{report.observer}: {report.change} of {report.subject}"
+            for report in self.history.of(*changes)
         ]
 
 
--- a/plankroute/testbed/simulated_members.py
+++ b/plankroute/testbed/simulated_members.py
@@ -29,7 +29,7 @@
 )
 from plankroute.membership.records import MemberRecord
 from plankroute.testbed.faults import SECOND, Act, Script, Step
-from plankroute.testbed.history import Done, Entry, History
+from plankroute.testbed.history import Done, History, StatusReport
 
 ONE_WAY_US = 300  # between members where no rule says otherwise
 START_US = 100 * SECOND  # the monotonic clock at the start
@@ -286,7 +286,7 @@
             case WakeAt(until_us):
                 self.wake_at(member, until_us - START_US)
             case NotifyStatus(change, record):
-                entry = Entry(
+                report = StatusReport(
                     self.now,
                     member,
                     place_of(record.name),
@@ -294,7 +294,7 @@
                     record.instance_id,
                     record.incarnation,
                 )
-                self.history.entries.append(entry)
+                self.history.reports.append(report)
             case CountMetric(metric, amount):
                 self.counts[metric.value] += amount
             case LeaveCompleted():
