--- a/plankroute/testbed/checkers.py
+++ b/plankroute/testbed/checkers.py
@@ -25,14 +25,14 @@
     spans: list[Span] = []
     start_us = 0
     is_alive = True
-    for done in history.done:
-        if done.member != member:
+    for step in history.executed_steps:
+        if step.member != member:
             continue
-        if done.act in (Act.KILL.value, Act.LEAVE.value) and is_alive:
-            spans.append(Span(start_us, done.at_us))
+        if step.act in (Act.KILL.value, Act.LEAVE.value) and is_alive:
+            spans.append(Span(start_us, step.at_us))
             is_alive = False
-        elif done.act == Act.START.value:
-            start_us = done.at_us
+        elif step.act == Act.START.value:
+            start_us = step.at_us
             is_alive = True
     if is_alive:
         spans.append(Span(start_us, history.ends_us))
--- a/plankroute/testbed/cold_start_plays.py
+++ b/plankroute/testbed/cold_start_plays.py
@@ -156,7 +156,9 @@
     """Watchers fail by script while the list is handed out; a host begins to drain."""
     await asyncio.sleep(3.0)
     start.service.change(DRAINED_HOST, state="DRAINING")
-    killed = {done.member for done in start.processes.history.done if done.act == Act.KILL.value}
+    killed = {
+        step.member for step in start.processes.history.executed_steps if step.act == Act.KILL.value
+    }
     alive = [member for member in ALL if member not in killed]
     return await expect(
         start,
--- a/plankroute/testbed/history.py
+++ b/plankroute/testbed/history.py
@@ -26,7 +26,7 @@
     incarnation: int = 0
 
 
-class Done(msgspec.Struct, frozen=True):
+class ExecutedStep(msgspec.Struct, frozen=True):
     """Something that was done to a member.
 
     Attributes:
@@ -46,13 +46,13 @@
     Attributes:
         members: The size of the group.
         reports: What was reported, in order of time.
-        done: What was done, in order of time.
+        executed_steps: What was done, in order of time.
         ends_us: When the run ended.
     """
 
     members: int
     reports: list[StatusReport] = []
-    done: list[Done] = []
+    executed_steps: list[ExecutedStep] = []
     ends_us: int = 0
 
     def of(self, *changes: str) -> list[StatusReport]:
--- a/plankroute/testbed/membership_scenarios.py
+++ b/plankroute/testbed/membership_scenarios.py
@@ -89,7 +89,7 @@
 
     def judge(self, trial: Trial) -> list[str]:
         """Notes the number of pauses."""
-        acts = [done.act for done in trial.history.done]
+        acts = [step.act for step in trial.history.executed_steps]
         trial.notes["pauses"] = acts.count(Act.PAUSE.value)
         return trial.false_failures()
 
--- a/plankroute/testbed/processes.py
+++ b/plankroute/testbed/processes.py
@@ -19,7 +19,7 @@
 
 from plankroute.net.process.service import FEATURE_FILE_VARIABLE
 from plankroute.testbed.faults import SECOND, Act, Step
-from plankroute.testbed.history import Done, History, StatusReport
+from plankroute.testbed.history import ExecutedStep, History, StatusReport
 from plankroute.testbed.links import Address, DatagramLinks, StreamLinks
 from plankroute.testbed.plan import JsonObject, Plan
 
@@ -248,7 +248,7 @@
 
     async def do(self, step: Step) -> None:
         """Does a step of the script now."""
-        self.history.done.append(Done(self.now_us(), step.act.value, step.member))
+        self.history.executed_steps.append(ExecutedStep(self.now_us(), step.act.value, step.member))
         if step.act is Act.START:
             await self.start(step.member)
             return
--- a/plankroute/testbed/simulated_members.py
+++ b/plankroute/testbed/simulated_members.py
@@ -29,7 +29,7 @@
 )
 from plankroute.membership.records import MemberRecord
 from plankroute.testbed.faults import SECOND, Act, Script, Step
-from plankroute.testbed.history import Done, History, StatusReport
+from plankroute.testbed.history import ExecutedStep, History, StatusReport
 
 ONE_WAY_US = 300  # between members where no rule says otherwise
 START_US = 100 * SECOND  # the monotonic clock at the start
@@ -227,7 +227,7 @@
     def do(self, step: Step) -> None:
         """Does a step of the script."""
         member = step.member
-        self.history.done.append(Done(self.now, step.act.value, member))
+        self.history.executed_steps.append(ExecutedStep(self.now, step.act.value, member))
         match step.act:
             case Act.KILL:
                 self.cores[member] = None
