--- a/plankroute/testbed/checkers.py
+++ b/plankroute/testbed/checkers.py
@@ -54,7 +54,7 @@
     excused = set(excused)
     return [
         report
-        for report in history.of("failed")
+        for report in history.reports_of("failed")
         if report.subject not in excused
         and report.observer not in excused
         and was_alive(history, report.subject, report.at_us)
@@ -66,7 +66,7 @@
 ) -> dict[int, int | None]:
     """By survivor, how long after the kill it reported the change; None where it never did."""
     first: dict[int, int | None] = dict.fromkeys(survivors)
-    for report in history.of(change):
+    for report in history.reports_of(change):
         if report.subject != member or report.at_us < killed_us:
             continue
         if report.observer in first and first[report.observer] is None:
@@ -78,7 +78,7 @@
     """By observer and subject, how often the verdict changed in that time."""
     return Counter(
         (report.observer, report.subject)
-        for report in history.of(*VERDICTS)
+        for report in history.reports_of(*VERDICTS)
         if from_us <= report.at_us < until_us
     )
 
@@ -87,7 +87,7 @@
     """By observer and subject, the last verdict reported until then."""
     return {
         (report.observer, report.subject): report.change
-        for report in history.of(*VERDICTS)
+        for report in history.reports_of(*VERDICTS)
         if report.at_us <= at_us
     }
 
@@ -125,7 +125,7 @@
         if observer != subject and verdicts.get((observer, subject)) not in PRESENT
     }
     agreed_us: int | None = None if missing else 0
-    for report in history.of(*VERDICTS):
+    for report in history.reports_of(*VERDICTS):
         if report.at_us <= from_us or report.observer not in alive or report.subject not in alive:
             continue
         pair = report.observer, report.subject
@@ -144,7 +144,7 @@
     """Reports that a member is there while no process of its ran, nor had run shortly before."""
     return [
         report
-        for report in history.of(*PRESENT)
+        for report in history.reports_of(*PRESENT)
         if not any(
             span.start_us <= report.at_us < span.end_us + NEWS_ON_THEIR_WAY_US
             for span in lives(history, report.subject)
--- a/plankroute/testbed/history.py
+++ b/plankroute/testbed/history.py
@@ -55,6 +55,6 @@
     executed_steps: list[ExecutedStep] = []
     ends_us: int = 0
 
-    def of(self, *changes: str) -> list[StatusReport]:
+    def reports_of(self, *changes: str) -> list[StatusReport]:
         """The reports about these status changes."""
         return [report for report in self.reports if report.change in changes]
--- a/plankroute/testbed/membership_measurements.py
+++ b/plankroute/testbed/membership_measurements.py
@@ -202,7 +202,7 @@
     """
     failed: set[tuple[int, int]] = set()
     last_us = 0
-    for report in group.history.of("failed", "recovered"):
+    for report in group.history.reports_of("failed", "recovered"):
         pair = report.observer, report.subject
         if report.change == "failed":
             failed.add(pair)
--- a/plankroute/testbed/membership_scenarios.py
+++ b/plankroute/testbed/membership_scenarios.py
@@ -161,7 +161,7 @@
         ]
         objections += [
             f"{report.observer} called {report.subject} failed after the heal"
-            for report in trial.history.of("failed")
+            for report in trial.history.reports_of("failed")
             if report.at_us > healed_us + SECOND // 2
         ]
         objections += [
@@ -191,7 +191,7 @@
         """The instances of the member that an observer has seen."""
         return {
             report.life
-            for report in trial.history.of("joined")
+            for report in trial.history.reports_of("joined")
             if report.observer == observer and report.subject == SUBJECT
         }
 
@@ -209,7 +209,7 @@
 
     def is_over(self, trial: Trial) -> bool:
         """All others have reported that it left."""
-        observers = {report.observer for report in trial.history.of("left")}
+        observers = {report.observer for report in trial.history.reports_of("left")}
         return observers == set(trial.all_but(SUBJECT))
 
     def judge(self, trial: Trial) -> list[str]:
@@ -223,7 +223,7 @@
         objections = []
         if worst_us > SECOND:
             objections.append("a leave took over a second")
-        if trial.history.of("failed", "suspected"):
+        if trial.history.reports_of("failed", "suspected"):
             objections.append("a leave was counted as a failure")
         return objections
 
@@ -239,16 +239,18 @@
 
     def is_over(self, trial: Trial) -> bool:
         """All others have reported it, and one process has lost the name."""
-        observers = {report.observer for report in trial.history.of("duplicate_name")}
-        return observers >= set(trial.all_but(SUBJECT)) and bool(trial.history.of("name_lost"))
+        observers = {report.observer for report in trial.history.reports_of("duplicate_name")}
+        return observers >= set(trial.all_but(SUBJECT)) and bool(
+            trial.history.reports_of("name_lost")
+        )
 
     def judge(self, trial: Trial) -> list[str]:
         """All must settle on one instance, and the older process must lose the name."""
         objections = trial.reported("failed")
-        instances = {report.life for report in trial.history.of("duplicate_name")}
+        instances = {report.life for report in trial.history.reports_of("duplicate_name")}
         if len(instances) != 1:
             objections.append(f"settled on {len(instances)} instances")
-        losers = [report.observer for report in trial.history.of("name_lost")]
+        losers = [report.observer for report in trial.history.reports_of("name_lost")]
         if losers != [SUBJECT]:
             objections.append(f"lost the name: {losers}")
         return objections
@@ -276,7 +278,7 @@
     def judge(self, trial: Trial) -> list[str]:
         """Notes when all agreed."""
         began_us = trial.processes.at(0.0)
-        early = [report for report in trial.history.of("joined") if report.at_us < began_us]
+        early = [report for report in trial.history.reports_of("joined") if report.at_us < began_us]
         trial.notes["joined_after_s"] = trial.agreed_s(trial.processes.at(self.seed_starts_s))
         objections = trial.false_failures()
         if early:
--- a/plankroute/testbed/processes.py
+++ b/plankroute/testbed/processes.py
@@ -339,7 +339,8 @@
         """Whether each of them was told of each other one, by whatever name it goes."""
         members = list(members)
         known = {
-            (report.observer, report.subject) for report in self.history.of("joined", "recovered")
+            (report.observer, report.subject)
+            for report in self.history.reports_of("joined", "recovered")
         }
         return all(
             (one, self.member_by_name[self.name(other)]) in known
--- a/plankroute/testbed/scenario.py
+++ b/plankroute/testbed/scenario.py
@@ -39,7 +39,9 @@
 
     def failed_for_all(self, subjects: Iterable[int], observers: Iterable[int]) -> bool:
         """Whether each observer has reported that each subject failed."""
-        reported = {(report.observer, report.subject) for report in self.history.of("failed")}
+        reported = {
+            (report.observer, report.subject) for report in self.history.reports_of("failed")
+        }
         observers = list(observers)
         return all(
             (observer, subject) in reported
@@ -68,7 +70,7 @@
         """Objections to all reports of these changes."""
         return [
             f"{report.observer}: {report.change} of {report.subject}"
-            for report in self.history.of(*changes)
+            for report in self.history.reports_of(*changes)
         ]
 
 
--- a/tests/membership/test_group_under_faults.py
+++ b/tests/membership/test_group_under_faults.py
@@ -40,7 +40,7 @@
     ).run(45)
     times = detection_times_us(run, 11, 30, range(11))
     assert times[5] < 4 * SECOND and times[-1] < 8 * SECOND
-    assert {report.subject for report in run.history.of("failed")} == {11}
+    assert {report.subject for report in run.history.reports_of("failed")} == {11}
 
 
 def test_half_of_a_group_killed_at_once_is_detected() -> None:
@@ -81,7 +81,9 @@
     assert max(changes.values(), default=0) <= 1
     others = [member for member in range(12) if member != 3]
     assert not checkers.disagreeing(run.history, 39 * SECOND, others, range(12))
-    assert {report.subject for report in run.history.of("failed") if report.observer != 3} <= {3}
+    assert {
+        report.subject for report in run.history.reports_of("failed") if report.observer != 3
+    } <= {3}
     assert (
         agreement_us := checkers.agreed_after_us(run.history, 40 * SECOND, range(12))
     ) is not None
@@ -107,7 +109,7 @@
             for other in range(12)
             if one != other
         )
-    assert not [report for report in run.history.of("failed") if report.at_us > 40 * SECOND]
+    assert not [report for report in run.history.reports_of("failed") if report.at_us > 40 * SECOND]
     assert checkers.agreed_after_us(run.history, 40 * SECOND, range(12)) < 5 * SECOND
     assert not checkers.resurrected(run.history)
 
@@ -125,10 +127,16 @@
 def test_a_restart_is_a_new_instance_and_a_leave_is_no_failure() -> None:
     steps = (Step(20, Act.KILL, 5), Step(20.4, Act.START, 5), Step(30, Act.LEAVE, 6))
     run = make_group(8, steps=steps).run(45)
-    instance_ids = {report.life for report in run.history.of("joined") if report.subject == 5}
-    assert len(instance_ids) == 2 and not run.history.of("failed")
+    instance_ids = {
+        report.life for report in run.history.reports_of("joined") if report.subject == 5
+    }
+    assert len(instance_ids) == 2 and not run.history.reports_of("failed")
     assert (
-        max(leave_times_us := [report.at_us - 30 * SECOND for report in run.history.of("left")])
+        max(
+            leave_times_us := [
+                report.at_us - 30 * SECOND for report in run.history.reports_of("left")
+            ]
+        )
         < SECOND
     )
     assert len(leave_times_us) == 7
@@ -157,10 +165,16 @@
         return core
 
     run = make_group(6, make=make, start_s=12).run(40)
-    assert {report.observer for report in run.history.of("duplicate_name")} == {0, 1, 2, 3, 5}
-    assert [report.observer for report in run.history.of("name_lost")] == [4]
+    assert {report.observer for report in run.history.reports_of("duplicate_name")} == {
+        0,
+        1,
+        2,
+        3,
+        5,
+    }
+    assert [report.observer for report in run.history.reports_of("name_lost")] == [4]
     assert {
         run.cores[at].table.record_at(run.cores[at].table.index_by_name[name_of(4)]).instance_id
         for at in (0, 1, 2, 3, 5)
     } == {(4 << 16) + 99}
-    assert not run.history.of("failed")
+    assert not run.history.reports_of("failed")
