--- a/plankroute/testbed/history.py
+++ b/plankroute/testbed/history.py
@@ -14,7 +14,7 @@
         observer: The member that reported it, by its place in the group.
         subject: The member it is about.
         change: The status change, as the log event names it.
-        life: The instance id of the subject's process.
+        instance_id: The instance id of the subject's process.
         incarnation: The subject's incarnation.
     """
 
@@ -22,7 +22,7 @@
     observer: int
     subject: int
     change: str
-    life: int = 0
+    instance_id: int = 0
     incarnation: int = 0
 
 
--- a/plankroute/testbed/membership_scenarios.py
+++ b/plankroute/testbed/membership_scenarios.py
@@ -190,7 +190,7 @@
     def instances(self, trial: Trial, observer: int) -> set[int]:
         """The instances of the member that an observer has seen."""
         return {
-            report.life
+            report.instance_id
             for report in trial.history.reports_of("joined")
             if report.observer == observer and report.subject == SUBJECT
         }
@@ -247,7 +247,7 @@
     def judge(self, trial: Trial) -> list[str]:
         """All must settle on one instance, and the older process must lose the name."""
         objections = trial.reported("failed")
-        instances = {report.life for report in trial.history.reports_of("duplicate_name")}
+        instances = {report.instance_id for report in trial.history.reports_of("duplicate_name")}
         if len(instances) != 1:
             objections.append(f"settled on {len(instances)} instances")
         losers = [report.observer for report in trial.history.reports_of("name_lost")]
--- a/tests/membership/test_group_under_faults.py
+++ b/tests/membership/test_group_under_faults.py
@@ -128,7 +128,7 @@
     steps = (Step(20, Act.KILL, 5), Step(20.4, Act.START, 5), Step(30, Act.LEAVE, 6))
     run = make_group(8, steps=steps).run(45)
     instance_ids = {
-        report.life for report in run.history.reports_of("joined") if report.subject == 5
+        report.instance_id for report in run.history.reports_of("joined") if report.subject == 5
     }
     assert len(instance_ids) == 2 and not run.history.reports_of("failed")
     assert (
