--- a/plankroute/testbed/heartbeats.py
+++ b/plankroute/testbed/heartbeats.py
@@ -27,11 +27,11 @@
 class Heartbeats:
     """Everybody sends everybody a heartbeat each second; three seconds of silence are a verdict."""
 
-    def __init__(self, member: int, members: int, life: int) -> None:
+    def __init__(self, member: int, members: int, process_number: int) -> None:
         self.member = member
         self.records = records_of(members)
         self.own_record = msgspec.structs.replace(
-            self.records[member], incarnation=WALL_US + life, instance_id=life
+            self.records[member], incarnation=WALL_US + process_number, instance_id=process_number
         )
         self.member_by_name = {record.name: place for place, record in enumerate(self.records)}
         self.heard_us: list[int] | None = None  # by member; None: nothing has been delivered
--- a/plankroute/testbed/membership_measurements.py
+++ b/plankroute/testbed/membership_measurements.py
@@ -74,27 +74,31 @@
 
 
 def make_plankroute(
-    members: int, member: int, life: int, seed: int, seeds: tuple[str, ...]
+    members: int, member: int, process_number: int, seed: int, seeds: tuple[str, ...]
 ) -> Core:
     """The detector that controllers run."""
-    return plankroute_member(member, life, seed, seeds)
+    return plankroute_member(member, process_number, seed, seeds)
 
 
 def make_heartbeats(
-    members: int, member: int, life: int, seed: int, seeds: tuple[str, ...]
+    members: int, member: int, process_number: int, seed: int, seeds: tuple[str, ...]
 ) -> Core:
     """All-to-all heartbeats."""
-    return Heartbeats(member, members, life)
+    return Heartbeats(member, members, process_number)
 
 
-def make_swim(members: int, member: int, life: int, seed: int, seeds: tuple[str, ...]) -> Core:
+def make_swim(
+    members: int, member: int, process_number: int, seed: int, seeds: tuple[str, ...]
+) -> Core:
     """SWIM with suspicion."""
-    return Swim(member, members, life, seed, lifeguard=False)
+    return Swim(member, members, process_number, seed, lifeguard=False)
 
 
-def make_lifeguard(members: int, member: int, life: int, seed: int, seeds: tuple[str, ...]) -> Core:
+def make_lifeguard(
+    members: int, member: int, process_number: int, seed: int, seeds: tuple[str, ...]
+) -> Core:
     """SWIM with Lifeguard."""
-    return Swim(member, members, life, seed, lifeguard=True)
+    return Swim(member, members, process_number, seed, lifeguard=True)
 
 
 WAYS: dict[str, WayMaker] = {
--- a/plankroute/testbed/simulated_members.py
+++ b/plankroute/testbed/simulated_members.py
@@ -52,12 +52,14 @@
 class Maker(Protocol):
     """Makes the core of a member's next process."""
 
-    def __call__(self, member: int, life: int, seed: int, seeds: tuple[str, ...], /) -> Core:
+    def __call__(
+        self, member: int, process_number: int, seed: int, seeds: tuple[str, ...], /
+    ) -> Core:
         """A core.
 
         Args:
             member: The member's place.
-            life: Which of its processes it is, from 1.
+            process_number: Which of its processes it is, from 1.
             seed: The seed of the run.
             seeds: Addresses of the members that it asks at its start.
         """
@@ -92,7 +94,9 @@
     ]
 
 
-def plankroute_member(member: int, life: int, seed: int, seeds: tuple[str, ...]) -> Membership:
+def plankroute_member(
+    member: int, process_number: int, seed: int, seeds: tuple[str, ...]
+) -> Membership:
     """The core that controllers run; see `Maker`."""
     facts = MemberFacts(
         name_of(member),
@@ -106,16 +110,16 @@
     )
     return Membership(
         facts,
-        seed * 100_003 + member * 31 + life,
-        instance_of(member, life),
-        WALL_US + life,
+        seed * 100_003 + member * 31 + process_number,
+        instance_of(member, process_number),
+        WALL_US + process_number,
         CODEC.record_size,
     )
 
 
-def instance_of(member: int, life: int) -> int:
+def instance_of(member: int, process_number: int) -> int:
     """The instance id of a member's process."""
-    return (member << 16) + life
+    return (member << 16) + process_number
 
 
 class Group:
@@ -160,7 +164,7 @@
         self.seeds = tuple(address_of(member) for member in range(min(seeds, members)))
         self.history = History(members)
         self.cores: list[Core | None] = [None] * members
-        self.lives = [0] * members
+        self.process_counts = [0] * members
         self.paused = [False] * members
         self.received_in_pause: list[list[MessageReceived]] = [[] for _ in range(members)]
         self.tick_due_us = [0] * members
@@ -199,12 +203,12 @@
 
     def start(self, member: int) -> None:
         """Starts a member's next process."""
-        self.lives[member] += 1
-        self.cores[member] = self.make(member, self.lives[member], self.seed, self.seeds)
+        self.process_counts[member] += 1
+        self.cores[member] = self.make(member, self.process_counts[member], self.seed, self.seeds)
         self.received_in_pause[member] = []
         self.paused[member] = False
         self.tick_due_us[member] = 0
-        is_first = self.lives[member] == 1
+        is_first = self.process_counts[member] == 1
         if self.known and is_first:
             view = ViewExchange(self.all_others(member))
             self.deliver(member, MessageReceived(address_of(member), view))
--- a/plankroute/testbed/swim.py
+++ b/plankroute/testbed/swim.py
@@ -81,10 +81,12 @@
     suspicion's timeout shrinks with each confirmation, and a suspected member is told in a ping.
     """
 
-    def __init__(self, member: int, members: int, life: int, seed: int, lifeguard: bool) -> None:
+    def __init__(
+        self, member: int, members: int, process_number: int, seed: int, lifeguard: bool
+    ) -> None:
         records = records_of(members)
         own_record = msgspec.structs.replace(
-            records[member], instance_id=life, incarnation=WALL_US + life - 1
+            records[member], instance_id=process_number, incarnation=WALL_US + process_number - 1
         )
         self.table = MemberTable(own_record)
         for record in records[:member] + records[member + 1 :]:
--- a/tests/membership/test_group_under_faults.py
+++ b/tests/membership/test_group_under_faults.py
@@ -155,8 +155,8 @@
     The second process has its own address. Each process claims the name at most once.
     """
 
-    def make(member: int, life: int, seed: int, seeds: tuple[str, ...]) -> Membership:
-        core = plankroute_member(member, life, seed, seeds)
+    def make(member: int, process_number: int, seed: int, seeds: tuple[str, ...]) -> Membership:
+        core = plankroute_member(member, process_number, seed, seeds)
         if member == 5:  # has the name of member 4
             core = plankroute_member(4, 99, seed + 7, seeds)
             core.table.store(
--- a/tests/membership/test_membership_golden.py
+++ b/tests/membership/test_membership_golden.py
@@ -123,10 +123,10 @@
 
 
 def make_member_with_duplicate_name(
-    member: int, life: int, seed: int, seeds: tuple[str, ...]
+    member: int, process_number: int, seed: int, seeds: tuple[str, ...]
 ) -> Core:
     """Member 5 starts with the name of member 4, but at its own address."""
-    core = plankroute_member(member, life, seed, seeds)
+    core = plankroute_member(member, process_number, seed, seeds)
     if member == 5:
         core = plankroute_member(4, 99, seed + 7, seeds)
         core.table.store(0, msgspec.structs.replace(core.table.own_record(), address=address_of(5)))
