--- a/plankroute/testbed/checkers.py
+++ b/plankroute/testbed/checkers.py
@@ -44,7 +44,7 @@
     return any(span.start_us <= at_us < span.end_us for span in lives(history, member))
 
 
-def wrongly_gone(history: History, excused: Iterable[int] = ()) -> list[StatusReport]:
+def false_failure_reports(history: History, excused: Iterable[int] = ()) -> list[StatusReport]:
     """Reports of failure while the subject's process ran.
 
     Args:
--- a/plankroute/testbed/membership_measurements.py
+++ b/plankroute/testbed/membership_measurements.py
@@ -148,14 +148,14 @@
     return {
         "times_us": known_times(times),
         "missed": times.count(None),
-        "wrong": len(checkers.wrongly_gone(group.history)),
+        "wrong": len(checkers.false_failure_reports(group.history)),
     }
 
 
 def lossy(job: Job) -> Figures:
     """A share of all datagrams is lost, and nobody fails."""
     group = group_of(job, Rule(loss=LOSS)).run(job.seconds)
-    wrong = checkers.wrongly_gone(group.history)
+    wrong = checkers.false_failure_reports(group.history)
     return {
         "wrong": len(wrong),
         "wrong_members": failed_instances(wrong),
@@ -175,7 +175,7 @@
     group = group_of(job, steps=steps).run(CALM_S + 50)
     detected = checkers.detection_us(group.history, victim, int(kill_s * SECOND), range(victim))
     times = list(detected.values())
-    wrong = checkers.wrongly_gone(group.history)
+    wrong = checkers.false_failure_reports(group.history)
     return {
         "wrong": len(wrong),
         "wrong_members": failed_instances(wrong),
--- a/plankroute/testbed/scenario.py
+++ b/plankroute/testbed/scenario.py
@@ -63,7 +63,7 @@
         """Objections to reports of failure while the subject ran."""
         return [
             f"{report.observer} called {report.subject} failed, which ran"
-            for report in checkers.wrongly_gone(self.history)
+            for report in checkers.false_failure_reports(self.history)
         ]
 
     def reported(self, *changes: str) -> list[str]:
--- a/tests/membership/test_group_under_faults.py
+++ b/tests/membership/test_group_under_faults.py
@@ -50,14 +50,16 @@
         max(detection_times_us(run, member, 20, range(6))[-1] for member in range(6, 12))
         < 8 * SECOND
     )
-    assert not checkers.wrongly_gone(run.history)
+    assert not checkers.false_failure_reports(run.history)
 
 
 def test_pauses_of_most_members_cause_no_false_failure() -> None:
     """Guards against a member that counts a pause of its own process as the silence of others."""
     steps = *pauses(tuple(range(2, 15)), 15, 54, seed=3), Step(35, Act.KILL, 15)
     run = make_group(16, steps=steps, seed=3).run(70)
-    assert not checkers.wrongly_gone(run.history) and detection_times_us(run, 15, 35, range(15))
+    assert not checkers.false_failure_reports(run.history) and detection_times_us(
+        run, 15, 35, range(15)
+    )
 
 
 @pytest.mark.parametrize(
@@ -119,7 +121,7 @@
         12, Rule(delay_ms=300, late_share=0.1, late_ms=2000), steps=(Step(40, Act.KILL, 11),)
     ).run(55)
     assert (
-        not checkers.wrongly_gone(run.history)
+        not checkers.false_failure_reports(run.history)
         and detection_times_us(run, 11, 40, range(11))[-1] < 8 * SECOND
     )
 
