--- a/plankroute/testbed/checkers.py
+++ b/plankroute/testbed/checkers.py
@@ -83,7 +83,7 @@
     )
 
 
-def standing_at(history: History, at_us: int) -> dict[tuple[int, int], str]:
+def verdicts_at(history: History, at_us: int) -> dict[tuple[int, int], str]:
     """By observer and subject, the last verdict reported until then."""
     return {
         (report.observer, report.subject): report.change
@@ -96,7 +96,7 @@
     history: History, at_us: int, observers: Iterable[int], subjects: Iterable[int]
 ) -> list[int]:
     """Subjects on whom the observers disagree at that time: there, or not there."""
-    verdicts = standing_at(history, at_us)
+    verdicts = verdicts_at(history, at_us)
     observers = list(observers)
     disagreed: list[int] = []
     for subject in subjects:
@@ -117,7 +117,7 @@
         Microseconds; None: they did not at the end.
     """
     alive = set(alive)
-    verdicts = standing_at(history, from_us)
+    verdicts = verdicts_at(history, from_us)
     missing = {
         (observer, subject)
         for observer in alive
--- a/plankroute/testbed/membership_scenarios.py
+++ b/plankroute/testbed/membership_scenarios.py
@@ -151,7 +151,7 @@
     def judge(self, trial: Trial) -> list[str]:
         """Notes how many were called failed, and when all agreed."""
         healed_us = trial.processes.at(CUT_UNTIL_S)
-        verdicts = checkers.standing_at(trial.history, healed_us)
+        verdicts = checkers.verdicts_at(trial.history, healed_us)
         objections = [
             f"{observer} calls {subject} failed, of its own part"
             for part in self.parts(trial.members)
--- a/tests/membership/test_group_under_faults.py
+++ b/tests/membership/test_group_under_faults.py
@@ -103,7 +103,7 @@
     They name members that this side never suspected, and that can refute the reports.
     """
     run = make_group(12, *partition(parts, 20, 40)).run(60)
-    verdicts = checkers.standing_at(run.history, 39 * SECOND)
+    verdicts = checkers.verdicts_at(run.history, 39 * SECOND)
     for part in parts:
         assert all(
             verdicts[one, other] == ("joined" if other in part else "failed")
