--- a/plankroute/testbed/checkers.py
+++ b/plankroute/testbed/checkers.py
@@ -92,7 +92,7 @@
     }
 
 
-def disagreeing(
+def disputed_subjects(
     history: History, at_us: int, observers: Iterable[int], subjects: Iterable[int]
 ) -> list[int]:
     """Subjects on whom the observers disagree at that time: there, or not there."""
--- a/plankroute/testbed/membership_scenarios.py
+++ b/plankroute/testbed/membership_scenarios.py
@@ -123,7 +123,7 @@
             f"{pair} changed {times} times" for pair, times in changes.items() if times > 1
         ]
         others = trial.all_but(CUT_MEMBER)
-        disagreed = checkers.disagreeing(history, until_us, others, range(trial.members))
+        disagreed = checkers.disputed_subjects(history, until_us, others, range(trial.members))
         objections += [f"not agreed on {subject}" for subject in disagreed]
         called_failed = sorted({subject for observer, subject in changes if observer != CUT_MEMBER})
         allowed = [[], [CUT_MEMBER]] if self.may_fail else [[]]
--- a/tests/membership/test_group_under_faults.py
+++ b/tests/membership/test_group_under_faults.py
@@ -82,7 +82,7 @@
     changes = checkers.verdict_changes(run.history, 20 * SECOND, 40 * SECOND)
     assert max(changes.values(), default=0) <= 1
     others = [member for member in range(12) if member != 3]
-    assert not checkers.disagreeing(run.history, 39 * SECOND, others, range(12))
+    assert not checkers.disputed_subjects(run.history, 39 * SECOND, others, range(12))
     assert {
         report.subject for report in run.history.reports_of("failed") if report.observer != 3
     } <= {3}
