--- a/plankroute/testbed/checkers.py
+++ b/plankroute/testbed/checkers.py
@@ -140,7 +140,7 @@
     return agreed_us
 
 
-def resurrected(history: History) -> list[StatusReport]:
+def stale_presence_reports(history: History) -> list[StatusReport]:
     """Reports that a member is there while no process of its ran, nor had run shortly before."""
     return [
         report
--- a/plankroute/testbed/membership_scenarios.py
+++ b/plankroute/testbed/membership_scenarios.py
@@ -165,7 +165,8 @@
             if report.at_us > healed_us + SECOND // 2
         ]
         objections += [
-            f"{report.subject} was brought back" for report in checkers.resurrected(trial.history)
+            f"{report.subject} was brought back"
+            for report in checkers.stale_presence_reports(trial.history)
         ]
         trial.notes["called_gone"] = list(verdicts.values()).count("failed")
         trial.notes["agreed_after_s"] = trial.agreed_s(healed_us)
--- a/tests/membership/test_group_under_faults.py
+++ b/tests/membership/test_group_under_faults.py
@@ -113,7 +113,7 @@
         )
     assert not [report for report in run.history.reports_of("failed") if report.at_us > 40 * SECOND]
     assert checkers.agreed_after_us(run.history, 40 * SECOND, range(12)) < 5 * SECOND
-    assert not checkers.resurrected(run.history)
+    assert not checkers.stale_presence_reports(run.history)
 
 
 def test_slow_links_cause_no_false_failure() -> None:
