--- a/plankroute/testbed/fleet_rules.py
+++ b/plankroute/testbed/fleet_rules.py
@@ -50,8 +50,8 @@
 
 
 @dataclass(slots=True)
-class Breaks:
-    """Breaks of rules.
+class RuleViolations:
+    """RuleViolations of rules.
 
     Attributes:
         counts: How often each was seen, once a look and proxy or host.
@@ -71,7 +71,7 @@
     """Looks at all proxies and channels, again and again.
 
     Attributes:
-        breaks: What was broken.
+        violations: What was broken.
         removed_s: By host that drains or is gone, when that was told.
         started_s: By ready host, when it started.
         longest_use_s: The longest that a removed host stayed in use.
@@ -83,7 +83,7 @@
         self.times = times
         self.proxies = proxies
         self.channels = channels
-        self.breaks = Breaks()
+        self.violations = RuleViolations()
         self.removed_s: dict[str, float] = {}
         self.started_s: dict[str, float] = {}
         self.longest_use_s = 0.0
@@ -116,7 +116,7 @@
             self._look_at_drains(proxy, usable, now_s)
             self._look_at_hosts_left(proxy, bool(usable) or not has_warm_host, now_s)
             if not proxy.retry_policies <= SAFE_RETRY_POLICIES:
-                self.breaks.add(RuleName.DUPLICATE, f"proxy {proxy.number}")
+                self.violations.add(RuleName.DUPLICATE, f"proxy {proxy.number}")
         self._look_at_cold_hosts(load, now_s)
         self._look_at_channels()
 
@@ -126,14 +126,14 @@
             self.longest_use_s = max(self.longest_use_s, used_s)
             if used_s > self.times.drain_grace_s + RULE_SLACK_S:
                 what = f"proxy {proxy.number} uses {host} {used_s:.2f} s after it was told"
-                self.breaks.add(RuleName.DRAIN, what)
+                self.violations.add(RuleName.DRAIN, what)
 
     def _look_at_hosts_left(self, proxy: RoamingProxy, is_served: bool, now_s: float) -> None:
         if is_served:
             self._served_s[proxy.number] = now_s
         unserved_s = now_s - self._served_s.setdefault(proxy.number, now_s)
         if unserved_s > self.times.max_unbound_s + RULE_SLACK_S:
-            self.breaks.add(RuleName.LOST, f"proxy {proxy.number} for {unserved_s:.2f} s")
+            self.violations.add(RuleName.LOST, f"proxy {proxy.number} for {unserved_s:.2f} s")
 
     def _look_at_cold_hosts(self, load: dict[str, float], now_s: float) -> None:
         times = self.times
@@ -147,10 +147,10 @@
             overloaded_s = now_s - self._overloaded_s.setdefault(host, now_s)
             if overloaded_s > times.overload_window_s + RULE_SLACK_S:
                 what = f"{host} gets {load[host]:.0f}/s, bears {borne:.0f}/s"
-                self.breaks.add(RuleName.OVERLOAD, what)
+                self.violations.add(RuleName.OVERLOAD, what)
 
     def _look_at_channels(self) -> None:
         for controller, channel in enumerate(self.channels):
             if channel.waiting_lines() > self.times.backlog_cap:
                 what = f"controller {controller}: {channel.waiting_lines():.0f} lines"
-                self.breaks.add(RuleName.BACKLOG, what)
+                self.violations.add(RuleName.BACKLOG, what)
--- a/plankroute/testbed/soak.py
+++ b/plankroute/testbed/soak.py
@@ -1,7 +1,7 @@
 """A soak: real controllers under signals, kills, releases and floods drawn from a seed.
 
 Judged are the operators' rules, starts, ends, logs, memory and descriptors. Nothing is repeated
-until it passes: a seed that breaks is reported with the command that plays it again.
+until it passes: a seed that violations is reported with the command that plays it again.
 """
 
 import asyncio
@@ -188,7 +188,7 @@
         return SoakResult(
             self.seed,
             self.faults,
-            {rule.name.lower(): what for rule, what in rules.breaks.first.items()},
+            {rule.name.lower(): what for rule, what in rules.violations.first.items()},
             self.problems,
             round(rules.longest_use_s, 3),
             round(self.slowest_start_s, 3),
--- a/tests/testbed/test_fleet_rules.py
+++ b/tests/testbed/test_fleet_rules.py
@@ -36,7 +36,7 @@
 def looks(rules: FleetRules, *times_s: float) -> set[RuleName]:
     for time_s in times_s:
         rules.look(time_s)
-    return set(rules.breaks.first)
+    return set(rules.violations.first)
 
 
 def test_a_removed_host_in_use_breaks_drain_after_the_grace_and_its_slack() -> None:
@@ -44,10 +44,10 @@
     rules.host_removed("h1", 50.0)  # before the proxy joined: its own time runs from there
     assert not looks(rules, 103.2)
     assert looks(rules, 103.4) == {RuleName.DRAIN}
-    assert rules.breaks.counts[RuleName.DRAIN] == 1
+    assert rules.violations.counts[RuleName.DRAIN] == 1
     proxy.drained.add("h1")
     looks(rules, 110.0)
-    assert rules.breaks.counts[RuleName.DRAIN] == 1
+    assert rules.violations.counts[RuleName.DRAIN] == 1
 
 
 def test_a_proxy_without_a_host_breaks_lost_where_a_warm_host_is_ready() -> None:
--- a/tests/testbed/test_mass_kills.py
+++ b/tests/testbed/test_mass_kills.py
@@ -55,5 +55,5 @@
         return stage
 
     stage = asyncio.run(run())
-    assert not stage.rules.breaks.first
+    assert not stage.rules.violations.first
     assert stage.rules.longest_use_s > 0.0  # the judge has seen hosts that drain in use
