--- a/plankroute/testbed/fleet_rules.py
+++ b/plankroute/testbed/fleet_rules.py
@@ -100,7 +100,7 @@
         self.removed_s.setdefault(host, now_s)
         self.started_s.pop(host, None)
 
-    def look(self, now_s: float) -> None:
+    def check(self, now_s: float) -> None:
         """Judges what holds now, on the clock of the proxies' loop."""
         has_warm_host = any(
             now_s - started_s >= self.times.warmup_s for started_s in self.started_s.values()
@@ -113,14 +113,14 @@
             if proxy.controller is None:
                 self._served_s.pop(proxy.number, None)
                 continue
-            self._look_at_drains(proxy, usable, now_s)
-            self._look_at_hosts_left(proxy, bool(usable) or not has_warm_host, now_s)
+            self._check_drain(proxy, usable, now_s)
+            self._check_unbound_time(proxy, bool(usable) or not has_warm_host, now_s)
             if not proxy.retry_policies <= SAFE_RETRY_POLICIES:
                 self.violations.add(RuleName.DUPLICATE, f"proxy {proxy.number}")
-        self._look_at_cold_hosts(load, now_s)
-        self._look_at_channels()
+        self._check_overload(load, now_s)
+        self._check_backlog()
 
-    def _look_at_drains(self, proxy: RoamingProxy, usable: set[str], now_s: float) -> None:
+    def _check_drain(self, proxy: RoamingProxy, usable: set[str], now_s: float) -> None:
         for host in usable & self.removed_s.keys():
             used_s = now_s - max(self.removed_s[host], proxy.joined_s)
             self.longest_use_s = max(self.longest_use_s, used_s)
@@ -128,14 +128,14 @@
                 what = f"proxy {proxy.number} uses {host} {used_s:.2f} s after it was told"
                 self.violations.add(RuleName.DRAIN, what)
 
-    def _look_at_hosts_left(self, proxy: RoamingProxy, is_served: bool, now_s: float) -> None:
+    def _check_unbound_time(self, proxy: RoamingProxy, is_served: bool, now_s: float) -> None:
         if is_served:
             self._served_s[proxy.number] = now_s
         unserved_s = now_s - self._served_s.setdefault(proxy.number, now_s)
         if unserved_s > self.times.max_unbound_s + RULE_SLACK_S:
             self.violations.add(RuleName.LOST, f"proxy {proxy.number} for {unserved_s:.2f} s")
 
-    def _look_at_cold_hosts(self, load: dict[str, float], now_s: float) -> None:
+    def _check_overload(self, load: dict[str, float], now_s: float) -> None:
         times = self.times
         for host, started_s in self.started_s.items():
             warm_part = min(1.0, (now_s - started_s) / times.warmup_s)
@@ -149,7 +149,7 @@
                 what = f"{host} gets {load[host]:.0f}/s, bears {borne:.0f}/s"
                 self.violations.add(RuleName.OVERLOAD, what)
 
-    def _look_at_channels(self) -> None:
+    def _check_backlog(self) -> None:
         for controller, channel in enumerate(self.channels):
             if channel.waiting_lines() > self.times.backlog_cap:
                 what = f"controller {controller}: {channel.waiting_lines():.0f} lines"
--- a/plankroute/testbed/fleet_stage.py
+++ b/plankroute/testbed/fleet_stage.py
@@ -266,5 +266,5 @@
     async def _judge(self) -> None:
         loop = asyncio.get_running_loop()
         while True:
-            self.rules.look(loop.time())
+            self.rules.check(loop.time())
             await asyncio.sleep(LOOK_INTERVAL_S)
--- a/tests/testbed/test_fleet_rules.py
+++ b/tests/testbed/test_fleet_rules.py
@@ -35,7 +35,7 @@
 
 def looks(rules: FleetRules, *times_s: float) -> set[RuleName]:
     for time_s in times_s:
-        rules.look(time_s)
+        rules.check(time_s)
     return set(rules.violations.first)
 
 
