--- a/plankroute/testbed/fleet_rules.py
+++ b/plankroute/testbed/fleet_rules.py
@@ -23,7 +23,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class RuleTimes:
+class RuleParameters:
     """Figures of the rules, as the settings state them.
 
     Attributes:
@@ -78,9 +78,12 @@
     """
 
     def __init__(
-        self, times: RuleTimes, proxies: Sequence[RoamingProxy], channels: Sequence[PacedChannel]
+        self,
+        parameters: RuleParameters,
+        proxies: Sequence[RoamingProxy],
+        channels: Sequence[PacedChannel],
     ) -> None:
-        self.times = times
+        self.parameters = parameters
         self.proxies = proxies
         self.channels = channels
         self.violations = RuleViolations()
@@ -103,13 +106,13 @@
     def check(self, now_s: float) -> None:
         """Judges what holds now, on the clock of the proxies' loop."""
         has_warm_host = any(
-            now_s - started_s >= self.times.warmup_s for started_s in self.started_s.values()
+            now_s - started_s >= self.parameters.warmup_s for started_s in self.started_s.values()
         )
         load: dict[str, float] = {}
         for proxy in self.proxies:
             usable = proxy.usable_hosts()
             for host, share in proxy.shares().items():
-                load[host] = load.get(host, 0.0) + share * self.times.proxy_rate
+                load[host] = load.get(host, 0.0) + share * self.parameters.proxy_rate
             if proxy.controller is None:
                 self._served_s.pop(proxy.number, None)
                 continue
@@ -124,7 +127,7 @@
         for host in usable & self.removed_s.keys():
             used_s = now_s - max(self.removed_s[host], proxy.joined_s)
             self.longest_use_s = max(self.longest_use_s, used_s)
-            if used_s > self.times.drain_grace_s + RULE_SLACK_S:
+            if used_s > self.parameters.drain_grace_s + RULE_SLACK_S:
                 what = f"proxy {proxy.number} uses {host} {used_s:.2f} s after it was told"
                 self.violations.add(RuleName.DRAIN, what)
 
@@ -132,25 +135,25 @@
         if is_served:
             self._served_s[proxy.number] = now_s
         unserved_s = now_s - self._served_s.setdefault(proxy.number, now_s)
-        if unserved_s > self.times.max_unbound_s + RULE_SLACK_S:
+        if unserved_s > self.parameters.max_unbound_s + RULE_SLACK_S:
             self.violations.add(RuleName.LOST, f"proxy {proxy.number} for {unserved_s:.2f} s")
 
     def _check_overload(self, load: dict[str, float], now_s: float) -> None:
-        times = self.times
+        parameters = self.parameters
         for host, started_s in self.started_s.items():
-            warm_part = min(1.0, (now_s - started_s) / times.warmup_s)
-            capacity_part = times.start_capacity + (1 - times.start_capacity) * warm_part
-            borne = times.overload_multiple * capacity_part * times.host_capacity
+            warm_part = min(1.0, (now_s - started_s) / parameters.warmup_s)
+            capacity_part = parameters.start_capacity + (1 - parameters.start_capacity) * warm_part
+            borne = parameters.overload_multiple * capacity_part * parameters.host_capacity
             if warm_part >= 1 or load.get(host, 0.0) <= borne:
                 self._overloaded_s.pop(host, None)
                 continue
             overloaded_s = now_s - self._overloaded_s.setdefault(host, now_s)
-            if overloaded_s > times.overload_window_s + RULE_SLACK_S:
+            if overloaded_s > parameters.overload_window_s + RULE_SLACK_S:
                 what = f"{host} gets {load[host]:.0f}/s, bears {borne:.0f}/s"
                 self.violations.add(RuleName.OVERLOAD, what)
 
     def _check_backlog(self) -> None:
         for controller, channel in enumerate(self.channels):
-            if channel.waiting_lines() > self.times.backlog_cap:
+            if channel.waiting_lines() > self.parameters.backlog_cap:
                 what = f"controller {controller}: {channel.waiting_lines():.0f} lines"
                 self.violations.add(RuleName.BACKLOG, what)
--- a/plankroute/testbed/fleet_stage.py
+++ b/plankroute/testbed/fleet_stage.py
@@ -13,7 +13,7 @@
 
 from plankroute.testbed.faults import Act, Script, Step
 from plankroute.testbed.fleet_collector import report_forever
-from plankroute.testbed.fleet_rules import RULE_SLACK_S, FleetRules, RuleTimes
+from plankroute.testbed.fleet_rules import RULE_SLACK_S, FleetRules, RuleParameters
 from plankroute.testbed.hosts import StubHosts
 from plankroute.testbed.links import Address
 from plankroute.testbed.list_service import Behaviour, StubDiscovery, target
@@ -96,9 +96,9 @@
             "report": {"fields": ["rif"], "via": "piggyback"},
         }
 
-    def rule_times(self) -> RuleTimes:
+    def rule_parameters(self) -> RuleParameters:
         """Returns the figures of the rules."""
-        return RuleTimes(
+        return RuleParameters(
             drain_grace_s=self.drain_grace_s,
             max_unbound_s=self.max_unbound_s,
             warmup_s=self.warmup_s,
@@ -143,7 +143,7 @@
         self.addresses: list[Address] = []
         self.ended_hosts: set[str] = set()
         self._proxy_seeds = [rng.randrange(1 << 32) for _ in range(size.proxies)]
-        self.rules = FleetRules(size.rule_times(), self.proxies, self.channels)
+        self.rules = FleetRules(size.rule_parameters(), self.proxies, self.channels)
         self._tasks: set[asyncio.Task[None]] = set()
 
     async def open(self) -> None:
--- a/tests/testbed/test_fleet_rules.py
+++ b/tests/testbed/test_fleet_rules.py
@@ -3,11 +3,11 @@
 import asyncio
 import random
 
-from plankroute.testbed.fleet_rules import FleetRules, RuleName, RuleTimes
+from plankroute.testbed.fleet_rules import FleetRules, RuleName, RuleParameters
 from plankroute.testbed.paced_channel import PacedChannel, QueuedMessage
 from plankroute.testbed.roaming_proxies import RoamingProxy, line_count
 
-TIMES = RuleTimes(
+PARAMETERS = RuleParameters(
     drain_grace_s=3.0,
     max_unbound_s=5.0,
     warmup_s=10.0,
@@ -27,7 +27,7 @@
     proxy.controller = 0
     proxy.joined_s = 100.0
     proxy.weights = dict.fromkeys(hosts, 1.0)
-    rules = FleetRules(TIMES, [proxy], [channel])
+    rules = FleetRules(PARAMETERS, [proxy], [channel])
     for host in hosts:
         rules.host_started(host, 0.0)
     return rules, proxy, channel
