--- a/plankroute/testbed/cold_host_load.py
+++ b/plankroute/testbed/cold_host_load.py
@@ -20,20 +20,23 @@
     """How a host warms up, as the platform's settings state it.
 
     Attributes:
-        share: Share of its full capacity that a host has at its start.
-        cold_s: Seconds until it is warm.
-        multiple: No host may get more than this multiple of its present capacity over the window.
-        window_s: The window, in seconds.
+        start_capacity: Share of its full capacity that a host has at its start.
+        warmup_s: Seconds until it is warm.
+        overload_multiple: No host may get more than this multiple of its present capacity over
+            the window.
+        overload_window_s: The window, in seconds.
     """
 
-    share: float = 0.2
-    cold_s: float = 15.0
-    multiple: float = 3.0
-    window_s: float = 2.0
+    start_capacity: float = 0.2
+    warmup_s: float = 15.0
+    overload_multiple: float = 3.0
+    overload_window_s: float = 2.0
 
     def capacity(self, age_s: float) -> float:
         """Share of its full capacity at that age."""
-        return min(1.0, self.share + (1 - self.share) * max(0.0, age_s) / self.cold_s)
+        return min(
+            1.0, self.start_capacity + (1 - self.start_capacity) * max(0.0, age_s) / self.warmup_s
+        )
 
 
 class TickLoad(NamedTuple):
@@ -96,12 +99,12 @@
         capacity = self.model.capacity(now_s - boot_s)
         window = self.windows.setdefault(name, deque())
         window.append(TickLoad(rate * TICK_S, capacity * TICK_S))
-        while len(window) > self.model.window_s / TICK_S:
+        while len(window) > self.model.overload_window_s / TICK_S:
             window.popleft()
         received = sum(tick.received for tick in window)
-        ratio = received / (capacity * self.model.window_s)
+        ratio = received / (capacity * self.model.overload_window_s)
         self.max_ratio[name] = max(self.max_ratio.get(name, 0), ratio)
-        if ratio > self.model.multiple:
+        if ratio > self.model.overload_multiple:
             self.overloaded_s.setdefault(name, now_s)
 
     def notes(self) -> dict[str, object]:
--- a/plankroute/testbed/cold_start_plays.py
+++ b/plankroute/testbed/cold_start_plays.py
@@ -285,7 +285,7 @@
     assert start.load
     load = start.load
     bound_s = time.monotonic()
-    await start.until(lambda: time.monotonic() - bound_s > 2 * ColdHostModel().window_s)
+    await start.until(lambda: time.monotonic() - bound_s > 2 * ColdHostModel().overload_window_s)
     notes = load.notes()
     if len(load.max_ratio) < start.case.hosts / 2:
         objections.append(
