--- a/plankroute/testbed/cold_start_cases.py
+++ b/plankroute/testbed/cold_start_cases.py
@@ -137,7 +137,7 @@
     return start
 
 
-async def run_cold(name: str, net: int) -> tuple[Objections, dict[str, Any]]:
+async def run_cold_case(name: str, net: int) -> tuple[Objections, dict[str, Any]]:
     """Runs a hard case.
 
     Args:
--- a/tests/cold_start/test_cold_start_processes.py
+++ b/tests/cold_start/test_cold_start_processes.py
@@ -6,7 +6,7 @@
 import pytest
 
 from plankroute.testbed.cold_start import Case, Seen, down_until, run_case
-from plankroute.testbed.cold_start_cases import CASES, run_cold
+from plankroute.testbed.cold_start_cases import CASES, run_cold_case
 from plankroute.testbed.list_service import Behaviour, Mode, Phase
 
 SERVICE_BEHAVIOURS = {
@@ -88,7 +88,7 @@
 
         async def one(name: str, net: int) -> Outcome:
             async with slots:
-                return await run_cold(name, net)
+                return await run_cold_case(name, net)
 
         return await asyncio.gather(*(one(name, 140 + index) for index, name in enumerate(CASES)))
 
