--- a/plankroute/cli/testbed_commands.py
+++ b/plankroute/cli/testbed_commands.py
@@ -72,11 +72,11 @@
     json_path: Path | None,
 ) -> None:
     """Compare failure detectors with the same seeds and faults, in simulated time."""
-    from plankroute.testbed.membership_benchmark import KINDS, WAYS, measure, table
+    from plankroute.testbed.membership_benchmark import DETECTORS, KINDS, measure, table
 
     chosen_ways = ways.split(",")
     chosen_parts = parts.split(",")
-    reject_unknown(chosen_ways, {"ways": list(WAYS)})
+    reject_unknown(chosen_ways, {"ways": list(DETECTORS)})
     reject_unknown(chosen_parts, {"parts": list(KINDS)})
     figures = measure(
         sizes, seeds, minutes, chosen_ways, chosen_parts, jobs, progress=sys.stderr.isatty()
--- a/plankroute/testbed/membership_benchmark.py
+++ b/plankroute/testbed/membership_benchmark.py
@@ -8,9 +8,16 @@
 import msgspec
 
 from plankroute.testbed.faults import SECOND
-from plankroute.testbed.membership_measurements import CHOSEN, KINDS, WAYS, Figures, Job, run_job
+from plankroute.testbed.membership_measurements import (
+    CHOSEN,
+    DETECTORS,
+    KINDS,
+    Figures,
+    Job,
+    run_job,
+)
 
-__all__ = ["KINDS", "WAYS", "Measurements", "measure", "table"]
+__all__ = ["DETECTORS", "KINDS", "Measurements", "measure", "table"]
 
 # Limits of the chosen detector, by kind of run and figure (docs/membership.md).
 LIMITS: dict[tuple[str, str], float] = {
--- a/plankroute/testbed/membership_measurements.py
+++ b/plankroute/testbed/membership_measurements.py
@@ -56,7 +56,7 @@
     """One run.
 
     Attributes:
-        way: The failure detector, one of `WAYS`.
+        way: The failure detector, one of `DETECTORS`.
         kind: The kind of run, one of `KINDS`.
         members: How many members.
         seed: Seed of the run.
@@ -101,7 +101,7 @@
     return Swim(member, members, process_number, seed, lifeguard=True)
 
 
-WAYS: dict[str, WayMaker] = {
+DETECTORS: dict[str, WayMaker] = {
     CHOSEN: make_plankroute,
     "heartbeats": make_heartbeats,
     "swim": make_swim,
@@ -114,7 +114,7 @@
     return Group(
         job.members,
         Script(job.seed, tuple(rules), tuple(steps)),
-        partial(WAYS[job.way], job.members),
+        partial(DETECTORS[job.way], job.members),
         job.seed,
         start_s=0.5,
         known=job.way == CHOSEN,
