--- a/plankroute/testbed/simulated_members.py
+++ b/plankroute/testbed/simulated_members.py
@@ -49,7 +49,7 @@
         ...
 
 
-class Maker(Protocol):
+class CoreMaker(Protocol):
     """Makes the core of a member's next process."""
 
     def __call__(
@@ -97,7 +97,7 @@
 def plankroute_member(
     member: int, process_number: int, seed: int, seeds: tuple[str, ...]
 ) -> Membership:
-    """The core that controllers run; see `Maker`."""
+    """The core that controllers run; see `CoreMaker`."""
     facts = MemberFacts(
         name_of(member),
         address_of(member),
@@ -139,7 +139,7 @@
         self,
         members: int,
         script: Script,
-        make: Maker = plankroute_member,
+        make: CoreMaker = plankroute_member,
         seed: int = 1,
         start_s: float = 1.0,
         seeds: int = 3,
--- a/tests/membership/test_group_under_faults.py
+++ b/tests/membership/test_group_under_faults.py
@@ -7,8 +7,8 @@
 from plankroute.testbed import checkers
 from plankroute.testbed.faults import SECOND, Act, Rule, Script, Step, partition, pauses
 from plankroute.testbed.simulated_members import (
+    CoreMaker,
     Group,
-    Maker,
     address_of,
     name_of,
     plankroute_member,
@@ -21,7 +21,7 @@
     steps: tuple[Step, ...] = (),
     seed: int = 1,
     start_s: float = 1.0,
-    make: Maker = plankroute_member,
+    make: CoreMaker = plankroute_member,
 ) -> Group:
     script = Script(seed, rules, steps)
     return Group(members, script, make=make, seed=seed, start_s=start_s)
