--- a/plankroute/testbed/membership_measurements.py
+++ b/plankroute/testbed/membership_measurements.py
@@ -117,7 +117,7 @@
         partial(DETECTORS[job.way], job.members),
         job.seed,
         start_s=0.5,
-        known=job.way == CHOSEN,
+        has_full_tables=job.way == CHOSEN,
     )
 
 
--- a/plankroute/testbed/simulated_members.py
+++ b/plankroute/testbed/simulated_members.py
@@ -143,7 +143,7 @@
         seed: int = 1,
         start_s: float = 1.0,
         seeds: int = 3,
-        known: bool = False,
+        has_full_tables: bool = False,
     ) -> None:
         """Schedules the starts and the script's steps.
 
@@ -154,13 +154,13 @@
             seed: Seed of the run.
             start_s: All start within so many seconds.
             seeds: How many of the first members are asked by those that start.
-            known: Whether each starts with all others in its table, as a group that has long
-                come together.
+            has_full_tables: Whether each starts with all others in its table, as a group that has
+                long come together.
         """
         self.script = script
         self.make = make
         self.seed = seed
-        self.known = known
+        self.has_full_tables = has_full_tables
         self.seeds = tuple(address_of(member) for member in range(min(seeds, members)))
         self.history = History(members)
         self.cores: list[Core | None] = [None] * members
@@ -209,7 +209,7 @@
         self.paused[member] = False
         self.tick_due_us[member] = 0
         is_first = self.process_counts[member] == 1
-        if self.known and is_first:
+        if self.has_full_tables and is_first:
             view = ViewExchange(self.all_others(member))
             self.deliver(member, MessageReceived(address_of(member), view))
         self.deliver(member, TickDue())
--- a/tests/membership/test_membership_golden.py
+++ b/tests/membership/test_membership_golden.py
@@ -165,7 +165,7 @@
     ),
     "all members known at the start": (
         lambda: DigestingGroup(
-            80, Script(5, (Rule(loss=0.3),), (Step(5, Act.KILL, 79),)), seed=5, known=True
+            80, Script(5, (Rule(loss=0.3),), (Step(5, Act.KILL, 79),)), seed=5, has_full_tables=True
         ).run(12),
         "d963037f019d6c2c984fcf7ba1040d31",
     ),
