--- a/plankroute/testbed/simulated_members.py
+++ b/plankroute/testbed/simulated_members.py
@@ -128,7 +128,7 @@
     Attributes:
         cores: By member, its core; None: no process runs.
         history: What was reported and done.
-        now: Microseconds of simulated time since the start.
+        now_us: Microseconds of simulated time since the start.
         bytes: Bytes of all datagrams that were sent.
         datagrams: Their number.
         busy_s: CPU seconds that the cores took.
@@ -176,7 +176,7 @@
         self.counts: Counter[str] = Counter()
         self.queue: list[tuple[int, int, Callable[[], None]]] = []
         self.scheduled = 0
-        self.now = 0
+        self.now_us = 0
         for member in range(members):
             due_us = int(member / members * start_s * SECOND)
             self.schedule(due_us, partial(self.start, member))
@@ -190,12 +190,12 @@
 
     def run(self, seconds: float) -> Self:
         """Runs on for so many seconds of simulated time."""
-        end_us = self.now + int(seconds * SECOND)
+        end_us = self.now_us + int(seconds * SECOND)
         queue = self.queue
         while queue and queue[0][0] <= end_us:
-            self.now, _, action = heapq.heappop(queue)
+            self.now_us, _, action = heapq.heappop(queue)
             action()
-        self.now = end_us
+        self.now_us = end_us
         self.history.ends_us = end_us
         return self
 
@@ -231,7 +231,7 @@
     def do(self, step: Step) -> None:
         """Does a step of the script."""
         member = step.member
-        self.history.executed_steps.append(ExecutedStep(self.now, step.act.value, member))
+        self.history.executed_steps.append(ExecutedStep(self.now_us, step.act.value, member))
         match step.act:
             case Act.KILL:
                 self.cores[member] = None
@@ -249,7 +249,7 @@
         self.paused[member] = False
         received = self.received_in_pause[member]
         self.received_in_pause[member] = []
-        if self.cores[member] and self.tick_due_us[member] <= self.now:
+        if self.cores[member] and self.tick_due_us[member] <= self.now_us:
             self.deliver(member, TickDue())
         for event in received:
             self.deliver(member, event)
@@ -277,7 +277,7 @@
         if core is None:
             return
         began_s = time.perf_counter()
-        commands = core.deliver(START_US + self.now, [event])
+        commands = core.deliver(START_US + self.now_us, [event])
         self.busy_s += time.perf_counter() - began_s
         for command in commands:
             self.carry_out(member, command)
@@ -291,7 +291,7 @@
                 self.wake_at(member, until_us - START_US)
             case NotifyStatus(change, record):
                 report = StatusReport(
-                    self.now,
+                    self.now_us,
                     member,
                     place_of(record.name),
                     change.value,
@@ -309,7 +309,7 @@
         if due_us == self.tick_due_us[member]:
             return
         self.tick_due_us[member] = due_us
-        self.schedule(max(self.now, due_us), partial(self.tick, member, due_us))
+        self.schedule(max(self.now_us, due_us), partial(self.tick, member, due_us))
 
     def send(self, member: int, address: str, message: Message) -> None:
         """Sends a datagram; the script has its fate."""
@@ -321,6 +321,6 @@
         self.sent[member, receiver] += 1
         number = self.sent[member, receiver]
         event = MessageReceived(address_of(member), message)
-        for delay_us in self.script.fate(self.now, member, receiver, number):
-            due_us = self.now + ONE_WAY_US + delay_us
+        for delay_us in self.script.fate(self.now_us, member, receiver, number):
+            due_us = self.now_us + ONE_WAY_US + delay_us
             self.schedule(due_us, partial(self.arrive, receiver, event))
--- a/tests/membership/test_membership_golden.py
+++ b/tests/membership/test_membership_golden.py
@@ -118,7 +118,7 @@
                 fields = "counted", amount
             case LeaveCompleted():
                 fields = ("finished",)
-        self.digest.update(repr((self.now, member, *fields)).encode())
+        self.digest.update(repr((self.now_us, member, *fields)).encode())
         super().carry_out(member, command)
 
 
@@ -177,5 +177,5 @@
     make, recorded = GROUPS[name]
     group = make()
     request_view(group)
-    assert group.now % SECOND == 0
+    assert group.now_us % SECOND == 0
     assert group.digest.hexdigest() == recorded
