--- a/plankroute/testbed/heartbeats.py
+++ b/plankroute/testbed/heartbeats.py
@@ -17,7 +17,7 @@
     WakeAt,
 )
 from plankroute.testbed.faults import SECOND
-from plankroute.testbed.simulated_members import WALL_US, records_of
+from plankroute.testbed.simulated_members import START_WALL_CLOCK_US, records_of
 
 CHECK_INTERVAL_US = 100_000
 HEARTBEAT_INTERVAL_US = SECOND
@@ -31,7 +31,9 @@
         self.member = member
         self.records = records_of(members)
         self.own_record = msgspec.structs.replace(
-            self.records[member], incarnation=WALL_US + process_number, instance_id=process_number
+            self.records[member],
+            incarnation=START_WALL_CLOCK_US + process_number,
+            instance_id=process_number,
         )
         self.member_by_name = {record.name: place for place, record in enumerate(self.records)}
         self.heard_us: list[int] | None = None  # by member; None: nothing has been delivered
--- a/plankroute/testbed/membership_measurements.py
+++ b/plankroute/testbed/membership_measurements.py
@@ -28,7 +28,7 @@
 from plankroute.testbed.heartbeats import Heartbeats
 from plankroute.testbed.history import StatusReport
 from plankroute.testbed.simulated_members import (
-    WALL_US,
+    START_WALL_CLOCK_US,
     Core,
     Group,
     address_of,
@@ -247,7 +247,7 @@
             f"10.0.{member // 250}.{member % 250}:3001",
             "zone-a",
             member,
-            WALL_US + member,
+            START_WALL_CLOCK_US + member,
         )
         event = MessageReceived("10.0.0.1:3001", ViewExchange((record,)))
         core.deliver(SECOND + member, [event])
@@ -267,7 +267,7 @@
     busy_s = 0.0
     records = {
         address_of(member): MemberRecord(
-            name_of(member), address_of(member), "z", instance_of(member, 1), WALL_US
+            name_of(member), address_of(member), "z", instance_of(member, 1), START_WALL_CLOCK_US
         )
         for member in range(1, members)
     }
--- a/plankroute/testbed/simulated_members.py
+++ b/plankroute/testbed/simulated_members.py
@@ -32,8 +32,8 @@
 from plankroute.testbed.history import ExecutedStep, History, StatusReport
 
 ONE_WAY_US = 300  # between members where no rule says otherwise
-START_US = 100 * SECOND  # the monotonic clock at the start
-WALL_US = 1_800_000_000 * SECOND  # the wall clock at the start
+START_MONOTONIC_US = 100 * SECOND  # the monotonic clock at the start
+START_WALL_CLOCK_US = 1_800_000_000 * SECOND  # the wall clock at the start
 PATIENCE_US = 2_600_000  # of a member; the default of the feature file
 PROBE_INTERVAL_US = 200_000  # of a member; the default of the feature file
 FORGET_US = 3_600 * SECOND  # the default of the feature file
@@ -89,7 +89,7 @@
 def records_of(members: int) -> list[MemberRecord]:
     """The records of all members, as they are before the first process of any."""
     return [
-        MemberRecord(name_of(member), address_of(member), zone_of(member), 1, WALL_US)
+        MemberRecord(name_of(member), address_of(member), zone_of(member), 1, START_WALL_CLOCK_US)
         for member in range(members)
     ]
 
@@ -112,7 +112,7 @@
         facts,
         seed * 100_003 + member * 31 + process_number,
         instance_of(member, process_number),
-        WALL_US + process_number,
+        START_WALL_CLOCK_US + process_number,
         CODEC.record_size,
     )
 
@@ -222,7 +222,7 @@
                 address_of(other),
                 zone_of(other),
                 instance_of(other, 1),
-                WALL_US + 1,
+                START_WALL_CLOCK_US + 1,
             )
             for other in range(len(self.cores))
             if other != member
@@ -277,7 +277,7 @@
         if core is None:
             return
         began_s = time.perf_counter()
-        commands = core.deliver(START_US + self.now_us, [event])
+        commands = core.deliver(START_MONOTONIC_US + self.now_us, [event])
         self.busy_s += time.perf_counter() - began_s
         for command in commands:
             self.carry_out(member, command)
@@ -288,7 +288,7 @@
             case SendMessage(address, message):
                 self.send(member, address, message)
             case WakeAt(until_us):
-                self.wake_at(member, until_us - START_US)
+                self.wake_at(member, until_us - START_MONOTONIC_US)
             case NotifyStatus(change, record):
                 report = StatusReport(
                     self.now_us,
--- a/plankroute/testbed/swim.py
+++ b/plankroute/testbed/swim.py
@@ -29,7 +29,7 @@
 from plankroute.membership.records import MemberRecord, MemberState
 from plankroute.seeded_random import SeededRandom
 from plankroute.testbed.faults import SECOND
-from plankroute.testbed.simulated_members import CODEC, WALL_US, name_of, records_of
+from plankroute.testbed.simulated_members import CODEC, START_WALL_CLOCK_US, name_of, records_of
 
 TICK_US = 100_000
 PROTOCOL_PERIOD_US = SECOND  # SWIM's usual figure
@@ -86,7 +86,9 @@
     ) -> None:
         records = records_of(members)
         own_record = msgspec.structs.replace(
-            records[member], instance_id=process_number, incarnation=WALL_US + process_number - 1
+            records[member],
+            instance_id=process_number,
+            incarnation=START_WALL_CLOCK_US + process_number - 1,
         )
         self.table = MemberTable(own_record)
         for record in records[:member] + records[member + 1 :]:
