--- a/plankroute/testbed/__init__.py
+++ b/plankroute/testbed/__init__.py
@@ -1,4 +1,5 @@
-"""Real controllers as processes with fault injection, simulated members, checkers and measurements.
+"""Fault injection and simulation of members, with the checkers, measurements and reports.
 
-Nothing that `run` starts imports it.
+Real controllers run as processes; members of the failure detection also run in simulated time.
+No module that the `run` command loads imports this package.
 """
--- a/plankroute/testbed/checkers.py
+++ b/plankroute/testbed/checkers.py
@@ -1,4 +1,4 @@
-"""Judges histories: the same functions for simulated runs, logs of real processes, and tests."""
+"""Functions that evaluate a history, of a simulated run or of real processes alike."""
 
 from collections import Counter
 from collections.abc import Iterable
@@ -7,56 +7,61 @@
 from plankroute.testbed.faults import Act
 from plankroute.testbed.history import History, StatusReport
 
-PRESENT = ("joined", "recovered")  # status changes after which a member counts as there
-VERDICTS = ("failed", "left", *PRESENT)  # suspicions are none
-# Microseconds after a process has ended in which news of it may still be on their way.
-NEWS_ON_THEIR_WAY_US = 3_000_000
+PRESENCE_CHANGES = ("joined", "recovered")  # an observer counts the subject as present after these
+VERDICTS = ("failed", "left", *PRESENCE_CHANGES)  # a suspicion is not a verdict
+# A report that a member is present may still arrive for this long after the member's process ended.
+LATE_REPORT_LIMIT_US = 3_000_000
 
 
-class Span(NamedTuple):
-    """When a process ran, in microseconds of the history's clock."""
+class ProcessRun(NamedTuple):
+    """The time during which a process ran, in microseconds of the history's clock."""
 
     start_us: int
     end_us: int
 
 
-def lives(history: History, member: int) -> list[Span]:
-    """When the member's processes ran; one that was told to leave counts as alive until then."""
-    spans: list[Span] = []
+def process_runs(history: History, member: int) -> list[ProcessRun]:
+    """Returns the times at which processes of a member ran, oldest first.
+
+    The first process runs from time 0. A process that is told to leave counts as running until
+    then, and the last one until the end of the history unless it was killed or told to leave.
+    """
+    runs: list[ProcessRun] = []
     start_us = 0
     is_alive = True
     for step in history.executed_steps:
         if step.member != member:
             continue
         if step.act in (Act.KILL.value, Act.LEAVE.value) and is_alive:
-            spans.append(Span(start_us, step.at_us))
+            runs.append(ProcessRun(start_us, step.at_us))
             is_alive = False
         elif step.act == Act.START.value:
             start_us = step.at_us
             is_alive = True
     if is_alive:
-        spans.append(Span(start_us, history.ends_us))
-    return spans
+        runs.append(ProcessRun(start_us, history.ends_us))
+    return runs
 
 
 def was_alive(history: History, member: int, at_us: int) -> bool:
-    """Whether a process of the member ran at that time."""
-    return any(span.start_us <= at_us < span.end_us for span in lives(history, member))
+    """Returns whether a process of the member ran at that time."""
+    return any(run.start_us <= at_us < run.end_us for run in process_runs(history, member))
 
 
-def false_failure_reports(history: History, excused: Iterable[int] = ()) -> list[StatusReport]:
-    """Reports of failure while the subject's process ran.
+def false_failure_reports(history: History, excluded: Iterable[int] = ()) -> list[StatusReport]:
+    """Returns the reports of failure that were made while the subject's process ran.
 
     Args:
-        history: What is judged; a paused process counts as running.
-        excused: Members that were cut off, as observers and as subjects.
+        history: The history to check. A paused process counts as running.
+        excluded: Members whose reports, and reports about whom, are left out. Used for members
+            that were cut off from the others.
     """
-    excused = set(excused)
+    excluded = set(excluded)
     return [
         report
         for report in history.reports_of("failed")
-        if report.subject not in excused
-        and report.observer not in excused
+        if report.subject not in excluded
+        and report.observer not in excluded
         and was_alive(history, report.subject, report.at_us)
     ]
 
@@ -64,7 +69,18 @@
 def detection_us(
     history: History, member: int, killed_us: int, survivors: Iterable[int], change: str = "failed"
 ) -> dict[int, int | None]:
-    """By survivor, how long after the kill it reported the change; None where it never did."""
+    """Returns how long after an act on a member each survivor first reported the change.
+
+    Args:
+        history: The history to search.
+        member: The subject of the reports.
+        killed_us: Time of the kill or leave; earlier reports are ignored.
+        survivors: The observers to look for.
+        change: The status change that they have to report.
+
+    Returns:
+        Microseconds by survivor; None for a survivor that never reported the change.
+    """
     first: dict[int, int | None] = dict.fromkeys(survivors)
     for report in history.reports_of(change):
         if report.subject != member or report.at_us < killed_us:
@@ -75,7 +91,10 @@
 
 
 def verdict_changes(history: History, from_us: int, until_us: int) -> Counter[tuple[int, int]]:
-    """By observer and subject, how often the verdict changed in that time."""
+    """Returns, by observer and subject, the number of verdicts reported from `from_us` on.
+
+    Verdicts at `until_us` or later do not count.
+    """
     return Counter(
         (report.observer, report.subject)
         for report in history.reports_of(*VERDICTS)
@@ -84,7 +103,7 @@
 
 
 def verdicts_at(history: History, at_us: int) -> dict[tuple[int, int], str]:
-    """By observer and subject, the last verdict reported until then."""
+    """Returns, by observer and subject, the last verdict reported up to and including that time."""
     return {
         (report.observer, report.subject): report.change
         for report in history.reports_of(*VERDICTS)
@@ -95,26 +114,32 @@
 def disputed_subjects(
     history: History, at_us: int, observers: Iterable[int], subjects: Iterable[int]
 ) -> list[int]:
-    """Subjects on whom the observers disagree at that time: there, or not there."""
+    """Returns the subjects that some observers held present and others did not, at that time."""
     verdicts = verdicts_at(history, at_us)
     observers = list(observers)
-    disagreed: list[int] = []
+    disputed: list[int] = []
     for subject in subjects:
         opinions = {
-            verdicts.get((observer, subject)) in PRESENT
+            verdicts.get((observer, subject)) in PRESENCE_CHANGES
             for observer in observers
             if observer != subject
         }
         if len(opinions) > 1:
-            disagreed.append(subject)
-    return disagreed
+            disputed.append(subject)
+    return disputed
 
 
 def agreed_after_us(history: History, from_us: int, alive: Iterable[int]) -> int | None:
-    """How long after that time all living members held all living ones for there, for good.
+    """Returns how long it took until all living members held each other present, for good.
+
+    Args:
+        history: The history to search.
+        from_us: Time from which the delay counts.
+        alive: The living members.
 
     Returns:
-        Microseconds; None: they did not at the end.
+        Microseconds from `from_us` to the start of the agreement that lasted to the end of the
+        history; None if there was no agreement at the end.
     """
     alive = set(alive)
     verdicts = verdicts_at(history, from_us)
@@ -122,14 +147,14 @@
         (observer, subject)
         for observer in alive
         for subject in alive
-        if observer != subject and verdicts.get((observer, subject)) not in PRESENT
+        if observer != subject and verdicts.get((observer, subject)) not in PRESENCE_CHANGES
     }
     agreed_us: int | None = None if missing else 0
     for report in history.reports_of(*VERDICTS):
         if report.at_us <= from_us or report.observer not in alive or report.subject not in alive:
             continue
         pair = report.observer, report.subject
-        if report.change in PRESENT:
+        if report.change in PRESENCE_CHANGES:
             missing.discard(pair)
         else:
             missing.add(pair)
@@ -141,12 +166,15 @@
 
 
 def stale_presence_reports(history: History) -> list[StatusReport]:
-    """Reports that a member is there while no process of its ran, nor had run shortly before."""
+    """Returns the reports that a member is present, made long after its last process had ended.
+
+    Reports within `LATE_REPORT_LIMIT_US` after the end of a process are not stale.
+    """
     return [
         report
-        for report in history.reports_of(*PRESENT)
+        for report in history.reports_of(*PRESENCE_CHANGES)
         if not any(
-            span.start_us <= report.at_us < span.end_us + NEWS_ON_THEIR_WAY_US
-            for span in lives(history, report.subject)
+            run.start_us <= report.at_us < run.end_us + LATE_REPORT_LIMIT_US
+            for run in process_runs(history, report.subject)
         )
     ]
--- a/plankroute/testbed/history.py
+++ b/plankroute/testbed/history.py
@@ -1,18 +1,18 @@
-"""What all members reported about each other, in one order of time, and what was done to them.
+"""Record of a run: the status changes that members reported, and the steps that were executed.
 
-Recorded here; judged by `checkers`.
+Simulated groups and real processes fill the same record. The functions of `checkers` evaluate it.
 """
 
 import msgspec
 
 
 class StatusReport(msgspec.Struct, frozen=True):
-    """A member reported a change of another one's status.
+    """A member's report that another member's status changed.
 
     Attributes:
-        at_us: When, in microseconds of the history's clock.
-        observer: The member that reported it, by its place in the group.
-        subject: The member it is about.
+        at_us: Time of the report, in microseconds of the history's clock.
+        observer: Index of the member that reported it.
+        subject: Index of the member whose status changed.
         change: The status change, as the log event names it.
         instance_id: The instance id of the subject's process.
         incarnation: The subject's incarnation.
@@ -27,12 +27,12 @@
 
 
 class ExecutedStep(msgspec.Struct, frozen=True):
-    """Something that was done to a member.
+    """An act that was carried out on a member's process.
 
     Attributes:
-        at_us: When, in microseconds of the history's clock.
-        act: What, as the value of a `faults.Act`.
-        member: To whom.
+        at_us: Time of the act, in microseconds of the history's clock.
+        act: The value of the `faults.Act`.
+        member: Index of the member.
     """
 
     at_us: int
@@ -41,13 +41,13 @@
 
 
 class History(msgspec.Struct):
-    """All reports of a run.
+    """All reports and steps of a run.
 
     Attributes:
         members: The size of the group.
-        reports: What was reported, in order of time.
-        executed_steps: What was done, in order of time.
-        ends_us: When the run ended.
+        reports: Reports of status changes, in order of time.
+        executed_steps: Acts on members' processes, in order of time.
+        ends_us: End of the run, in microseconds of the history's clock.
     """
 
     members: int
@@ -56,5 +56,5 @@
     ends_us: int = 0
 
     def reports_of(self, *changes: str) -> list[StatusReport]:
-        """The reports about these status changes."""
+        """Returns the reports of these status changes, in order of time."""
         return [report for report in self.reports if report.change in changes]
--- a/tests/testbed/test_fleet_rules.py
+++ b/tests/testbed/test_fleet_rules.py
@@ -1,4 +1,4 @@
-"""The soak's judge objects to each broken rule, and its channel keeps its pace."""
+"""The fleet rules report each violation, and the paced channel keeps its rate."""
 
 import asyncio
 import random
@@ -20,8 +20,8 @@
 )
 
 
-def judge(*hosts: str) -> tuple[FleetRules, RoamingProxy, PacedChannel]:
-    """A judge of one proxy, joined at 100 s, with these hosts, warm ones."""
+def make_rules(*hosts: str) -> tuple[FleetRules, RoamingProxy, PacedChannel]:
+    """Returns rules for one proxy, which joined at 100 s and uses these hosts, all warm."""
     channel = PacedChannel(lines_per_s=100.0, delay_s=0.0)
     proxy = RoamingProxy(0, [("", 0)], [channel], random.Random(1))
     proxy.controller = 0
@@ -33,63 +33,64 @@
     return rules, proxy, channel
 
 
-def looks(rules: FleetRules, *times_s: float) -> set[RuleName]:
+def check_at(rules: FleetRules, *times_s: float) -> set[RuleName]:
+    """Checks the rules at these times; returns all rules violated so far."""
     for time_s in times_s:
         rules.check(time_s)
     return set(rules.violations.first)
 
 
-def test_a_removed_host_in_use_breaks_drain_after_the_grace_and_its_slack() -> None:
-    rules, proxy, _ = judge("h1", "h2")
-    rules.host_removed("h1", 50.0)  # before the proxy joined: its own time runs from there
-    assert not looks(rules, 103.2)
-    assert looks(rules, 103.4) == {RuleName.DRAIN}
+def test_a_removed_host_in_use_violates_drain_after_the_grace_and_its_slack() -> None:
+    rules, proxy, _ = make_rules("h1", "h2")
+    rules.host_removed("h1", 50.0)  # before the proxy joined: its time counts from 100 s
+    assert not check_at(rules, 103.2)
+    assert check_at(rules, 103.4) == {RuleName.DRAIN}
     assert rules.violations.counts[RuleName.DRAIN] == 1
     proxy.drained.add("h1")
-    looks(rules, 110.0)
+    check_at(rules, 110.0)
     assert rules.violations.counts[RuleName.DRAIN] == 1
 
 
-def test_a_proxy_without_a_host_breaks_lost_where_a_warm_host_is_ready() -> None:
-    rules, proxy, _ = judge("h1")
+def test_a_proxy_without_a_host_violates_lost_where_a_warm_host_is_ready() -> None:
+    rules, proxy, _ = make_rules("h1")
     proxy.weights = {"h1": 0.0}
-    assert not looks(rules, 100.0, 105.2)
-    assert looks(rules, 105.4) == {RuleName.LOST}
+    assert not check_at(rules, 100.0, 105.2)
+    assert check_at(rules, 105.4) == {RuleName.LOST}
 
 
-def test_a_proxy_without_a_host_breaks_nothing_where_all_hosts_are_cold() -> None:
-    rules, proxy, _ = judge("h1")
+def test_a_proxy_without_a_host_violates_nothing_where_all_hosts_are_cold() -> None:
+    rules, proxy, _ = make_rules("h1")
     proxy.weights = {}
     rules.host_started("h1", 99.0)
-    assert not looks(rules, 100.0, 108.0)
+    assert not check_at(rules, 100.0, 108.0)
 
 
-def test_a_cold_host_breaks_overload_when_it_gets_too_much_for_too_long() -> None:
-    rules, _, _ = judge("h1")
-    rules.host_started("h1", 100.0)  # it bears 7.5 requests a second, and gets 20
-    assert not looks(rules, 100.0, 102.2)
-    assert looks(rules, 102.4) == {RuleName.OVERLOAD}
+def test_a_cold_host_violates_overload_when_it_receives_too_much_for_too_long() -> None:
+    rules, _, _ = make_rules("h1")
+    rules.host_started("h1", 100.0)  # may receive 7.5 requests a second, receives 20
+    assert not check_at(rules, 100.0, 102.2)
+    assert check_at(rules, 102.4) == {RuleName.OVERLOAD}
 
 
-def test_a_retry_policy_that_repeats_effects_breaks_duplicate() -> None:
-    rules, proxy, _ = judge("h1")
+def test_a_retry_policy_that_repeats_effects_violates_duplicate() -> None:
+    rules, proxy, _ = make_rules("h1")
     proxy.note_retry_policy(["push", "gate=1", "again=1"])
-    assert not looks(rules, 100.0)
+    assert not check_at(rules, 100.0)
     proxy.note_retry_policy(["push", "gate=1", "again=2"])
-    assert looks(rules, 100.0) == {RuleName.DUPLICATE}
+    assert check_at(rules, 100.0) == {RuleName.DUPLICATE}
 
 
-def test_lines_over_the_cap_break_backlog() -> None:
+def test_lines_over_the_cap_violate_backlog() -> None:
     async def run() -> set[RuleName]:
-        rules, _, channel = judge("h1")
+        rules, _, channel = make_rules("h1")
         for _ in range(2):
             channel.enter(QueuedMessage(51.0, lambda: True, lambda: None))
-        return looks(rules, 100.0)
+        return check_at(rules, 100.0)
 
     assert asyncio.run(run()) == {RuleName.BACKLOG}
 
 
-def test_messages_take_effect_in_order_at_the_channel_s_pace_and_lost_ones_take_no_time() -> None:
+def test_messages_take_effect_in_order_at_the_channel_s_rate_and_lost_ones_take_no_time() -> None:
     async def run() -> tuple[list[str], float]:
         channel = PacedChannel(lines_per_s=1000.0, delay_s=0.01)
         loop = asyncio.get_running_loop()
