--- a/plankroute/testbed/scenarios.py
+++ b/plankroute/testbed/scenarios.py
@@ -1,4 +1,4 @@
-"""All scenarios of failure detection by name, their runs and their report."""
+"""The scenarios of failure detection by name, the functions that run them, and their report."""
 
 import asyncio
 from collections.abc import Iterable
@@ -24,69 +24,69 @@
     Seedless,
 )
 from plankroute.testbed.processes import ControllerProcesses
-from plankroute.testbed.scenario import CUT_FROM_S, CUT_UNTIL_S, Result, Scenario, Trial
+from plankroute.testbed.scenario import CUT_FROM_S, CUT_UNTIL_S, Result, Scenario, ScenarioRun
 
-WAIT_LIMIT_S = 45.0  # for what has to come: many times what it takes
-QUIET_PERIOD_S = 2.0  # after it: for what must not come
-FIRST_NET = 60  # loopback addresses from 127.60 on, of each scenario its own
+WAIT_LIMIT_S = 45.0  # for a scenario to be over after its script: many times what it takes
+QUIET_PERIOD_S = 2.0  # after that, in which reports that must not be made would still arrive
+FIRST_NET = 60  # each scenario has its own loopback network, from 127.60 on
 CONCURRENT_SCENARIOS = 6
-MAX_OBJECTIONS = 8  # of a scenario, in the report
+MAX_REPORTED_OBJECTIONS = 8  # of each scenario, in the text report
 FAILURE_EVENTS = ("membership_core_failed", "core_failed", "loop_failed", "unreadable")
 
 
-def last(members: int) -> range:
-    """The last member."""
+def last_member(members: int) -> range:
+    """Returns the last member."""
     return range(members - 1, members)
 
 
-def last_three(members: int) -> range:
-    """The last three members."""
+def last_three_members(members: int) -> range:
+    """Returns the last three members."""
     return range(members - 3, members)
 
 
 def last_half(members: int) -> range:
-    """The second half of the members."""
+    """Returns the second half of the members."""
     return range(members - members // 2, members)
 
 
-def a_third(members: int) -> Members:
-    """A third of the members, without the one that is cut off."""
+def third_of_members(members: int) -> Members:
+    """Returns a third of the members, without the one that is cut off."""
     return tuple(range(SUBJECT, SUBJECT + members // 3))
 
 
 def halves(members: int) -> Parts:
-    """Two halves."""
+    """Returns two halves of the members."""
     half = members // 2
     return tuple(range(half)), tuple(range(half, members))
 
 
 def three_parts(members: int) -> Parts:
-    """A half, a smaller part, and the last member alone."""
+    """Returns a half of the members, a smaller part, and the last member alone."""
     half = members // 2
     return tuple(range(half)), tuple(range(half, members - 1)), (members - 1,)
 
 
 def cut_sender(members: int) -> Rule:
-    """Nobody hears the member."""
+    """Returns a rule that drops all datagrams from the cut member."""
     return Rule(CUT_FROM_S, CUT_UNTIL_S, (CUT_MEMBER,), None, cut=True)
 
 
 def cut_receiver(members: int) -> Rule:
-    """The member hears nobody."""
+    """Returns a rule that drops all datagrams to the cut member."""
     return Rule(CUT_FROM_S, CUT_UNTIL_S, None, (CUT_MEMBER,), cut=True)
 
 
 def cut_sender_for_a_third(members: int) -> Rule:
-    """A third of the members do not hear the member."""
-    return Rule(CUT_FROM_S, CUT_UNTIL_S, (CUT_MEMBER,), a_third(members), cut=True)
+    """Returns a rule that drops all datagrams from the cut member to a third of the members."""
+    return Rule(CUT_FROM_S, CUT_UNTIL_S, (CUT_MEMBER,), third_of_members(members), cut=True)
 
 
 SCENARIOS: dict[str, Scenario] = {
-    "killed one": Killed(last),
-    "killed three": Killed(last_three),
+    "killed one": Killed(last_member),
+    "killed three": Killed(last_three_members),
     "killed half": Killed(last_half),
-    "lossy": Killed(last, Rule(loss=0.3, twice=0.1, spread_ms=20), at_s=6.0),
-    "slow": Killed(last, Rule(delay_ms=300, late_share=0.1, late_ms=2000), at_s=6.0),
+    "lossy": Killed(last_member, Rule(loss=0.3, twice=0.1, spread_ms=20), at_s=6.0),
+    "slow": Killed(last_member, Rule(delay_ms=300, late_share=0.1, late_ms=2000), at_s=6.0),
     "paused": Paused(),
     "not heard": CutOff(cut_sender, may_fail=True),
     "hears not": CutOff(cut_receiver, may_fail=True),
@@ -103,39 +103,44 @@
 
 
 async def run_one(name: str, members: int, seed: int, full: bool, net: int) -> Result:
-    """Runs a scenario; its processes are killed whatever comes of it.
+    """Runs a scenario. Its processes are killed at the end, also after an exception.
 
     Args:
         name: Its name in `SCENARIOS`.
-        members: How many controllers.
+        members: Number of controllers.
         seed: Seed of the faults.
-        full: Whether it takes as long as operators have seen it.
-        net: Second byte of its loopback addresses.
+        full: Whether pauses go on for as long as operators have seen them.
+        net: Second byte of the controllers' loopback addresses.
     """
     scenario = SCENARIOS[name]
     plan = msgspec.structs.replace(scenario.plan(members, seed, full), net=net)
-    trial = Trial(ControllerProcesses(plan))
+    run = ScenarioRun(ControllerProcesses(plan))
     try:
-        if not await trial.processes.launch():
-            return Result(name, members, ["the group did not come together"], {})
-        objections = await play(scenario, trial)
+        if not await run.processes.launch():
+            return Result(name, members, ["not all controllers joined the group in time"], {})
+        objections = await run_script(scenario, run)
     finally:
-        await trial.processes.close()
-    return Result(name, members, objections, trial.notes)
+        await run.processes.close()
+    return Result(name, members, objections, run.figures)
 
 
-async def play(scenario: Scenario, trial: Trial) -> list[str]:
-    """Plays a scenario on controllers that have joined; returns objections."""
-    processes = trial.processes
+async def run_script(scenario: Scenario, run: ScenarioRun) -> list[str]:
+    """Runs a scenario's script on controllers that have joined.
+
+    Returns:
+        The scenario's objections, and one for each line of the logs that reports an internal
+        failure.
+    """
+    processes = run.processes
     playing = asyncio.create_task(processes.play())
-    await scenario.act(trial)
+    await scenario.run_extra_actions(run)
     await playing
     objections: list[str] = []
-    if not await processes.until(lambda: scenario.is_over(trial), WAIT_LIMIT_S):
-        objections.append(f"what was waited for did not come within {WAIT_LIMIT_S:.0f} s")
+    if not await processes.until(lambda: scenario.is_over(run), WAIT_LIMIT_S):
+        objections.append(f"the scenario was not over within {WAIT_LIMIT_S:.0f} s after its script")
     await asyncio.sleep(QUIET_PERIOD_S)
     processes.history.ends_us = processes.now_us()
-    objections += scenario.judge(trial)
+    objections += scenario.find_objections(run)
     objections += [
         f"{member}: {line}"
         for member, lines in enumerate(processes.lines)
@@ -146,27 +151,27 @@
 
 
 async def run_all(names: Iterable[str], members: int, seed: int, full: bool) -> list[Result]:
-    """Runs scenarios, some side by side, each on addresses of its own."""
-    free = asyncio.Semaphore(CONCURRENT_SCENARIOS)
+    """Runs scenarios, up to `CONCURRENT_SCENARIOS` at once, each on addresses of its own."""
+    slots = asyncio.Semaphore(CONCURRENT_SCENARIOS)
 
-    async def run_when_free(name: str, net: int) -> Result:
-        async with free:
+    async def run_in_slot(name: str, net: int) -> Result:
+        async with slots:
             return await run_one(name, members, seed, full, net)
 
-    runs = [run_when_free(name, FIRST_NET + place) for place, name in enumerate(names)]
+    runs = [run_in_slot(name, FIRST_NET + place) for place, name in enumerate(names)]
     return list(await asyncio.gather(*runs))
 
 
 def report(results: list[Result], as_json: bool) -> str:
-    """Results as JSON, or as text for people."""
+    """Formats results as JSON, or as plain text."""
     if as_json:
         return orjson.dumps(msgspec.to_builtins(results), option=orjson.OPT_INDENT_2).decode()
-    return "\n".join(report_lines(result) for result in results)
+    return "\n".join(format_result(result) for result in results)
 
 
-def report_lines(result: Result) -> str:
-    """One result, with its first objections."""
+def format_result(result: Result) -> str:
+    """Formats one result as text, with up to `MAX_REPORTED_OBJECTIONS` objections."""
     verdict = "FAILED" if result.objections else "good  "
     figures = "  ".join(f"{key} {value}" for key, value in result.figures.items())
     head = f"{verdict}  {result.name:22} {result.processes:3} processes  {figures}"
-    return "\n        ".join([head, *result.objections[:MAX_OBJECTIONS]])
+    return "\n        ".join([head, *result.objections[:MAX_REPORTED_OBJECTIONS]])
--- a/tests/testbed/test_scenarios.py
+++ b/tests/testbed/test_scenarios.py
@@ -1,4 +1,4 @@
-"""Real controllers as processes with faulty links: each scenario, judged by its checkers."""
+"""Scenarios of failure detection: real controllers as processes with faulty links."""
 
 import asyncio
 
@@ -12,12 +12,12 @@
 from plankroute.testbed.scenarios import SCENARIOS, run_all, run_one
 
 PROCESSES, SEED = 8, 1
-OWN_NET = 40  # loopback addresses of the test that runs a scenario by itself
+OWN_NET = 40  # loopback network of the test that runs a scenario of its own
 
 
 @pytest.fixture(scope="module")
 def results() -> dict[str, Result]:
-    """All scenarios, some side by side: half a minute instead of five."""
+    """Runs all scenarios, several at once, which takes half a minute instead of five."""
     done = asyncio.run(run_all(tuple(SCENARIOS), PROCESSES, SEED, False))
     return {result.name: result for result in done}
 
@@ -28,20 +28,20 @@
 
 
 class PausedWithShortPatience(Paused):
-    """Members that call others failed during the pauses of the scenario."""
+    """Pauses of the scenario outlast the patience, so that members report paused ones as failed."""
 
     def plan(self, members: int, seed: int, full: bool) -> Plan:
         plan = super().plan(members, seed, full)
         return msgspec.structs.replace(plan, membership={"patience_ms": 500})
 
 
-def test_a_judge_objects_to_controllers_that_call_paused_members_failed(
+def test_reports_of_paused_members_as_failed_are_objected_to(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Guards against a judge that objects to nothing."""
-    monkeypatch.setitem(SCENARIOS, "hasty", PausedWithShortPatience())
-    result = asyncio.run(run_one("hasty", PROCESSES, SEED, False, OWN_NET))
-    assert [line for line in result.objections if "called" in line]
+    """Guards against checks that find no objection in any run."""
+    monkeypatch.setitem(SCENARIOS, "short patience", PausedWithShortPatience())
+    result = asyncio.run(run_one("short patience", PROCESSES, SEED, False, OWN_NET))
+    assert [line for line in result.objections if "while its process ran" in line]
 
 
 def test_the_same_script_gives_the_same_datagrams_the_same_fate() -> None:
@@ -59,7 +59,8 @@
     assert fates == all_fates()
     is_lost = [not fate for fate in fates]
     assert 0.28 < sum(is_lost) / len(is_lost) < 0.32
-    # Guards against draws by a checksum alone, which lose the same numbers on similar pairs.
+    # Guards against draws by a checksum alone: pairs of members with similar indexes would lose
+    # the datagrams with the same numbers.
     pairs = zip(is_lost[:2000], is_lost[2000:4000], strict=True)
     lost_on_both = sum(one and other for one, other in pairs) / 2000
     assert 0.06 < lost_on_both < 0.12
