--- a/plankroute/testbed/membership_benchmark.py
+++ b/plankroute/testbed/membership_benchmark.py
@@ -1,4 +1,4 @@
-"""Compares failure detectors: the same faults and seeds for each, figures beside their limits."""
+"""Compares failure detectors under the same faults and seeds, and checks figures against limits."""
 
 import sys
 from collections.abc import Iterable
@@ -9,9 +9,9 @@
 
 from plankroute.testbed.faults import SECOND
 from plankroute.testbed.membership_measurements import (
-    CHOSEN,
     DETECTORS,
     KINDS,
+    PLANKROUTE,
     Figures,
     Job,
     run_job,
@@ -19,7 +19,7 @@
 
 __all__ = ["DETECTORS", "KINDS", "Measurements", "measure", "table"]
 
-# Limits of the chosen detector, by kind of run and figure (docs/membership.md).
+# Limits of plankroute's detector, by measurement and figure (docs/membership.md).
 LIMITS: dict[tuple[str, str], float] = {
     ("killed", "median_s"): 4.0,
     ("killed", "worst_s"): 8.0,
@@ -31,10 +31,10 @@
     ("load", "alone_percent"): 2.0,
     ("load", "memory_mb"): 2.0,
 }
-LARGE_GROUP = 1000  # members, from which on these limits are multiplied
+LARGE_GROUP = 1000  # members; from this size on, limits are multiplied by these factors
 LARGE_GROUP_FACTORS = {"median_s": 1.5, "worst_s": 1.5}
-SUMMED_FIGURES = ("missed", "wrong", "wrong_members")  # over all seeds
-WORST_FIGURES = (  # of all seeds
+SUMMED_FIGURES = ("missed", "wrong", "wrong_members")  # summed over all seeds
+MAXIMUM_FIGURES = (  # of which the maximum over all seeds counts
     "agreed_s",
     "bytes_s",
     "datagrams_s",
@@ -44,19 +44,23 @@
 )
 
 
-class Row(msgspec.Struct):
-    """One detector, kind of run and size, over all seeds.
+class Row(
+    msgspec.Struct,
+    # Key of the JSON report, which is an interface.
+    rename={"detector": "way"},
+):
+    """The figures of one detector, measurement and group size over all seeds.
 
     Attributes:
-        way: The detector.
-        kind: The kind of run.
+        detector: The detector.
+        kind: The measurement.
         members: The size of the group.
         seeds: The number of runs.
-        figures: By name; None: never.
-        missed: Limits that were missed, as text.
+        figures: Figures by name; None if the measured event never happened.
+        missed: Descriptions of the limits that were missed.
     """
 
-    way: str
+    detector: str
     kind: str
     members: int
     seeds: int
@@ -70,11 +74,11 @@
     rows: list[Row]
 
     def failed(self) -> bool:
-        """Whether the chosen detector missed a limit."""
+        """Returns whether plankroute's detector missed a limit."""
         return any(row.missed for row in self.rows)
 
     def to_json(self) -> bytes:
-        """The rows as indented JSON."""
+        """Returns the rows as indented JSON with a final line break."""
         return msgspec.json.format(msgspec.json.encode(self), indent=2) + b"\n"
 
 
@@ -82,36 +86,36 @@
     sizes: Iterable[int],
     seeds: int,
     minutes: float,
-    ways: list[str],
+    detectors: list[str],
     kinds: list[str],
     jobs: int,
     progress: bool = False,
 ) -> Measurements:
-    """Measures all detectors, in kinds of runs and sizes; the largest groups begin first.
+    """Runs measurements of detectors for groups of several sizes; the largest groups start first.
 
     Args:
-        sizes: Sizes of groups.
-        seeds: Runs of each kind; of load there is one.
+        sizes: Sizes of the groups.
+        seeds: Number of runs of each measurement, except the load, which is measured once.
         minutes: Simulated length of the runs with packet loss.
-        ways: Detectors.
-        kinds: Kinds of runs.
-        jobs: Processes that run at once.
-        progress: Whether progress is printed.
+        detectors: Keys of `DETECTORS`.
+        kinds: Keys of `KINDS`.
+        jobs: Number of worker processes.
+        progress: Whether to print progress to standard error.
     """
     sizes = sorted(set(sizes))
     todo = [
-        Job(way, kind, members, seed, minutes * 60)
+        Job(detector, kind, members, seed, minutes * 60)
         for members in reversed(sizes)
         for kind in kinds
-        for way in ways
+        for detector in detectors
         for seed in range(1, (1 if kind == "load" else seeds) + 1)
     ]
     done = run_jobs(todo, jobs, progress)
     rows = [
-        make_row(way, kind, members, done[way, kind, members])
+        make_row(detector, kind, members, done[detector, kind, members])
         for kind in kinds
         for members in sizes
-        for way in ways
+        for detector in detectors
     ]
     return Measurements(rows)
 
@@ -119,13 +123,22 @@
 def run_jobs(
     todo: list[Job], jobs: int, progress: bool
 ) -> dict[tuple[str, str, int], list[Figures]]:
-    """Runs jobs side by side; returns figures by detector, kind and size."""
+    """Runs jobs in a pool of worker processes.
+
+    Args:
+        todo: The jobs.
+        jobs: Number of worker processes.
+        progress: Whether to print progress to standard error.
+
+    Returns:
+        Figures of each run, by detector, measurement and group size.
+    """
     done: dict[tuple[str, str, int], list[Figures]] = {}
     with ProcessPoolExecutor(jobs) as pool:
         futures = [pool.submit(run_job, job) for job in todo]
         for number, future in enumerate(as_completed(futures), 1):
             job, figures = future.result()
-            done.setdefault((job.way, job.kind, job.members), []).append(figures)
+            done.setdefault((job.detector, job.kind, job.members), []).append(figures)
             if progress:
                 print(f"\r{number} of {len(todo)} runs", end="", file=sys.stderr, flush=True)
     if progress:
@@ -133,8 +146,8 @@
     return done
 
 
-def make_row(way: str, kind: str, members: int, runs: list[Figures]) -> Row:
-    """One row, over all runs."""
+def make_row(detector: str, kind: str, members: int, runs: list[Figures]) -> Row:
+    """Returns a row that combines the figures of all runs."""
     figures: dict[str, float | None] = {}
     times_s = sorted(time_us / SECOND for run in runs for time_us in run.get("times_us", []))
     if times_s:
@@ -143,16 +156,16 @@
     for name in SUMMED_FIGURES:
         if name in runs[0]:
             figures[name] = sum(run[name] for run in runs)
-    for name in WORST_FIGURES:
+    for name in MAXIMUM_FIGURES:
         if name in runs[0]:
             values = [run[name] for run in runs]
             figures[name] = None if None in values else round(max(values), 3)
-    missed = missed_limits(kind, members, figures) if way == CHOSEN else []
-    return Row(way, kind, members, len(runs), figures, missed)
+    missed = missed_limits(kind, members, figures) if detector == PLANKROUTE else []
+    return Row(detector, kind, members, len(runs), figures, missed)
 
 
 def missed_limits(kind: str, members: int, figures: dict[str, float | None]) -> list[str]:
-    """Limits that these figures of the chosen detector miss."""
+    """Returns a description of each limit of plankroute's detector that these figures miss."""
     missed: list[str] = []
     for name, value in figures.items():
         limit = LIMITS.get((kind, name))
@@ -166,16 +179,16 @@
 
 
 def table(measurements: Measurements) -> str:
-    """A line for each row."""
+    """Formats the rows as text, one line each."""
     return "\n".join(table_line(row) for row in measurements.rows)
 
 
 def table_line(row: Row) -> str:
-    """One row as text."""
+    """Formats one row as a line of text."""
     figures = "  ".join(
         f"{name} {'never' if value is None else f'{value:g}'}"
         for name, value in row.figures.items()
     )
     missed = f"  MISSED: {', '.join(row.missed)}" if row.missed else ""
-    head = f"{row.kind:7} {row.members:5} {row.way:11} seeds {row.seeds:2}"
+    head = f"{row.kind:7} {row.members:5} {row.detector:11} seeds {row.seeds:2}"
     return f"{head}  {figures}{missed}"
--- a/plankroute/testbed/simulated_members.py
+++ b/plankroute/testbed/simulated_members.py
@@ -1,6 +1,7 @@
-"""Members in simulated time under a fault script: the cores that run in processes, by the thousand.
+"""Simulated groups of members, up to thousands, that run the controllers' cores in simulated time.
 
-One seed replays a whole run. Simulates datagrams and pauses; there are no proxies or hosts.
+A script injects faults into datagrams and processes. One seed reproduces a whole run. There are no
+proxies or hosts.
 """
 
 import heapq
@@ -31,21 +32,21 @@
 from plankroute.testbed.faults import SECOND, Act, Script, Step
 from plankroute.testbed.history import ExecutedStep, History, StatusReport
 
-ONE_WAY_US = 300  # between members where no rule says otherwise
+ONE_WAY_US = 300  # delay of a datagram, to which the script's rules add
 START_MONOTONIC_US = 100 * SECOND  # the monotonic clock at the start
 START_WALL_CLOCK_US = 1_800_000_000 * SECOND  # the wall clock at the start
-PATIENCE_US = 2_600_000  # of a member; the default of the feature file
-PROBE_INTERVAL_US = 200_000  # of a member; the default of the feature file
-FORGET_US = 3_600 * SECOND  # the default of the feature file
+PATIENCE_US = 2_600_000  # default of the feature file
+PROBE_INTERVAL_US = 200_000  # default of the feature file
+FORGET_US = 3_600 * SECOND  # default of the feature file
 GROUP_NAME = "lab"
 CODEC = Codec(GROUP_NAME)
 
 
 class Core(Protocol):
-    """A core of failure detection: `Membership`, or one of the baselines."""
+    """A core of failure detection: `Membership` or one of the baselines."""
 
     def deliver(self, now_us: int, events: list[Event]) -> list[Command]:
-        """Takes events in at that time; returns what is to be done."""
+        """Handles events at that time; returns the resulting commands."""
         ...
 
 
@@ -55,39 +56,39 @@
     def __call__(
         self, member: int, process_number: int, seed: int, seeds: tuple[str, ...], /
     ) -> Core:
-        """A core.
+        """Returns a new core.
 
         Args:
-            member: The member's place.
-            process_number: Which of its processes it is, from 1.
+            member: The member's index.
+            process_number: Number of this process among the member's processes, from 1.
             seed: The seed of the run.
-            seeds: Addresses of the members that it asks at its start.
+            seeds: Addresses of the members that it contacts at its start.
         """
         ...
 
 
 def address_of(member: int) -> str:
-    """The address of a member."""
+    """Returns the address of a member."""
     return f"127.{1 + member // 65536}.{member // 256 % 256}.{member % 256}:7946"
 
 
 def name_of(member: int) -> str:
-    """The name of a member."""
+    """Returns the name of a member."""
     return f"n{member:04d}"
 
 
-def place_of(name: str) -> int:
-    """The member of that name."""
+def member_of(name: str) -> int:
+    """Returns the index of the member with that name."""
     return int(name[1:])
 
 
 def zone_of(member: int) -> str:
-    """The zone of a member."""
+    """Returns the zone of a member."""
     return f"z{member % 3}"
 
 
 def records_of(members: int) -> list[MemberRecord]:
-    """The records of all members, as they are before the first process of any."""
+    """Returns the records of all members before any of them has started a process."""
     return [
         MemberRecord(name_of(member), address_of(member), zone_of(member), 1, START_WALL_CLOCK_US)
         for member in range(members)
@@ -97,7 +98,7 @@
 def plankroute_member(
     member: int, process_number: int, seed: int, seeds: tuple[str, ...]
 ) -> Membership:
-    """The core that controllers run; see `CoreMaker`."""
+    """Makes the core that controllers run; the arguments are those of `CoreMaker`."""
     facts = MemberFacts(
         name_of(member),
         address_of(member),
@@ -118,21 +119,21 @@
 
 
 def instance_of(member: int, process_number: int) -> int:
-    """The instance id of a member's process."""
+    """Returns the instance id of a member's process."""
     return (member << 16) + process_number
 
 
 class Group:
-    """Cores under a script.
+    """A simulated group whose cores run under a script.
 
     Attributes:
-        cores: By member, its core; None: no process runs.
-        history: What was reported and done.
+        cores: Core of each member, by index; None if the member has no process.
+        history: Status reports and executed steps.
         now_us: Microseconds of simulated time since the start.
-        bytes: Bytes of all datagrams that were sent.
-        datagrams: Their number.
-        busy_s: CPU seconds that the cores took.
-        counts: What the cores counted.
+        sent_bytes: Bytes of all datagrams that were sent.
+        sent_datagrams: Number of datagrams that were sent.
+        busy_s: Real time spent in the cores, in seconds.
+        metrics: Sums of the metrics that the cores counted.
     """
 
     def __init__(
@@ -145,17 +146,17 @@
         seeds: int = 3,
         has_full_tables: bool = False,
     ) -> None:
-        """Schedules the starts and the script's steps.
+        """Schedules the starts of all members and the script's steps.
 
         Args:
-            members: How many members.
-            script: What befalls them.
-            make: Makes their cores.
+            members: Number of members.
+            script: The faults.
+            make: Makes the members' cores.
             seed: Seed of the run.
-            start_s: All start within so many seconds.
-            seeds: How many of the first members are asked by those that start.
-            has_full_tables: Whether each starts with all others in its table, as a group that has
-                long come together.
+            start_s: Seconds over which the starts are spread.
+            seeds: Number of members, counted from the first, that starting members contact.
+            has_full_tables: Whether each member's first process starts with all others in its
+                table, as in a group that formed long ago.
         """
         self.script = script
         self.make = make
@@ -169,27 +170,27 @@
         self.received_in_pause: list[list[MessageReceived]] = [[] for _ in range(members)]
         self.tick_due_us = [0] * members
         self.member_by_address = {address_of(member): member for member in range(members)}
-        self.sent: Counter[tuple[int, int]] = Counter()
-        self.bytes = 0
-        self.datagrams = 0
+        self.sent_by_pair: Counter[tuple[int, int]] = Counter()
+        self.sent_bytes = 0
+        self.sent_datagrams = 0
         self.busy_s = 0.0
-        self.counts: Counter[str] = Counter()
+        self.metrics: Counter[str] = Counter()
         self.queue: list[tuple[int, int, Callable[[], None]]] = []
-        self.scheduled = 0
+        self.scheduled_actions = 0
         self.now_us = 0
         for member in range(members):
             due_us = int(member / members * start_s * SECOND)
             self.schedule(due_us, partial(self.start, member))
         for step in script.steps:
-            self.schedule(int(step.at_s * SECOND), partial(self.do, step))
+            self.schedule(int(step.at_s * SECOND), partial(self.execute_step, step))
 
     def schedule(self, due_us: int, action: Callable[[], None]) -> None:
-        """Schedules an action; those of one time run in the order in which they were scheduled."""
-        self.scheduled += 1
-        heapq.heappush(self.queue, (due_us, self.scheduled, action))
+        """Schedules an action; actions due at the same time run in the order of scheduling."""
+        self.scheduled_actions += 1
+        heapq.heappush(self.queue, (due_us, self.scheduled_actions, action))
 
     def run(self, seconds: float) -> Self:
-        """Runs on for so many seconds of simulated time."""
+        """Continues the run for that much simulated time; returns the group."""
         end_us = self.now_us + int(seconds * SECOND)
         queue = self.queue
         while queue and queue[0][0] <= end_us:
@@ -210,12 +211,12 @@
         self.tick_due_us[member] = 0
         is_first = self.process_counts[member] == 1
         if self.has_full_tables and is_first:
-            view = ViewExchange(self.all_others(member))
+            view = ViewExchange(self.records_of_others(member))
             self.deliver(member, MessageReceived(address_of(member), view))
         self.deliver(member, TickDue())
 
-    def all_others(self, member: int) -> tuple[MemberRecord, ...]:
-        """The records of all other members' first processes."""
+    def records_of_others(self, member: int) -> tuple[MemberRecord, ...]:
+        """Returns the records of all other members' first processes."""
         return tuple(
             MemberRecord(
                 name_of(other),
@@ -228,8 +229,8 @@
             if other != member
         )
 
-    def do(self, step: Step) -> None:
-        """Does a step of the script."""
+    def execute_step(self, step: Step) -> None:
+        """Executes a step of the script, and adds it to the history."""
         member = step.member
         self.history.executed_steps.append(ExecutedStep(self.now_us, step.act.value, member))
         match step.act:
@@ -245,7 +246,11 @@
                 self.deliver(member, LeaveRequested())
 
     def resume(self, member: int) -> None:
-        """Ends a pause; what is due comes before what has arrived meanwhile, the harder order."""
+        """Ends a pause, and delivers what became due during it.
+
+        An overdue tick is delivered before the datagrams that arrived during the pause. This is the
+        harder order: the core checks its timeouts before it sees the answers.
+        """
         self.paused[member] = False
         received = self.received_in_pause[member]
         self.received_in_pause[member] = []
@@ -257,13 +262,13 @@
     # Events and commands of a core
 
     def tick(self, member: int, due_us: int) -> None:
-        """Delivers a tick, unless another one has been asked for since."""
+        """Delivers a tick, unless the core has asked for another time since, or is paused."""
         is_current = self.tick_due_us[member] == due_us
         if is_current and self.cores[member] and not self.paused[member]:
             self.deliver(member, TickDue())
 
     def arrive(self, member: int, event: MessageReceived) -> None:
-        """Delivers a datagram; to a paused member after the pause."""
+        """Delivers a datagram; for a paused member it is kept until the pause ends."""
         if self.cores[member] is None:
             return
         if self.paused[member]:
@@ -272,7 +277,7 @@
             self.deliver(member, event)
 
     def deliver(self, member: int, event: Event) -> None:
-        """Delivers an event to a member's core, and carries out its commands."""
+        """Delivers an event to a member's core, if it has one, and carries out its commands."""
         core = self.cores[member]
         if core is None:
             return
@@ -293,33 +298,33 @@
                 report = StatusReport(
                     self.now_us,
                     member,
-                    place_of(record.name),
+                    member_of(record.name),
                     change.value,
                     record.instance_id,
                     record.incarnation,
                 )
                 self.history.reports.append(report)
             case CountMetric(metric, amount):
-                self.counts[metric.value] += amount
+                self.metrics[metric.value] += amount
             case LeaveCompleted():
                 self.cores[member] = None
 
     def wake_at(self, member: int, due_us: int) -> None:
-        """Schedules a member's next tick in place of the one before."""
+        """Schedules a member's next tick, which replaces the one scheduled before."""
         if due_us == self.tick_due_us[member]:
             return
         self.tick_due_us[member] = due_us
         self.schedule(max(self.now_us, due_us), partial(self.tick, member, due_us))
 
     def send(self, member: int, address: str, message: Message) -> None:
-        """Sends a datagram; the script has its fate."""
-        self.datagrams += 1
-        self.bytes += HEADER.size + len(CODEC.encoder.encode(message))
+        """Sends a datagram; the script decides whether, when and how often it arrives."""
+        self.sent_datagrams += 1
+        self.sent_bytes += HEADER.size + len(CODEC.encoder.encode(message))
         receiver = self.member_by_address.get(address)
         if receiver is None:
             return
-        self.sent[member, receiver] += 1
-        number = self.sent[member, receiver]
+        self.sent_by_pair[member, receiver] += 1
+        number = self.sent_by_pair[member, receiver]
         event = MessageReceived(address_of(member), message)
         for delay_us in self.script.fate(self.now_us, member, receiver, number):
             due_us = self.now_us + ONE_WAY_US + delay_us
