--- a/plankroute/testbed/cold_host_load.py
+++ b/plankroute/testbed/cold_host_load.py
@@ -1,6 +1,7 @@
-"""Computes the load that proxies bring to cold hosts; a host that gets too much falls over.
+"""Computes the load that proxies put on cold hosts, and finds the hosts that are overloaded.
 
-Computed each 100 ms from the tables that real controllers sent to stub proxies. Judges nothing.
+The load is computed each 100 ms from the tables that real controllers sent to stub proxies. It is
+up to the callers to compare the result with their expectations.
 """
 
 import asyncio
@@ -21,9 +22,9 @@
 
     Attributes:
         start_capacity: Share of its full capacity that a host has at its start.
-        warmup_s: Seconds until it is warm.
-        overload_multiple: No host may get more than this multiple of its present capacity over
-            the window.
+        warmup_s: Seconds from a host's start until it is warm.
+        overload_multiple: A host may receive at most this multiple of its present capacity, on
+            average over the window.
         overload_window_s: The window, in seconds.
     """
 
@@ -33,27 +34,29 @@
     overload_window_s: float = 2.0
 
     def capacity(self, age_s: float) -> float:
-        """Share of its full capacity at that age."""
+        """Returns the share of its full capacity that a host has at that age."""
         return min(
-            1.0, self.start_capacity + (1 - self.start_capacity) * max(0.0, age_s) / self.warmup_s
+            1.0,
+            self.start_capacity + (1 - self.start_capacity) * max(0.0, age_s) / self.warmup_s,
         )
 
 
 class TickLoad(NamedTuple):
-    """What a host got, and what it could serve, in one tick."""
+    """What a host received and what it could serve in one tick, in units of `ColdHostLoad.rate`."""
 
     received: float
     capacity: float
 
 
 class ColdHostLoad:
-    """Adds up what hosts get.
+    """Accumulates the load on each cold host over time.
 
     Attributes:
-        rate: Requests a second of one controller's proxies, in units of what a warm host serves.
-        boot_s: By host, the steady time of its start; None: long ago.
-        max_ratio: By host, the most it got, over its capacity.
-        overloaded_s: By host that fell over, when.
+        rate: Requests a second that the proxies of one controller send, in units of what a warm
+            host serves in a second.
+        boot_s: By host, the monotonic time of its start; None for a host that is already warm.
+        max_ratio: By host, the highest ratio of its load to its capacity over a window.
+        overloaded_s: By host that was overloaded, the monotonic time at which that happened first.
     """
 
     def __init__(
@@ -64,6 +67,15 @@
         controllers: int,
         proxies: Callable[[], Iterable[StubProxy]],
     ) -> None:
+        """Starts without any load.
+
+        Args:
+            model: How hosts warm up.
+            rate: Requests a second of all proxies, in units of what a warm host serves.
+            boot_s: By host, the monotonic time of its start; None for a host that is already warm.
+            controllers: Number of controllers, to each of which an equal part of the rate belongs.
+            proxies: Returns the proxies that are joined at the time of the call.
+        """
         self.model = model
         self.rate = rate / controllers
         self.boot_s = boot_s
@@ -74,13 +86,13 @@
         self.began_s = time.monotonic()
 
     async def run(self, for_s: float) -> None:
-        """Computes loads for that long."""
+        """Computes the load each `TICK_S`, until `for_s` seconds after this object was made."""
         while time.monotonic() - self.began_s < for_s:
             await asyncio.sleep(TICK_S)
             self.tick(time.monotonic())
 
     def tick(self, now_s: float) -> None:
-        """Adds one tick of all proxies."""
+        """Adds the load of one tick, which all proxies put on their hosts."""
         rates: dict[str, float] = {}
         for proxy in self.proxies():
             for name, share in proxy.shares().items():
@@ -89,9 +101,10 @@
             self.add(name, now_s, rate)
 
     def add(self, name: str, now_s: float, rate: float) -> None:
-        """Adds one tick of one host.
+        """Adds the load of one tick on one host; a host that is already warm is ignored.
 
-        A window that is not over yet counts as a whole one: a short burst may use it up.
+        The load in a window that is not yet full is compared with the capacity over a full window,
+        since a short burst may use that up.
         """
         boot_s = self.boot_s[name]
         if boot_s is None:
@@ -108,7 +121,11 @@
             self.overloaded_s.setdefault(name, now_s)
 
     def notes(self) -> dict[str, object]:
-        """For the report: mean and maximum of load over capacity, and how many hosts fell over."""
+        """Returns figures for the report, under the keys of the report.
+
+        These are the mean and the maximum of load over capacity, and the number of overloaded
+        hosts.
+        """
         ratios = list(self.max_ratio.values())
         return {
             "over_mean": round(sum(ratios) / max(1, len(ratios)), 2),
--- a/plankroute/testbed/cold_start_cases.py
+++ b/plankroute/testbed/cold_start_cases.py
@@ -1,4 +1,7 @@
-"""Hard cases of a cold start through peers: watchers that fail, partitions, drains, lies."""
+"""Cases of a cold start with links between controllers, under faults.
+
+Covers failing watchers, partitions, drains during the start, and a watcher that sends false data.
+"""
 
 from collections.abc import Callable
 from typing import Any
@@ -22,29 +25,32 @@
 from plankroute.testbed.faults import Act, Rule, Script, Step, partition, pauses
 from plankroute.testbed.list_service import Behaviour
 
-LARGE_HOSTS = 8000  # of a list of 1 MB
+LARGE_HOSTS = 8000  # makes a list of 1 MB
 SLOW_BYTES_A_SECOND = 50_000.0  # on a link
 LIMIT_S = 60.0
 NO_END_S = 1e6
 LIST_OLD_S = 5.0
 FAILURE_EVENTS = ("election_failed", "core_failed", "membership_core_failed", "discovery_failed")
-MAX_FAILURES = 3  # that are reported
+MAX_REPORTED_FAILURES = 3
 
 ScriptMaker = Callable[[list[int]], Script]
 
 
-def no_faults(watching: list[int]) -> Script:
-    """A script whose only rule changes nothing, so that links between controllers are there."""
+def no_faults(watcher_members: list[int]) -> Script:
+    """Returns a script whose only rule has no effect.
+
+    With a rule in the script, controllers connect through the testbed's links.
+    """
     return Script(1, (Rule(),))
 
 
 class ColdCase(msgspec.Struct, frozen=True):
-    """A hard case; fields with the names of those of `Case` mean the same.
+    """A case; fields that `Case` has as well have the same meaning here.
 
     Attributes:
-        play: What is done once all have started.
-        script: Makes the script, from the places of the watchers.
-        absent: Controllers that the play starts.
+        play: Acts and checks after the controllers have started.
+        script: Makes the script, from the indexes of the watchers.
+        absent: Controllers that are not started with the others; the play may start them later.
     """
 
     play: Play
@@ -60,45 +66,47 @@
 
 
 def slow_links(*rules: Rule, steps: tuple[Step, ...] = ()) -> Script:
-    """A script with slow links between all controllers."""
+    """Returns a script with slow links between all controllers, and these faults."""
     return Script(1, (Rule(bytes_a_second=SLOW_BYTES_A_SECOND), *rules), steps)
 
 
-def only_slow_links(watching: list[int]) -> Script:
-    """Slow links, and nothing else."""
+def only_slow_links(watcher_members: list[int]) -> Script:
+    """Returns a script with slow links and no other faults."""
     return slow_links()
 
 
-def kill_two_watchers(watching: list[int]) -> Script:
-    """Two of three watchers are killed, one after another."""
-    steps = [Step(4.0 + place, Act.KILL, member) for place, member in enumerate(watching[:2])]
+def kill_two_watchers(watcher_members: list[int]) -> Script:
+    """Returns a script that kills two of three watchers, one after the other."""
+    steps = [
+        Step(4.0 + index, Act.KILL, member) for index, member in enumerate(watcher_members[:2])
+    ]
     return slow_links(steps=tuple(steps))
 
 
-def pause_watchers(watching: list[int]) -> Script:
-    """The watchers are paused again and again."""
-    return slow_links(steps=pauses(tuple(watching), 2.0, 14.0, 1))
+def pause_watchers(watcher_members: list[int]) -> Script:
+    """Returns a script that pauses the watchers repeatedly."""
+    return slow_links(steps=pauses(tuple(watcher_members), 2.0, 14.0, 1))
 
 
-def cut_a_watcher_one_way(watching: list[int]) -> Script:
-    """Nothing that a watcher sends arrives."""
+def cut_a_watcher_one_way(watcher_members: list[int]) -> Script:
+    """Returns a script in which nothing that one watcher sends arrives."""
     return slow_links(
-        Rule(3.0, NO_END_S, (watching[0],), tuple(others(watching)), cut=True),
+        Rule(3.0, NO_END_S, (watcher_members[0],), tuple(others(watcher_members)), cut=True),
     )
 
 
-def cut_small_side(watching: list[int]) -> Script:
-    """A partition between a small side and the rest."""
+def cut_small_side(watcher_members: list[int]) -> Script:
+    """Returns a script with a partition between a small side and the other controllers."""
     sides = tuple(small_side()), tuple(others(small_side()))
     return Script(1, partition(sides, PARTITION_FROM_S, PARTITION_UNTIL_S))
 
 
-PARTED = "parted"
-CASES: dict[str, ColdCase] = {  # the longest first
+PARTITION_CASE = "parted"
+CASES: dict[str, ColdCase] = {  # the longest first, since they start in this order
     "watchers killed": ColdCase(plays.drained_meanwhile, kill_two_watchers, LARGE_HOSTS),
     "watchers paused": ColdCase(plays.drained_meanwhile, pause_watchers, LARGE_HOSTS),
     "watcher cut one way": ColdCase(plays.drained_meanwhile, cut_a_watcher_one_way, LARGE_HOSTS),
-    PARTED: ColdCase(plays.partitioned, cut_small_side),
+    PARTITION_CASE: ColdCase(plays.partitioned, cut_small_side),
     "drained ahead": ColdCase(
         plays.drained_ahead, only_slow_links, hosts=200, with_hosts=True, known=900, padding=5000
     ),
@@ -113,8 +121,13 @@
 }
 
 
-def start_of(case: ColdCase, net: int) -> ColdStart:
-    """The cold start of a hard case."""
+def make_cold_start(case: ColdCase, net: int) -> ColdStart:
+    """Returns the cold start of a case, not yet begun.
+
+    Args:
+        case: The case.
+        net: Second or third byte of its loopback addresses.
+    """
     start = ColdStart(
         Case(
             way="peers",
@@ -138,19 +151,20 @@
 
 
 async def run_cold_case(name: str, net: int) -> tuple[Objections, dict[str, Any]]:
-    """Runs a hard case.
+    """Runs a case; its processes end also after an exception.
 
     Args:
         name: Its name in `CASES`.
         net: Second or third byte of its loopback addresses.
 
     Returns:
-        Objections, and what was seen.
+        Objections, with up to `MAX_REPORTED_FAILURES` log lines that report an internal failure,
+        and the figures of the start.
     """
     case = CASES[name]
-    start = start_of(case, net)
+    start = make_cold_start(case, net)
     cut = DiscoveryCut(start, PARTITION_FROM_S, PARTITION_UNTIL_S)
-    if name == PARTED:
+    if name == PARTITION_CASE:
         start.detours = dict.fromkeys(small_side(), cut)
     try:
         await start.begin()
@@ -161,7 +175,7 @@
             for line in lines
             if line.get("event") in FAILURE_EVENTS
         ]
-        return objections + failures[:MAX_FAILURES], msgspec.to_builtins(start.seen())
+        return objections + failures[:MAX_REPORTED_FAILURES], msgspec.to_builtins(start.seen())
     finally:
         await start.close()
         cut.close()
--- a/plankroute/testbed/cold_start_report.py
+++ b/plankroute/testbed/cold_start_report.py
@@ -1,4 +1,4 @@
-"""What cold starts showed, side by side: a table, and a page with curves of calls at discovery."""
+"""Reports on cold starts: a text table, and an HTML page with curves of the calls at discovery."""
 
 import jinja2
 
@@ -28,9 +28,9 @@
 <line x1="{{ margin }}" y1="{{ height - margin }}" x2="{{ width }}" y2="{{ height - margin }}"
  stroke="#999"/>
 <polyline fill="none" stroke="{{ curve.colour }}" stroke-width="2" points="{{ curve.points }}"/>
-<text x="2" y="16" font-size="12">{{ curve.most }}</text>
+<text x="2" y="16" font-size="12">{{ curve.max_calls }}</text>
 <text x="{{ width - 60 }}" y="{{ height - 10 }}" font-size="12">{{ curve.seconds }} s</text></svg>
-{% endfor %}<p>The scale of each curve is its own.</p></html>
+{% endfor %}<p>Each curve has its own scale.</p></html>
 """,
     autoescape=True,
 )
@@ -48,21 +48,21 @@
 )
 
 
-def seconds(value: float | None) -> str:
-    """A time for people."""
+def format_seconds(value: float | None) -> str:
+    """Formats a time; None is "never"."""
     return "never" if value is None else f"{value:.2f} s"
 
 
-def cells(seen: Seen) -> tuple[str, ...]:
-    """One start under `HEADINGS`."""
+def table_row(seen: Seen) -> tuple[str, ...]:
+    """Returns the cells of one start, in the order of `HEADINGS`."""
     checks = seen.notes.get("probes_a_host_mean")
     return (
         seen.way,
         str(seen.calls),
         str(seen.refused),
         str(seen.busiest),
-        seconds(seen.first_s),
-        seconds(seen.last_s),
+        format_seconds(seen.first_s),
+        format_seconds(seen.last_s),
         f"{seen.served}/{seen.stewards}",
         f"{seen.bytes / 1e6:.2f}",
         f"{seen.cpu_s:.2f} s",
@@ -71,41 +71,41 @@
 
 
 def table(rows: list[Seen]) -> str:
-    """A table for people."""
-    return text_table([HEADINGS, *(cells(seen) for seen in rows)])
+    """Formats the starts as a text table."""
+    return text_table([HEADINGS, *(table_row(seen) for seen in rows)])
 
 
-def curve(seen: Seen) -> dict[str, object]:
-    """Calls within the second up to each bin, as points of a curve."""
+def call_curve(seen: Seen) -> dict[str, object]:
+    """Returns the template values of a curve: at each bin, the calls within the second up to it."""
     last = max([int(bin_number) for bin_number in seen.bins], default=0) + BINS_A_SECOND
     sums = [
         sum(seen.bins.get(end - back, 0) for back in range(BINS_A_SECOND))
         for end in range(last + 1)
     ]
-    most = max(sums) or 1
+    max_calls = max(sums) or 1
     points = " ".join(
         f"{MARGIN + (WIDTH - MARGIN) * bin_number / last:.1f},"
-        f"{HEIGHT - MARGIN - (HEIGHT - 2 * MARGIN) * calls / most:.1f}"
+        f"{HEIGHT - MARGIN - (HEIGHT - 2 * MARGIN) * calls / max_calls:.1f}"
         for bin_number, calls in enumerate(sums)
     )
     return {
         "way": seen.way,
         "points": points,
-        "most": most,
+        "max_calls": max_calls,
         "seconds": round(last * BIN_S, 1),
         "colour": COLOURS.get(seen.way, OTHER_COLOUR),
     }
 
 
 def page(rows: list[Seen]) -> str:
-    """An HTML page with the table and curves."""
+    """Returns an HTML page with the table and a curve for each start; `rows` must not be empty."""
     text: str = PAGE.render(
         controllers=rows[0].stewards,
         headings=HEADINGS,
-        rows=[cells(seen) for seen in rows],
+        rows=[table_row(seen) for seen in rows],
         width=WIDTH,
         height=HEIGHT,
         margin=MARGIN,
-        curves=[curve(seen) for seen in rows],
+        curves=[call_curve(seen) for seen in rows],
     )
     return text
--- a/plankroute/testbed/warm_restart_report.py
+++ b/plankroute/testbed/warm_restart_report.py
@@ -1,4 +1,4 @@
-"""What warm restarts cost, way by way: sums over seeds, a table, and one page with curves."""
+"""Reports on warm restarts by source of prior knowledge: a text table, and a page with curves."""
 
 import jinja2
 
@@ -7,12 +7,19 @@
 
 
 def summed(rows: list[list[Outcome]]) -> list[Outcome]:
-    """Outcomes over seeds, way by way: requests are added up, the rest is a mean."""
-    return [sum_of(list(outcomes)) for outcomes in zip(*rows, strict=True)]
+    """Combines outcomes over seeds, separately for each source of prior knowledge.
 
+    Args:
+        rows: By seed, an outcome for each source, in the same order for all seeds.
 
-def sum_of(outcomes: list[Outcome]) -> Outcome:
-    """Outcomes of one way as one."""
+    Returns:
+        An outcome for each source: its requests and failures are sums, the other figures means.
+    """
+    return [combine_outcomes(list(outcomes)) for outcomes in zip(*rows, strict=True)]
+
+
+def combine_outcomes(outcomes: list[Outcome]) -> Outcome:
+    """Combines outcomes of one source; the curve is as long as the shortest one."""
     count = len(outcomes)
     curves = zip(*(outcome.curve for outcome in outcomes), strict=False)
     return Outcome(
@@ -25,17 +32,22 @@
     )
 
 
-HEADINGS = ("way", "requests", "failed", "share", "of nothing's", "ready after", "hosts known")
+HEADINGS = ("way", "requests", "failed", "share", "vs. nothing", "ready after", "hosts known")
 
 
 def table(outcomes: list[Outcome]) -> str:
-    """A table for people."""
+    """Formats the outcomes as a text table."""
     base = next((one.failure_ratio() for one in outcomes if one.way == NOTHING), 0.0)
     return text_table([HEADINGS, *(table_row(outcome, base) for outcome in outcomes)])
 
 
 def table_row(outcome: Outcome, base: float) -> tuple[str, ...]:
-    """One outcome under `HEADINGS`; `base`: the failure ratio with nothing known."""
+    """Returns the cells of one outcome, in the order of `HEADINGS`.
+
+    Args:
+        outcome: The outcome.
+        base: Failure ratio without prior knowledge; 0 if it is unknown or no request failed.
+    """
     ratio = outcome.failure_ratio()
     return (
         outcome.way,
@@ -58,26 +70,27 @@
 <svg viewBox="0 0 760 120" role="img" aria-label="{{ curve.way }}">
 <line x1="0" y1="110" x2="760" y2="110" stroke="#999"/>
 <polyline fill="none" stroke="#2f6db3" stroke-width="2" points="{{ curve.points }}"/>
-<text x="2" y="14" font-size="12">{{ most }}</text></svg>{% endfor %}</html>
+<text x="2" y="14" font-size="12">{{ max_share }}</text></svg>{% endfor %}</html>
 """,
     autoescape=True,
 )
 
 
 def page(outcomes: list[Outcome]) -> str:
-    """An HTML page with the table and curves, all of one scale."""
-    most = max((max(outcome.curve, default=0.0) for outcome in outcomes), default=0.0) or 1.0
+    """Returns an HTML page with the table and a curve for each outcome, all on the same scale."""
+    max_share = max((max(outcome.curve, default=0.0) for outcome in outcomes), default=0.0) or 1.0
     curves = [
-        {"way": outcome.way, "points": curve_points(outcome.curve, most)} for outcome in outcomes
+        {"way": outcome.way, "points": curve_points(outcome.curve, max_share)}
+        for outcome in outcomes
     ]
-    text: str = PAGE.render(table=table(outcomes), curves=curves, most=f"{most:.0%}")
+    text: str = PAGE.render(table=table(outcomes), curves=curves, max_share=f"{max_share:.0%}")
     return text
 
 
-def curve_points(curve: list[float], most: float) -> str:
-    """The points of a curve in the page's picture; `most` is at its upper edge."""
+def curve_points(curve: list[float], max_share: float) -> str:
+    """Returns the points of a curve in SVG coordinates, with `max_share` at the upper edge."""
     last = max(1, len(curve) - 1)
     return " ".join(
-        f"{760 * tick / last:.1f},{110 - 100 * share / most:.1f}"
+        f"{760 * tick / last:.1f},{110 - 100 * share / max_share:.1f}"
         for tick, share in enumerate(curve)
     )
