--- a/plankroute/testbed/cold_start_plays.py
+++ b/plankroute/testbed/cold_start_plays.py
@@ -156,7 +156,9 @@
     """Watchers fail by script while the list is handed out; a host begins to drain."""
     await asyncio.sleep(3.0)
     start.service.change(DRAINED_HOST, state="DRAINING")
-    killed = {done.member for done in start.processes.history.done if done.act == Act.KILL.value}
+    killed = {
+        step.member for step in start.processes.history.executed_steps if step.act == Act.KILL.value
+    }
     alive = [member for member in ALL if member not in killed]
     return await expect(
         start,
@@ -283,7 +285,7 @@
     assert start.load
     load = start.load
     bound_s = time.monotonic()
-    await start.until(lambda: time.monotonic() - bound_s > 2 * ColdHostModel().window_s)
+    await start.until(lambda: time.monotonic() - bound_s > 2 * ColdHostModel().overload_window_s)
     notes = load.notes()
     if len(load.max_ratio) < start.case.hosts / 2:
         objections.append(
--- a/plankroute/testbed/history.py
+++ b/plankroute/testbed/history.py
@@ -1,20 +1,20 @@
-"""What all members reported about each other, in one order of time, and what was done to them.
+"""Record of a run: the status changes that members reported, and the steps that were executed.
 
-Recorded here; judged by `checkers`.
+Simulated groups and real processes fill the same record. The functions of `checkers` evaluate it.
 """
 
 import msgspec
 
 
-class Entry(msgspec.Struct, frozen=True):
-    """A member reported a change of another one's status.
+class StatusReport(msgspec.Struct, frozen=True):
+    """A member's report that another member's status changed.
 
     Attributes:
-        at_us: When, in microseconds of the history's clock.
-        observer: The member that reported it, by its place in the group.
-        subject: The member it is about.
+        at_us: Time of the report, in microseconds of the history's clock.
+        observer: Index of the member that reported it.
+        subject: Index of the member whose status changed.
         change: The status change, as the log event names it.
-        life: The instance id of the subject's process.
+        instance_id: The instance id of the subject's process.
         incarnation: The subject's incarnation.
     """
 
@@ -22,17 +22,17 @@
     observer: int
     subject: int
     change: str
-    life: int = 0
+    instance_id: int = 0
     incarnation: int = 0
 
 
-class Done(msgspec.Struct, frozen=True):
-    """Something that was done to a member.
+class ExecutedStep(msgspec.Struct, frozen=True):
+    """An act that was carried out on a member's process.
 
     Attributes:
-        at_us: When, in microseconds of the history's clock.
-        act: What, as the value of a `faults.Act`.
-        member: To whom.
+        at_us: Time of the act, in microseconds of the history's clock.
+        act: The value of the `faults.Act`.
+        member: Index of the member.
     """
 
     at_us: int
@@ -41,20 +41,20 @@
 
 
 class History(msgspec.Struct):
-    """All entries of a run.
+    """All reports and steps of a run.
 
     Attributes:
         members: The size of the group.
-        entries: What was reported, in order of time.
-        done: What was done, in order of time.
-        ends_us: When the run ended.
+        reports: Reports of status changes, in order of time.
+        executed_steps: Acts on members' processes, in order of time.
+        ends_us: End of the run, in microseconds of the history's clock.
     """
 
     members: int
-    entries: list[Entry] = []
-    done: list[Done] = []
+    reports: list[StatusReport] = []
+    executed_steps: list[ExecutedStep] = []
     ends_us: int = 0
 
-    def of(self, *changes: str) -> list[Entry]:
-        """The entries about these status changes."""
-        return [entry for entry in self.entries if entry.change in changes]
+    def reports_of(self, *changes: str) -> list[StatusReport]:
+        """Returns the reports of these status changes, in order of time."""
+        return [report for report in self.reports if report.change in changes]
--- a/tests/membership/test_membership_golden.py
+++ b/tests/membership/test_membership_golden.py
@@ -118,15 +118,15 @@
                 fields = "counted", amount
             case LeaveCompleted():
                 fields = ("finished",)
-        self.digest.update(repr((self.now, member, *fields)).encode())
+        self.digest.update(repr((self.now_us, member, *fields)).encode())
         super().carry_out(member, command)
 
 
 def make_member_with_duplicate_name(
-    member: int, life: int, seed: int, seeds: tuple[str, ...]
+    member: int, process_number: int, seed: int, seeds: tuple[str, ...]
 ) -> Core:
     """Member 5 starts with the name of member 4, but at its own address."""
-    core = plankroute_member(member, life, seed, seeds)
+    core = plankroute_member(member, process_number, seed, seeds)
     if member == 5:
         core = plankroute_member(4, 99, seed + 7, seeds)
         core.table.store(0, msgspec.structs.replace(core.table.own_record(), address=address_of(5)))
@@ -165,7 +165,7 @@
     ),
     "all members known at the start": (
         lambda: DigestingGroup(
-            80, Script(5, (Rule(loss=0.3),), (Step(5, Act.KILL, 79),)), seed=5, known=True
+            80, Script(5, (Rule(loss=0.3),), (Step(5, Act.KILL, 79),)), seed=5, has_full_tables=True
         ).run(12),
         "d963037f019d6c2c984fcf7ba1040d31",
     ),
@@ -177,5 +177,5 @@
     make, recorded = GROUPS[name]
     group = make()
     request_view(group)
-    assert group.now % SECOND == 0
+    assert group.now_us % SECOND == 0
     assert group.digest.hexdigest() == recorded
