--- a/plankroute/testbed/cold_start.py
+++ b/plankroute/testbed/cold_start.py
@@ -34,7 +34,7 @@
         hosts: How many hosts are listed.
         behaviour: What discovery does.
         seed: Seed of what is drawn.
-        net: Second or third byte of loopback addresses; each start that runs has its own.
+        loopback_net: Octet of the loopback addresses; each start that runs has its own.
         limit_s: Limit of each wait.
         own: More of the coldstart section of the feature file.
         script: Faults between controllers.
@@ -50,7 +50,7 @@
     hosts: int = 500
     behaviour: Behaviour = Behaviour()
     seed: int = 1
-    net: int = 90
+    loopback_net: int = 90
     limit_s: float = 120.0
     own: JsonObject = {}
     script: Script = NO_FAULTS
@@ -118,7 +118,7 @@
     return Plan(
         case.stewards,
         case.script,
-        case.net,
+        case.loopback_net,
         has_feature_file=case.way != "today",
         starts_at_once=True,
         sections={"coldstart": {"calls_a_second": case.behaviour.rate, **case.own}},
@@ -156,7 +156,7 @@
 
     def __init__(self, case: Case) -> None:
         self.case = case
-        self.hosts = StubHosts(case.hosts, case.net) if case.with_hosts else None
+        self.hosts = StubHosts(case.hosts, case.loopback_net) if case.with_hosts else None
         self.service = StubDiscovery(self.targets(), case.behaviour)
         self.started_processes: ControllerProcesses | None = None
         self.proxies: dict[int, StubProxy] = {}
@@ -185,7 +185,7 @@
         """Starts all controllers at one moment."""
         if self.hosts:
             await self.hosts.open()
-        address = await self.service.open(f"127.250.{self.case.net}.1")
+        address = await self.service.open(f"127.250.{self.case.loopback_net}.1")
         known: JsonObject | None = None
         if self.case.known:
             known = {"rev": self.case.known, "all": True, "targets": self.service.targets}
@@ -213,7 +213,7 @@
         """Sends some controllers to discovery by a detour; there is one for all of these."""
         for detour in set(self.detours.values()):
             detour.address = discovery
-            address = await detour.open(f"127.250.{self.case.net}.2")
+            address = await detour.open(f"127.250.{self.case.loopback_net}.2")
             self.processes.configurations = {
                 member: {"discovery": address} for member in self.detours
             }
--- a/plankroute/testbed/cold_start_cases.py
+++ b/plankroute/testbed/cold_start_cases.py
@@ -122,7 +122,7 @@
             hosts=case.hosts,
             behaviour=case.behaviour,
             seed=1,
-            net=net,
+            loopback_net=net,
             limit_s=LIMIT_S,
             own={"list_old_s": LIST_OLD_S},
             script=case.script(watchers()),
--- a/plankroute/testbed/fleet_stage.py
+++ b/plankroute/testbed/fleet_stage.py
@@ -39,7 +39,7 @@
         proxies: Number of proxies.
         hosts: Hosts at the start.
         spare_hosts: Hosts that may be listed later.
-        net: Second or third byte of loopback addresses; each stage that is open has its own.
+        loopback_net: Octet of the loopback addresses; each stage that is open has its own.
         seed: Draws where proxies go.
         lines_per_s: Pace of a controller's channel.
         backlog_cap: Lines that may wait in it.
@@ -56,7 +56,7 @@
     proxies: int
     hosts: int
     spare_hosts: int
-    net: int
+    loopback_net: int
     seed: int = 1
     lines_per_s: float = 525.0
     backlog_cap: int = 1575
@@ -128,7 +128,7 @@
     def __init__(self, size: FleetSize) -> None:
         self.size = size
         rng = random.Random(size.seed)
-        self.hosts = StubHosts(size.hosts + size.spare_hosts, size.net)
+        self.hosts = StubHosts(size.hosts + size.spare_hosts, size.loopback_net)
         self._targets = [target(host, address) for host, address in enumerate(self.hosts.addresses)]
         self.names = [str(entry["uid"]) for entry in self._targets]
         self.present = set(range(size.hosts))
@@ -150,13 +150,13 @@
         """Starts everything; returns when all controllers listen."""
         size = self.size
         await self.hosts.open()
-        discovery = await self.discovery.open(f"127.250.{size.net}.1")
+        discovery = await self.discovery.open(f"127.250.{size.loopback_net}.1")
         known = {"rev": LIST_REVISION, "all": True, "targets": self.discovery.targets}
         self.processes = ControllerProcesses(
             Plan(
                 size.controllers,
                 Script(size.seed),
-                size.net,
+                size.loopback_net,
                 settings=size.settings(),
                 configuration={"discovery": discovery, "known": known},
                 has_feature_file=False,
--- a/plankroute/testbed/hosts.py
+++ b/plankroute/testbed/hosts.py
@@ -24,9 +24,10 @@
         max_connections: The most connections that a host had at once.
     """
 
-    def __init__(self, count: int, net: int) -> None:
+    def __init__(self, count: int, loopback_net: int) -> None:
         self.addresses = [
-            f"127.251.{net}.{host % HOSTS_PER_PORT + 1}:{FIRST_PORT + host // HOSTS_PER_PORT}"
+            f"127.251.{loopback_net}.{host % HOSTS_PER_PORT + 1}"
+            f":{FIRST_PORT + host // HOSTS_PER_PORT}"
             for host in range(count)
         ]
         self.servers: list[asyncio.Server] = []
--- a/plankroute/testbed/plan.py
+++ b/plankroute/testbed/plan.py
@@ -15,7 +15,7 @@
     Attributes:
         members: How many.
         script: What befalls them.
-        net: Second byte of their loopback addresses; each group that runs has its own.
+        loopback_net: Second byte of their loopback addresses; each group that runs has its own.
         seeds: Members that the others ask at their start.
         absent: Members that are not started until a step says so.
         names: By member, a name other than its usual one.
@@ -33,7 +33,7 @@
 
     members: int
     script: Script
-    net: int
+    loopback_net: int
     seeds: tuple[int, ...] = (0, 1, 2)
     absent: tuple[int, ...] = ()
     names: dict[int, str] = {}
--- a/plankroute/testbed/processes.py
+++ b/plankroute/testbed/processes.py
@@ -102,7 +102,7 @@
     def addresses(self, port: int) -> list[Address]:
         """By member, its loopback address with that port."""
         return [
-            (f"127.{self.plan.net}.{member // 250}.{member % 250 + 1}", port)
+            (f"127.{self.plan.loopback_net}.{member // 250}.{member % 250 + 1}", port)
             for member in range(self.plan.members)
         ]
 
--- a/plankroute/testbed/scenario.py
+++ b/plankroute/testbed/scenario.py
@@ -115,4 +115,4 @@
 
 def plan_of(members: int, seed: int, *rules: Rule, steps: Iterable[Step] = ()) -> Plan:
     """A plan with these faults; its addresses are chosen when it runs."""
-    return Plan(members, Script(seed, tuple(rules), tuple(steps)), net=0)
+    return Plan(members, Script(seed, tuple(rules), tuple(steps)), loopback_net=0)
--- a/plankroute/testbed/scenarios.py
+++ b/plankroute/testbed/scenarios.py
@@ -113,7 +113,7 @@
         net: Second byte of its loopback addresses.
     """
     scenario = SCENARIOS[name]
-    plan = msgspec.structs.replace(scenario.plan(members, seed, full), net=net)
+    plan = msgspec.structs.replace(scenario.plan(members, seed, full), loopback_net=net)
     trial = Trial(ControllerProcesses(plan))
     try:
         if not await trial.processes.launch():
--- a/plankroute/testbed/soak.py
+++ b/plankroute/testbed/soak.py
@@ -136,7 +136,7 @@
         problems: What was wrong beside rules.
     """
 
-    def __init__(self, seed: int, seconds: float, net: int) -> None:
+    def __init__(self, seed: int, seconds: float, loopback_net: int) -> None:
         self.seed = seed
         self.seconds = seconds
         self.stage = FleetStage(
@@ -145,7 +145,7 @@
                 proxies=40,
                 hosts=48,
                 spare_hosts=120,
-                net=net,
+                loopback_net=loopback_net,
                 seed=seed,
                 lines_per_s=350.0,
                 backlog_cap=1050,
@@ -346,12 +346,12 @@
                 self.problems.append(f"controller {member}: {descriptors} descriptors")
 
 
-async def run_soak(seed: int, seconds: float, net: int) -> SoakResult:
+async def run_soak(seed: int, seconds: float, loopback_net: int) -> SoakResult:
     """Plays one seed.
 
     Args:
         seed: Draws faults and their times.
         seconds: How long faults are played, with the time after the last one.
-        net: Second or third byte of loopback addresses; each soak that runs has its own.
+        loopback_net: Octet of the loopback addresses; each soak that runs has its own.
     """
-    return await Soak(seed, seconds, net).run()
+    return await Soak(seed, seconds, loopback_net).run()
--- a/plankroute/testbed/warm_restart.py
+++ b/plankroute/testbed/warm_restart.py
@@ -58,7 +58,7 @@
         failing_share: Share of them that fails all requests.
         warm_s: Seconds between start and restart.
         seed: Draws the failing hosts and the standing tables.
-        net: Second or third byte of loopback addresses; each trial that runs has its own.
+        loopback_net: Octet of the loopback addresses; each trial that runs has its own.
         mix: What the proxies do.
         is_killed: The controller ends by SIGKILL instead of SIGTERM.
         restarts_proxies: The proxies restart with it, and hold no table.
@@ -69,7 +69,7 @@
     failing_share: float = 0.2
     warm_s: float = 20.0
     seed: int = 1
-    net: int = 60
+    loopback_net: int = 60
     mix: Mix = Mix()
     is_killed: bool = False
     restarts_proxies: bool = False
@@ -119,7 +119,7 @@
     def __init__(self, trial: Trial, folder: str) -> None:
         self.trial = trial
         self.folder = folder
-        self.hosts = StubHosts(trial.hosts, trial.net)
+        self.hosts = StubHosts(trial.hosts, trial.loopback_net)
         failing_count = round(trial.failing_share * trial.hosts)
         self.failing = set(random.Random(trial.seed).sample(range(trial.hosts), failing_count))
         targets = [target(host, address) for host, address in enumerate(self.hosts.addresses)]
@@ -138,7 +138,7 @@
         return Plan(
             len(MEMBERS),
             Script(1),
-            trial.net,
+            trial.loopback_net,
             sections=feature_sections(trial, self.folder),
             settings={**SETTINGS, "familyInfo": proxy_settings},
             configuration={"discovery": discovery, "known": known},
@@ -150,7 +150,7 @@
     async def run(self) -> Outcome:
         """Runs the trial; all that it started is ended."""
         await self.hosts.open()
-        address = await self.service.open(f"127.250.{self.trial.net}.1")
+        address = await self.service.open(f"127.250.{self.trial.loopback_net}.1")
         processes = ControllerProcesses(self.plan(address))
         try:
             return await self.play(processes)
@@ -280,10 +280,10 @@
 
     Args:
         ways: Where prior knowledge comes from.
-        common: The trial but for its way; its `net` is the first of those that are used.
+        common: The trial but for its way; its `loopback_net` is the first of those that are used.
     """
     trials = [
-        msgspec.structs.replace(common, way=way, net=common.net + place)
+        msgspec.structs.replace(common, way=way, loopback_net=common.loopback_net + place)
         for place, way in enumerate(ways)
     ]
     return list(await asyncio.gather(*(run_trial(trial) for trial in trials)))
--- a/tests/cold_start/test_cold_start_processes.py
+++ b/tests/cold_start/test_cold_start_processes.py
@@ -35,7 +35,7 @@
                         CONTROLLERS,
                         500,
                         behaviour,
-                        net=100 + index,
+                        loopback_net=100 + index,
                         limit_s=60.0,
                         own={"retry_after_most_s": 3.0},
                     )
@@ -67,7 +67,9 @@
     Real controllers with a stub proxy each; stub hosts count the health checks.
     """
     seen = asyncio.run(
-        run_case(Case(way, 10, 60, Behaviour(20.0), net=160 + (way == "alone"), with_hosts=True))
+        run_case(
+            Case(way, 10, 60, Behaviour(20.0), loopback_net=160 + (way == "alone"), with_hosts=True)
+        )
     )
     assert seen.served == 10 and seen.notes["connections_most"] <= 10
     assert 2 <= seen.notes["probes_a_host_mean"] <= 4.5
--- a/tests/testbed/test_mass_kills.py
+++ b/tests/testbed/test_mass_kills.py
@@ -5,7 +5,7 @@
 from plankroute.testbed.faults import Act
 from plankroute.testbed.fleet_stage import FleetSize, FleetStage
 
-SIZE = FleetSize(controllers=5, proxies=60, hosts=60, spare_hosts=40, net=80)
+SIZE = FleetSize(controllers=5, proxies=60, hosts=60, spare_hosts=40, loopback_net=80)
 SURVIVOR = 2
 KILLED = [controller for controller in range(SIZE.controllers) if controller != SURVIVOR]
 BATCH = 10  # hosts that drain together
--- a/tests/warm_start/test_warm_restart_processes.py
+++ b/tests/warm_start/test_warm_restart_processes.py
@@ -30,9 +30,9 @@
         return await asyncio.gather(
             run_ways(
                 ("nothing", "snapshot", "peer", "wrong"),
-                Trial(net=60, warm_s=12.0, is_killed=True, restarts_proxies=True),
+                Trial(loopback_net=60, warm_s=12.0, is_killed=True, restarts_proxies=True),
             ),
-            run_ways(("snapshot", "peer"), Trial(net=64, warm_s=12.0)),
+            run_ways(("snapshot", "peer"), Trial(loopback_net=64, warm_s=12.0)),
         )
 
     fresh, stay = asyncio.run(run())
