--- a/plankroute/testbed/cold_start.py
+++ b/plankroute/testbed/cold_start.py
@@ -149,7 +149,7 @@
         service: Discovery.
         proxies: By controller, its stub proxy.
         first_us: By controller, when it had its first complete list.
-        absent: Controllers that are started later, by whoever looks on.
+        started_later: Controllers that are started later, by whoever looks on.
         load: The load on cold hosts, where there is one.
         detours: By controller, what stands between it and discovery.
     """
@@ -161,7 +161,7 @@
         self.started_processes: ControllerProcesses | None = None
         self.proxies: dict[int, StubProxy] = {}
         self.first_us: dict[int, int] = {}
-        self.absent: tuple[int, ...] = ()
+        self.started_later: tuple[int, ...] = ()
         self.load: ColdHostLoad | None = None
         self.detours: dict[int, Detour] = {}
 
@@ -197,7 +197,7 @@
             await processes.links.open()
             await processes.streams.open()
         for member in range(self.case.stewards):
-            if member not in self.absent:
+            if member not in self.started_later:
                 await processes.start(member)
         await processes.open_gate()
         if self.case.load:
@@ -263,7 +263,7 @@
         return [
             self.first_us.get(member)
             for member in range(self.case.stewards)
-            if member not in self.absent
+            if member not in self.started_later
         ]
 
     async def until(self, holds: Callable[[], bool]) -> bool:
--- a/plankroute/testbed/cold_start_cases.py
+++ b/plankroute/testbed/cold_start_cases.py
@@ -133,7 +133,7 @@
             cold_part=case.cold_part,
         )
     )
-    start.absent = case.absent
+    start.started_later = case.absent
     return start
 
 
--- a/plankroute/testbed/membership_scenarios.py
+++ b/plankroute/testbed/membership_scenarios.py
@@ -235,7 +235,7 @@
         """The last member starts under another one's name."""
         last = members - 1
         plan = plan_of(members, seed, steps=[Step(STEP_S, Act.START, last)])
-        return msgspec.structs.replace(plan, absent=(last,), names={last: f"n{SUBJECT:04d}"})
+        return msgspec.structs.replace(plan, started_later=(last,), names={last: f"n{SUBJECT:04d}"})
 
     def is_over(self, trial: Trial) -> bool:
         """All others have reported it, and one process has lost the name."""
@@ -262,7 +262,7 @@
     def plan(self, members: int, seed: int, full: bool) -> Plan:
         """The seed starts late."""
         plan = plan_of(members, seed, steps=[Step(self.seed_starts_s, Act.START, 0)])
-        return msgspec.structs.replace(plan, seeds=(0,), absent=tuple(range(members)))
+        return msgspec.structs.replace(plan, seeds=(0,), started_later=tuple(range(members)))
 
     async def act(self, trial: Trial) -> None:
         """Starts all but the seed."""
--- a/plankroute/testbed/plan.py
+++ b/plankroute/testbed/plan.py
@@ -17,7 +17,7 @@
         script: What befalls them.
         loopback_net: Second byte of their loopback addresses; each group that runs has its own.
         seeds: Members that the others ask at their start.
-        absent: Members that are not started until a step says so.
+        started_later: Members that are not started until a step says so.
         names: By member, a name other than its usual one.
         clock_jumps: By member, after how many seconds its wall clock jumps, and by how many.
         membership: More of the feature file's membership section.
@@ -35,7 +35,7 @@
     script: Script
     loopback_net: int
     seeds: tuple[int, ...] = (0, 1, 2)
-    absent: tuple[int, ...] = ()
+    started_later: tuple[int, ...] = ()
     names: dict[int, str] = {}
     clock_jumps: dict[int, tuple[float, float]] = {}
     membership: JsonObject = {}
--- a/plankroute/testbed/processes.py
+++ b/plankroute/testbed/processes.py
@@ -112,7 +112,9 @@
 
     def present(self) -> list[int]:
         """Members that are there from the start."""
-        return [member for member in range(self.plan.members) if member not in self.plan.absent]
+        return [
+            member for member in range(self.plan.members) if member not in self.plan.started_later
+        ]
 
     # Time
 
