--- a/plankroute/testbed/cold_start.py
+++ b/plankroute/testbed/cold_start.py
@@ -206,7 +206,7 @@
         if self.hosts:
             self.hosts.restart_clock()
         if self.case.script.rules or self.case.script.steps:
-            processes.run_task(processes.play())
+            processes.run_task(processes.run_script())
         return self
 
     async def open_detours(self, discovery: str) -> None:
@@ -238,7 +238,7 @@
 
     def join_proxy(self, member: int) -> None:
         """A stub proxy joins a controller."""
-        host, _ = self.processes.real[member]
+        host, _ = self.processes.listen_addresses[member]
         proxy = StubProxy(host, STREAM_PORT, ZONES[member % len(ZONES)])
         self.proxies[member] = proxy
         self.processes.run_task(proxy.run())
@@ -266,13 +266,13 @@
             if member not in self.started_later
         ]
 
-    async def until(self, holds: Callable[[], bool]) -> bool:
+    async def wait_until(self, holds: Callable[[], bool]) -> bool:
         """Waits until something holds; False: it did not in time."""
-        return await self.processes.until(holds, self.case.limit_s)
+        return await self.processes.wait_until(holds, self.case.limit_s)
 
     async def until_all_serve(self) -> bool:
         """Waits until all controllers have the list; False: not all have in time."""
-        return await self.until(lambda: None not in self.served_us())
+        return await self.wait_until(lambda: None not in self.served_us())
 
     def seen(self) -> Seen:
         """What the start showed so far."""
@@ -341,7 +341,7 @@
         await start.until_all_serve()
         hosts = start.hosts
         if hosts:
-            await start.until(lambda: hosts.elapsed_s() > COUNTING_PERIOD_S)
+            await start.wait_until(lambda: hosts.elapsed_s() > COUNTING_PERIOD_S)
         return start.seen()
     finally:
         await start.close()
--- a/plankroute/testbed/cold_start_cases.py
+++ b/plankroute/testbed/cold_start_cases.py
@@ -157,7 +157,7 @@
         objections = await case.play(start)
         failures = [
             str(line)
-            for lines in start.processes.lines
+            for lines in start.processes.log_lines
             for line in lines
             if line.get("event") in FAILURE_EVENTS
         ]
--- a/plankroute/testbed/cold_start_plays.py
+++ b/plankroute/testbed/cold_start_plays.py
@@ -50,7 +50,7 @@
 
 def logged_lists(start: ColdStart, member: int) -> list[LogLine]:
     """Lists that a member has logged, oldest first."""
-    return [line for line in start.processes.lines[member] if line.get("event") == "list"]
+    return [line for line in start.processes.log_lines[member] if line.get("event") == "list"]
 
 
 def have_revision(start: ColdStart, members: list[int], revision: int) -> bool:
@@ -81,7 +81,7 @@
 
 async def expect(start: ColdStart, what: str, holds: Callable[[], bool]) -> Objections:
     """Waits until something holds, and objects if it does not."""
-    if await start.until(holds):
+    if await start.wait_until(holds):
         return []
     return [f"{what} did not come within {start.case.limit_s:.0f} s"]
 
@@ -171,15 +171,15 @@
     small = small_side()
     revision = FIRST_REVISION + 1
     objections = await expect_list(start)
-    await start.until(lambda: (processes.script_us() or 0) > 20 * SECOND)
+    await start.wait_until(lambda: (processes.script_us() or 0) > 20 * SECOND)
     start.service.change(DRAINED_HOST, state="DRAINING")
-    await start.until(lambda: (processes.script_us() or 0) > 32 * SECOND)
+    await start.wait_until(lambda: (processes.script_us() or 0) > 32 * SECOND)
     if have_revision(start, small[:1], revision):
         objections.append("the cut side heard of the change: the trial shows nothing")
     warned = {member for member in small if processes.has_logged(member, "list_old")}
     if warned != set(small):
         objections.append(f"logged list_old: {sorted(warned)} of {small}")
-    healed_us = processes.at(PARTITION_UNTIL_S)
+    healed_us = processes.history_us(PARTITION_UNTIL_S)
     objections += await expect(
         start, "the newest list", lambda: have_revision(start, ALL, revision)
     )
@@ -198,7 +198,7 @@
         process.kill()
     for process in list(processes.running.values()):
         await process.wait()
-    for lines in processes.lines:
+    for lines in processes.log_lines:
         lines.clear()
     start.first_us.clear()
     for member in ALL:
@@ -283,7 +283,7 @@
     assert start.load
     load = start.load
     bound_s = time.monotonic()
-    await start.until(lambda: time.monotonic() - bound_s > 2 * ColdHostModel().window_s)
+    await start.wait_until(lambda: time.monotonic() - bound_s > 2 * ColdHostModel().window_s)
     notes = load.notes()
     if len(load.max_ratio) < start.case.hosts / 2:
         objections.append(
@@ -301,7 +301,7 @@
     liar = watchers()[0]
     processes.running[liar].kill()
     await processes.running[liar].wait()
-    host, _ = processes.real[liar]
+    host, _ = processes.listen_addresses[liar]
     lying_watcher = LyingWatcher(processes.plan.script.seed)
     server = await asyncio.start_server(lying_watcher.serve, host, LINK_PORT)
     try:
@@ -317,7 +317,7 @@
         server.close()
     failures = [
         line
-        for lines in processes.lines
+        for lines in processes.log_lines
         for line in lines
         if line.get("event") in ("election_failed", "core_failed")
     ]
--- a/plankroute/testbed/fleet_stage.py
+++ b/plankroute/testbed/fleet_stage.py
@@ -166,7 +166,7 @@
             await self.processes.start(controller)
         for controller in range(size.controllers):
             await self.wait_until_listening(controller)
-        self.addresses = [(host, STREAM_PORT) for host, _ in self.processes.real]
+        self.addresses = [(host, STREAM_PORT) for host, _ in self.processes.listen_addresses]
         for number, seed in enumerate(self._proxy_seeds):
             proxy = RoamingProxy(number, self.addresses, self.channels, random.Random(seed))
             initial = proxy.rng.sample(self.names[: size.hosts], INITIAL_HOSTS)
@@ -204,7 +204,7 @@
         Raises:
             TimeoutError: It does not in time.
         """
-        is_ready = await self.processes.until(
+        is_ready = await self.processes.wait_until(
             lambda: self.processes.has_logged(controller, "listening"), READY_TIMEOUT_S
         )
         if not is_ready:
@@ -213,7 +213,7 @@
     async def restart(self, controller: int) -> float:
         """Starts a controller that has ended; returns the seconds until it listens."""
         began_s = asyncio.get_running_loop().time()
-        self.processes.lines[controller].clear()
+        self.processes.log_lines[controller].clear()
         await self.processes.start(controller)
         await self.wait_until_listening(controller)
         return asyncio.get_running_loop().time() - began_s
@@ -222,7 +222,7 @@
         """Ends a controller; returns the seconds that it took."""
         began_s = asyncio.get_running_loop().time()
         process = self.processes.running[controller]
-        await self.processes.do(Step(0.0, act, controller))
+        await self.processes.run_step(Step(0.0, act, controller))
         await asyncio.wait_for(process.wait(), READY_TIMEOUT_S)
         self.channels[controller].clear()
         return asyncio.get_running_loop().time() - began_s
@@ -231,9 +231,9 @@
         """Returns the proxies that are joined to a controller."""
         return [proxy for proxy in self.proxies if proxy.controller == controller]
 
-    async def until(self, holds: Callable[[], bool], limit_s: float) -> bool:
+    async def wait_until(self, holds: Callable[[], bool], limit_s: float) -> bool:
         """Waits until something holds; False: it did not in time."""
-        return await self.processes.until(holds, limit_s)
+        return await self.processes.wait_until(holds, limit_s)
 
     # Hosts
 
--- a/plankroute/testbed/links.py
+++ b/plankroute/testbed/links.py
@@ -45,8 +45,8 @@
     """The links of a group's membership.
 
     Attributes:
-        real: By member, where it receives datagrams.
-        known: By member, where others think that it does.
+        listen_addresses: By member, where it receives datagrams.
+        advertised_addresses: By member, where others think that it does.
         script: What happens to datagrams.
         script_us: Microseconds since the start of the script; None: it has not started.
         carried: By sender and receiver, the number of datagrams.
@@ -55,13 +55,17 @@
     """
 
     def __init__(
-        self, real: list[Address], known: list[Address], script: Script, script_us: ScriptClock
+        self,
+        listen_addresses: list[Address],
+        advertised_addresses: list[Address],
+        script: Script,
+        script_us: ScriptClock,
     ) -> None:
-        self.real = real
-        self.known = known
+        self.listen_addresses = listen_addresses
+        self.advertised_addresses = advertised_addresses
         self.script = script
         self.script_us = script_us
-        self.members = {address: member for member, address in enumerate(real)}
+        self.members = {address: member for member, address in enumerate(listen_addresses)}
         self.ends: list[LinkEnd] = []
         self.carried: Counter[tuple[int, int]] = Counter()
         self.strangers = 0
@@ -70,7 +74,7 @@
     async def open(self) -> None:
         """Opens all links."""
         loop = asyncio.get_running_loop()
-        for member, (host, port) in enumerate(self.known):
+        for member, (host, port) in enumerate(self.advertised_addresses):
             _, end = await loop.create_datagram_endpoint(
                 partial(LinkEnd, self, member), sock=bound(f"{host}:{port}")
             )
@@ -101,7 +105,7 @@
         """Sends a datagram to its receiver, from the sender's link."""
         transport = self.ends[sender].transport
         if transport and not transport.is_closing():
-            transport.sendto(data, self.real[receiver])
+            transport.sendto(data, self.listen_addresses[receiver])
 
     def close(self) -> None:
         """Closes all links."""
@@ -120,20 +124,24 @@
     """
 
     def __init__(
-        self, real: list[Address], known: list[Address], script: Script, script_us: ScriptClock
+        self,
+        listen_addresses: list[Address],
+        advertised_addresses: list[Address],
+        script: Script,
+        script_us: ScriptClock,
     ) -> None:
-        self.real = real
-        self.known = known
+        self.listen_addresses = listen_addresses
+        self.advertised_addresses = advertised_addresses
         self.script = script
         self.script_us = script_us
-        self.members = {address[0]: member for member, address in enumerate(known)}
+        self.members = {address[0]: member for member, address in enumerate(advertised_addresses)}
         self.servers: list[asyncio.Server] = []
         self.writers: set[asyncio.StreamWriter] = set()
         self.opened: Counter[tuple[int, int]] = Counter()
 
     async def open(self) -> None:
         """Opens all links."""
-        for member, address in enumerate(self.known):
+        for member, address in enumerate(self.advertised_addresses):
             server = await asyncio.start_server(
                 partial(self.serve, member), limit=CHUNK_BYTES, sock=listening_socket(address)
             )
@@ -148,7 +156,7 @@
         writers = [writer]
         try:
             sock = short_queue_socket()
-            await asyncio.get_running_loop().sock_connect(sock, self.real[receiver])
+            await asyncio.get_running_loop().sock_connect(sock, self.listen_addresses[receiver])
             far_reader, far_writer = await asyncio.open_connection(sock=sock, limit=CHUNK_BYTES)
             writers.append(far_writer)
             self.writers.update(writers)
--- a/plankroute/testbed/membership_scenarios.py
+++ b/plankroute/testbed/membership_scenarios.py
@@ -55,7 +55,7 @@
 
     def judge(self, trial: Trial) -> list[str]:
         """Notes the shortest, the median and the longest time to detection."""
-        killed_us = trial.processes.at(self.at_s)
+        killed_us = trial.processes.history_us(self.at_s)
         survivors = self.survivors(trial)
         times_us: list[int] = []
         for victim in self.victims(trial.members):
@@ -111,13 +111,13 @@
 
     def is_over(self, trial: Trial) -> bool:
         """All agree that all are there."""
-        return trial.agreed_us(trial.processes.at(CUT_UNTIL_S)) is not None
+        return trial.agreed_us(trial.processes.history_us(CUT_UNTIL_S)) is not None
 
     def judge(self, trial: Trial) -> list[str]:
         """Notes who was called failed, and when all agreed."""
         history = trial.history
-        from_us = trial.processes.at(CUT_FROM_S)
-        until_us = trial.processes.at(CUT_UNTIL_S)
+        from_us = trial.processes.history_us(CUT_FROM_S)
+        until_us = trial.processes.history_us(CUT_UNTIL_S)
         changes = checkers.verdict_changes(history, from_us, until_us)
         objections = [
             f"{pair} changed {times} times" for pair, times in changes.items() if times > 1
@@ -146,11 +146,11 @@
 
     def is_over(self, trial: Trial) -> bool:
         """All agree that all are there."""
-        return trial.agreed_us(trial.processes.at(CUT_UNTIL_S)) is not None
+        return trial.agreed_us(trial.processes.history_us(CUT_UNTIL_S)) is not None
 
     def judge(self, trial: Trial) -> list[str]:
         """Notes how many were called failed, and when all agreed."""
-        healed_us = trial.processes.at(CUT_UNTIL_S)
+        healed_us = trial.processes.history_us(CUT_UNTIL_S)
         verdicts = checkers.standing_at(trial.history, healed_us)
         objections = [
             f"{observer} calls {subject} failed, of its own part"
@@ -214,7 +214,7 @@
 
     def judge(self, trial: Trial) -> list[str]:
         """Notes the longest time until one knew."""
-        left_us = trial.processes.at(STEP_S)
+        left_us = trial.processes.history_us(STEP_S)
         others = trial.all_but(SUBJECT)
         times = checkers.detection_us(trial.history, SUBJECT, left_us, others, "left")
         never_us = 1000 * SECOND
@@ -275,9 +275,11 @@
 
     def judge(self, trial: Trial) -> list[str]:
         """Notes when all agreed."""
-        began_us = trial.processes.at(0.0)
+        began_us = trial.processes.history_us(0.0)
         early = [entry for entry in trial.history.of("joined") if entry.at_us < began_us]
-        trial.notes["joined_after_s"] = trial.agreed_s(trial.processes.at(self.seed_starts_s))
+        trial.notes["joined_after_s"] = trial.agreed_s(
+            trial.processes.history_us(self.seed_starts_s)
+        )
         objections = trial.false_failures()
         if early:
             objections.append("joined without a seed")
@@ -328,7 +330,7 @@
             for number in range(NOISE_DATAGRAMS):
                 make_datagram = kinds[number % len(kinds)]
                 try:
-                    stranger.sendto(make_datagram(), trial.processes.real[0])
+                    stranger.sendto(make_datagram(), trial.processes.listen_addresses[0])
                 except BlockingIOError:
                     await asyncio.sleep(NOISE_PAUSE_S)
                 if number % NOISE_BURST == 0:
--- a/plankroute/testbed/processes.py
+++ b/plankroute/testbed/processes.py
@@ -26,10 +26,10 @@
 LogLine = dict[str, Any]  # a line of a controller's log: event, level, and more by event
 
 MEMBERSHIP_PORT = 7946  # where a controller receives datagrams
-KNOWN_MEMBERSHIP_PORT = 7947  # where others think that it does: its faulty link
+ADVERTISED_MEMBERSHIP_PORT = 7947  # where others think that it does: its faulty link
 STREAM_PORT = 7948  # of proxies and collectors
 LINK_PORT = 7950  # of links between controllers
-KNOWN_LINK_PORT = 7951  # where others think that they are
+ADVERTISED_LINK_PORT = 7951  # where others think that they are
 NO_DISCOVERY = "127.0.0.1:9"  # nobody listens there: the list handed over is all there is
 GROUP_NAME = "lab"
 SIGNALS = {
@@ -65,10 +65,10 @@
 
     Attributes:
         history: What they reported about each other, and what was done to them.
-        real: By member, where it receives datagrams.
-        known: By member, where others think that it does.
+        listen_addresses: By member, where it receives datagrams.
+        advertised_addresses: By member, where others think that it does.
         running: By member, its newest process.
-        lines: By member, the newest lines of its log.
+        log_lines: By member, the newest lines of its log.
         configurations: By member, more of its own configuration.
         on_line: Called with each line of a log.
     """
@@ -76,19 +76,28 @@
     def __init__(self, plan: Plan) -> None:
         self.plan = plan
         self.history = History(plan.members)
-        self.known_port = MEMBERSHIP_PORT if plan.has_direct_links else KNOWN_MEMBERSHIP_PORT
-        self.known_link_port = LINK_PORT if plan.has_direct_links else KNOWN_LINK_PORT
-        self.real = self.addresses(MEMBERSHIP_PORT)
-        self.known = self.addresses(self.known_port)
-        self.links = DatagramLinks(self.real, self.known, plan.script, self.script_us)
+        self.advertised_port = (
+            MEMBERSHIP_PORT if plan.has_direct_links else ADVERTISED_MEMBERSHIP_PORT
+        )
+        self.advertised_link_port = LINK_PORT if plan.has_direct_links else ADVERTISED_LINK_PORT
+        self.listen_addresses = self.addresses(MEMBERSHIP_PORT)
+        self.advertised_addresses = self.addresses(self.advertised_port)
+        self.links = DatagramLinks(
+            self.listen_addresses, self.advertised_addresses, plan.script, self.script_us
+        )
         self.streams = StreamLinks(
-            self.addresses(LINK_PORT), self.addresses(KNOWN_LINK_PORT), plan.script, self.script_us
+            self.addresses(LINK_PORT),
+            self.addresses(ADVERTISED_LINK_PORT),
+            plan.script,
+            self.script_us,
         )
         self.member_by_name = {
             self.name(member): member for member in reversed(range(plan.members))
         }
         self.running: dict[int, asyncio.subprocess.Process] = {}
-        self.lines: list[deque[LogLine]] = [deque(maxlen=KEPT_LINES) for _ in range(plan.members)]
+        self.log_lines: list[deque[LogLine]] = [
+            deque(maxlen=KEPT_LINES) for _ in range(plan.members)
+        ]
         self.tasks: set[asyncio.Task[None]] = set()
         self.folder = tempfile.TemporaryDirectory(prefix="plankroute-testbed-")
         self.launched_ns = time.monotonic_ns()
@@ -126,7 +135,7 @@
         """Microseconds since the start of the script; None: it has not started."""
         return None if self.script_began_us is None else self.now_us() - self.script_began_us
 
-    def at(self, script_s: float) -> int:
+    def history_us(self, script_s: float) -> int:
         """A moment of the script on the history's clock; before the script, its start is at -1."""
         began_us = -1 if self.script_began_us is None else self.script_began_us
         return began_us + int(script_s * SECOND)
@@ -141,8 +150,8 @@
         if self.plan.has_links:
             cold_start = sections["coldstart"]
             links = {
-                "listen": f"{self.real[member][0]}:{LINK_PORT}",
-                "port": self.known_link_port,
+                "listen": f"{self.listen_addresses[member][0]}:{LINK_PORT}",
+                "port": self.advertised_link_port,
                 **cold_start.get("links", {}),
             }
             sections["coldstart"] = {**cold_start, "links": links}
@@ -150,13 +159,15 @@
 
     def membership_section(self, member: int) -> JsonObject:
         """The membership section of a member's feature file."""
-        host = self.real[member][0]
+        host = self.listen_addresses[member][0]
         seeds = [seed for seed in self.plan.seeds if seed < self.plan.members]
         return {
             "group": GROUP_NAME,
             "listen": f"{host}:{MEMBERSHIP_PORT}",
-            "advertise": f"{host}:{self.known_port}",
-            "seeds": [f"{self.known[seed][0]}:{self.known_port}" for seed in seeds],
+            "advertise": f"{host}:{self.advertised_port}",
+            "seeds": [
+                f"{self.advertised_addresses[seed][0]}:{self.advertised_port}" for seed in seeds
+            ],
             **self.plan.membership,
         }
 
@@ -165,7 +176,7 @@
         settings = {**SETTINGS, "zone": member % 3, "rank": member, "instances": self.plan.members}
         return {
             "name": self.name(member),
-            "listen": f"{self.real[member][0]}:{STREAM_PORT}",
+            "listen": f"{self.listen_addresses[member][0]}:{STREAM_PORT}",
             "discovery": NO_DISCOVERY,
             "seed": f"{member + 1:x}",
             "limits": {"memory_mb": 192, "sockets": 1024},
@@ -231,7 +242,7 @@
         Returns:
             Whether all were there in time.
         """
-        are_there = await self.until(self.are_waiting, JOIN_TIMEOUT_S)
+        are_there = await self.wait_until(self.are_waiting, JOIN_TIMEOUT_S)
         self.launched_ns = time.monotonic_ns()
         self.close_gate()
         return are_there
@@ -248,7 +259,7 @@
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
-    async def do(self, step: Step) -> None:
+    async def run_step(self, step: Step) -> None:
         """Does a step of the script now."""
         self.history.done.append(Done(self.now_us(), step.act.value, step.member))
         if step.act is Act.START:
@@ -274,20 +285,20 @@
             await self.links.open()
         for member in self.present():
             await self.start(member)
-        return await self.until(lambda: self.have_joined(self.present()), JOIN_TIMEOUT_S)
+        return await self.wait_until(lambda: self.have_joined(self.present()), JOIN_TIMEOUT_S)
 
-    async def play(self) -> None:
+    async def run_script(self) -> None:
         """Does the script's steps at their times; its rules hold from here on."""
         script = self.plan.script
         self.script_began_us = self.now_us()
         for step in script.steps:
             await self.sleep_until(step.at_s)
-            await self.do(step)
+            await self.run_step(step)
         await self.sleep_until(script.ends_s())
 
     async def sleep_until(self, script_s: float) -> None:
         """Sleeps until a moment of the script."""
-        await asyncio.sleep(max(0.0, (self.at(script_s) - self.now_us()) / 1e6))
+        await asyncio.sleep(max(0.0, (self.history_us(script_s) - self.now_us()) / 1e6))
 
     async def close(self) -> None:
         """Kills all processes that were started, and closes all that was opened."""
@@ -315,7 +326,7 @@
             except orjson.JSONDecodeError:
                 line = {"event": "unreadable", "text": text.decode("ascii", "replace").strip()}
             line["at_us"] = self.now_us()
-            self.lines[member].append(line)
+            self.log_lines[member].append(line)
             self.on_line(member, line)
             self.record_change(member, line)
 
@@ -334,7 +345,7 @@
         return any(
             line.get("event") == event
             and all(line.get(key) == value for key, value in details.items())
-            for line in self.lines[member]
+            for line in self.log_lines[member]
         )
 
     def have_joined(self, members: Iterable[int]) -> bool:
@@ -350,7 +361,7 @@
             if self.name(one) != self.name(other)
         )
 
-    async def until(self, holds: Callable[[], bool], limit_s: float) -> bool:
+    async def wait_until(self, holds: Callable[[], bool], limit_s: float) -> bool:
         """Waits until something holds; False: it did not in time."""
         end_s = time.monotonic() + limit_s
         while not holds():
@@ -363,10 +374,10 @@
         """What a process has counted; empty where it did not say."""
         before = len(self.counter_lines(member))
         self.running[member].send_signal(signal.SIGUSR1)
-        await self.until(lambda: len(self.counter_lines(member)) > before, COUNTERS_TIMEOUT_S)
+        await self.wait_until(lambda: len(self.counter_lines(member)) > before, COUNTERS_TIMEOUT_S)
         new = self.counter_lines(member)[before:]
         return new[-1] if new else {}
 
     def counter_lines(self, member: int) -> list[LogLine]:
         """The lines with counters among the newest of a member."""
-        return [line for line in self.lines[member] if line.get("event") == "counters"]
+        return [line for line in self.log_lines[member] if line.get("event") == "counters"]
--- a/plankroute/testbed/scenarios.py
+++ b/plankroute/testbed/scenarios.py
@@ -127,18 +127,18 @@
 async def play(scenario: Scenario, trial: Trial) -> list[str]:
     """Plays a scenario on controllers that have joined; returns objections."""
     processes = trial.processes
-    playing = asyncio.create_task(processes.play())
+    playing = asyncio.create_task(processes.run_script())
     await scenario.act(trial)
     await playing
     objections: list[str] = []
-    if not await processes.until(lambda: scenario.is_over(trial), WAIT_LIMIT_S):
+    if not await processes.wait_until(lambda: scenario.is_over(trial), WAIT_LIMIT_S):
         objections.append(f"what was waited for did not come within {WAIT_LIMIT_S:.0f} s")
     await asyncio.sleep(QUIET_PERIOD_S)
     processes.history.ends_us = processes.now_us()
     objections += scenario.judge(trial)
     objections += [
         f"{member}: {line}"
-        for member, lines in enumerate(processes.lines)
+        for member, lines in enumerate(processes.log_lines)
         for line in lines
         if line.get("event") in FAILURE_EVENTS
     ]
--- a/plankroute/testbed/soak.py
+++ b/plankroute/testbed/soak.py
@@ -241,7 +241,7 @@
         """Ends a controller by a signal, sent so many times, and starts it again."""
         self._busy.add(member)
         for _ in range(times - 1):
-            await self.stage.processes.do(Step(0.0, act, member))
+            await self.stage.processes.run_step(Step(0.0, act, member))
         if act is Act.LEAVE:
             await self.end(member)
         else:
@@ -255,7 +255,7 @@
         killed = sorted(others - self._busy)
         self._busy.update(killed)
         await asyncio.gather(*(self.stage.end(member, Act.KILL) for member in killed))
-        await self.stage.until(
+        await self.stage.wait_until(
             lambda: all(proxy.controller is not None for proxy in self.stage.proxies), READY_LIMIT_S
         )
         await asyncio.gather(*(self.start(member) for member in killed))
@@ -269,9 +269,9 @@
     async def pause(self, member: int, for_s: float) -> None:
         """Stops a controller for a while; it is not ended or started meanwhile."""
         self._busy.add(member)
-        await self.stage.processes.do(Step(0.0, Act.PAUSE, member))
+        await self.stage.processes.run_step(Step(0.0, Act.PAUSE, member))
         await asyncio.sleep(for_s)
-        await self.stage.processes.do(Step(0.0, Act.RESUME, member))
+        await self.stage.processes.run_step(Step(0.0, Act.RESUME, member))
         self._busy.discard(member)
 
     async def flood(self, member: int) -> None:
@@ -313,7 +313,7 @@
                 proxy.controller is not None and proxy.is_bound for proxy in self.stage.proxies
             )
 
-        if not await self.stage.until(are_bound, BIND_LIMIT_S):
+        if not await self.stage.wait_until(are_bound, BIND_LIMIT_S):
             self.problems.append("not all proxies were bound in time")
 
     def check_line(self, member: int, line: LogLine) -> None:
--- a/plankroute/testbed/warm_restart.py
+++ b/plankroute/testbed/warm_restart.py
@@ -191,7 +191,7 @@
         """Starts both controllers, and their traffic when both listen."""
         for member in MEMBERS:
             await processes.start(member)
-        await processes.until(
+        await processes.wait_until(
             lambda: all(processes.has_logged(member, "listening") for member in MEMBERS),
             READY_TIMEOUT_S,
         )
@@ -202,21 +202,23 @@
     async def end_first(self, processes: ControllerProcesses) -> None:
         """Ends the first controller, and waits until it has ended."""
         act = Act.KILL if self.trial.is_killed else Act.LEAVE
-        await processes.do(Step(0.0, act, RESTARTED))
+        await processes.run_step(Step(0.0, act, RESTARTED))
         await asyncio.wait_for(processes.running[RESTARTED].wait(), READY_TIMEOUT_S)
 
     async def start_again(self, processes: ControllerProcesses) -> int:
         """Starts the first controller again; returns after how many milliseconds it listens."""
-        processes.lines[RESTARTED].clear()
+        processes.log_lines[RESTARTED].clear()
         began_s = time.monotonic()
         await processes.start(RESTARTED)
-        await processes.until(lambda: processes.has_logged(RESTARTED, "listening"), READY_TIMEOUT_S)
+        await processes.wait_until(
+            lambda: processes.has_logged(RESTARTED, "listening"), READY_TIMEOUT_S
+        )
         return round((time.monotonic() - began_s) * 1e3)
 
     def start_traffic(self, processes: ControllerProcesses, member: int, for_s: float) -> None:
         """Starts the proxies of a controller."""
         rng = random.Random(self.trial.seed + member)
-        host, _ = processes.real[member]
+        host, _ = processes.listen_addresses[member]
         traffic = Traffic(
             self.trial.mix,
             (host, STREAM_PORT),
--- a/tests/testbed/test_controller_processes.py
+++ b/tests/testbed/test_controller_processes.py
@@ -37,7 +37,7 @@
 
 def check_members_command(processes: ControllerProcesses) -> None:
     """By address and by feature file; another group's name gets no answer."""
-    address = f"{processes.real[1][0]}:{MEMBERSHIP_PORT}"
+    address = f"{processes.listen_addresses[1][0]}:{MEMBERSHIP_PORT}"
     answer = orjson.loads(members_command(address, "--group", GROUP_NAME, "--json").stdout)
     assert answer["steward"] == "n0001"
     assert [member["state"] for member in answer["members"]] == ["alive", "alive"]
@@ -57,8 +57,8 @@
     feature_file["membership"] |= fields
     path.write_bytes(orjson.dumps(feature_file))
     processes.running[0].send_signal(signal.SIGHUP)
-    assert await processes.until(lambda: processes.has_logged(0, event), 10)
-    return [line for line in processes.lines[0] if line["event"] == event][-1]
+    assert await processes.wait_until(lambda: processes.has_logged(0, event), 10)
+    return [line for line in processes.log_lines[0] if line["event"] == event][-1]
 
 
 def test_members_are_shown_seeds_reloaded_and_another_group_is_not_heard() -> None:
@@ -66,7 +66,7 @@
 
     async def scene() -> None:
         processes = ControllerProcesses(Plan(2, Script(1), GROUP_NET, seeds=(0,)))
-        seed = f"{processes.real[0][0]}:{processes.real[0][1]}"
+        seed = f"{processes.listen_addresses[0][0]}:{processes.listen_addresses[0][1]}"
         membership = {"group": "another", "seeds": [seed]}
         other = ControllerProcesses(Plan(1, Script(1), OTHER_GROUP_NET, membership=membership))
         try:
@@ -75,7 +75,7 @@
             await wait_for_stranger(processes)
             check_members_command(processes)
             await reload_membership(other, "reload_failed", seeds="nonsense", patience_ms=2600)
-            own_seed = f"{other.real[0][0]}:9"
+            own_seed = f"{other.listen_addresses[0][0]}:9"
             reloaded = await reload_membership(
                 other, "reloaded", seeds=[own_seed], patience_ms=3000
             )
--- a/tests/testbed/test_mass_kills.py
+++ b/tests/testbed/test_mass_kills.py
@@ -26,19 +26,19 @@
     hosts = names_of_batch(stage, number)
     users = users_of(stage, hosts)
     stage.replace_hosts(range(number * BATCH, (number + 1) * BATCH), BATCH)
-    assert await stage.until(lambda: users_of(stage, hosts) < users, 30.0)
+    assert await stage.wait_until(lambda: users_of(stage, hosts) < users, 30.0)
 
 
 async def kill_most_during_release(stage: FleetStage) -> None:
-    assert await stage.until(lambda: all(proxy.is_bound for proxy in stage.proxies), 30.0)
+    assert await stage.wait_until(lambda: all(proxy.is_bound for proxy in stage.proxies), 30.0)
     await drain_batch(stage, 0)
     await asyncio.gather(*(stage.end(controller, Act.KILL) for controller in KILLED))
-    assert await stage.until(lambda: len(stage.proxies_at(SURVIVOR)) == SIZE.proxies, 30.0)
+    assert await stage.wait_until(lambda: len(stage.proxies_at(SURVIVOR)) == SIZE.proxies, 30.0)
     await asyncio.gather(*(stage.restart(controller) for controller in KILLED))
     for number in range(1, BATCHES):
         await drain_batch(stage, number)
     drained = set().union(*(names_of_batch(stage, number) for number in range(BATCHES)))
-    assert await stage.until(lambda: not users_of(stage, drained), 30.0)
+    assert await stage.wait_until(lambda: not users_of(stage, drained), 30.0)
     assert len(stage.proxies_at(SURVIVOR)) == SIZE.proxies
 
 
--- a/tests/warm_start/test_warm_restart_processes.py
+++ b/tests/warm_start/test_warm_restart_processes.py
@@ -94,16 +94,16 @@
         return any(
             line.get("event") == event
             and all(line.get(key) == value for key, value in details.items())
-            for line in self.processes.lines[member]
+            for line in self.processes.log_lines[member]
         )
 
     async def wait_until(self, holds: Callable[[], bool]) -> None:
-        is_met = await self.processes.until(holds, 60.0)
-        assert is_met, [list(lines)[-8:] for lines in self.processes.lines]
+        is_met = await self.processes.wait_until(holds, 60.0)
+        assert is_met, [list(lines)[-8:] for lines in self.processes.log_lines]
 
     async def start(self, members: Sequence[int]) -> None:
         for member in members:
-            self.processes.lines[member].clear()
+            self.processes.log_lines[member].clear()
             await self.processes.start(member)
         await self.wait_until(
             lambda: all(self.has_logged(member, "listening") for member in members)
@@ -111,7 +111,7 @@
 
     async def report_requests(self, member: int) -> None:
         """Sends request counts to a controller in which one host fails all requests."""
-        address = self.processes.real[member][0], STREAM_PORT
+        address = self.processes.listen_addresses[member][0], STREAM_PORT
         _, self.collector = await asyncio.open_connection(*address)
         self.collector.write(b"agent locality=a\r\n")
         for host in range(HOSTS):
@@ -124,7 +124,7 @@
 
     async def end(self, members: Sequence[int], act: Act = Act.LEAVE) -> None:
         for member in members:
-            await self.processes.do(Step(0.0, act, member))
+            await self.processes.run_step(Step(0.0, act, member))
         for member in members:
             await asyncio.wait_for(self.processes.running[member].wait(), 30.0)
 
