--- a/plankroute/testbed/faults.py
+++ b/plankroute/testbed/faults.py
@@ -48,9 +48,9 @@
         receivers: To whom; None: to everybody.
         cut: All are lost.
         loss: Share that is lost, 0 to 1.
-        twice: Share that arrives twice.
+        duplicate_share: Share that arrives twice.
         delay_ms: One-way delay.
-        spread_ms: Further delay, drawn up to this; it reorders datagrams.
+        jitter_ms: Further delay, drawn up to this; it reorders datagrams.
         late_share: Share that takes `late_ms` instead.
         late_ms: One-way delay of those.
         bytes_a_second: Pace of each TCP link; None: no bound.
@@ -62,14 +62,14 @@
     receivers: tuple[int, ...] | None = None
     cut: bool = False
     loss: float = 0.0
-    twice: float = 0.0
+    duplicate_share: float = 0.0
     delay_ms: float = 0.0
-    spread_ms: float = 0.0
+    jitter_ms: float = 0.0
     late_share: float = 0.0
     late_ms: float = 0.0
     bytes_a_second: float | None = None
 
-    def meets(self, at_s: float, sender: int, receiver: int) -> bool:
+    def applies_to(self, at_s: float, sender: int, receiver: int) -> bool:
         """Whether the rule holds for this pair at this time."""
         return (
             self.from_s <= at_s < self.until_s
@@ -91,7 +91,9 @@
     rules: tuple[Rule, ...] = ()
     steps: tuple[Step, ...] = ()
 
-    def fate(self, at_us: int, sender: int, receiver: int, number: int) -> tuple[int, ...]:
+    def delivery_delays_us(
+        self, at_us: int, sender: int, receiver: int, number: int
+    ) -> tuple[int, ...]:
         """Delays of the copies of a datagram that arrive, in microseconds; none: it is lost.
 
         Args:
@@ -110,12 +112,12 @@
             # The order of the draws is part of what a seed replays.
             if rule.cut or (rule.loss and draws.next() < rule.loss):
                 return ()
-            if rule.twice and draws.next() < rule.twice:
+            if rule.duplicate_share and draws.next() < rule.duplicate_share:
                 copies = 2
             if rule.late_share and draws.next() < rule.late_share:
                 delay_us += rule.late_ms * MS
-            elif rule.delay_ms or rule.spread_ms:
-                delay_us += (rule.delay_ms + rule.spread_ms * draws.next()) * MS
+            elif rule.delay_ms or rule.jitter_ms:
+                delay_us += (rule.delay_ms + rule.jitter_ms * draws.next()) * MS
         return tuple(int(delay_us * (1 + copy)) for copy in range(copies))
 
     def pace(self, at_us: int, sender: int, receiver: int) -> float | None:
@@ -127,7 +129,7 @@
     def rules_for(self, at_us: int, sender: int, receiver: int) -> list[Rule]:
         """The rules that hold for this pair at this time."""
         at_s = at_us / SECOND
-        return [rule for rule in self.rules if rule.meets(at_s, sender, receiver)]
+        return [rule for rule in self.rules if rule.applies_to(at_s, sender, receiver)]
 
     def ends_s(self) -> float:
         """When the last step is done and the last rule with an end is over."""
--- a/plankroute/testbed/links.py
+++ b/plankroute/testbed/links.py
@@ -91,7 +91,9 @@
             self.deliver(sender, receiver, data)
             return
         self.carried[sender, receiver] += 1
-        delays_us = self.script.fate(at_us, sender, receiver, self.carried[sender, receiver])
+        delays_us = self.script.delivery_delays_us(
+            at_us, sender, receiver, self.carried[sender, receiver]
+        )
         if not delays_us:
             self.lost += 1
         for delay_us in delays_us:
--- a/plankroute/testbed/scenarios.py
+++ b/plankroute/testbed/scenarios.py
@@ -85,7 +85,7 @@
     "killed one": Killed(last),
     "killed three": Killed(last_three),
     "killed half": Killed(last_half),
-    "lossy": Killed(last, Rule(loss=0.3, twice=0.1, spread_ms=20), at_s=6.0),
+    "lossy": Killed(last, Rule(loss=0.3, duplicate_share=0.1, jitter_ms=20), at_s=6.0),
     "slow": Killed(last, Rule(delay_ms=300, late_share=0.1, late_ms=2000), at_s=6.0),
     "paused": Paused(),
     "not heard": CutOff(cut_sender, may_fail=True),
--- a/plankroute/testbed/simulated_members.py
+++ b/plankroute/testbed/simulated_members.py
@@ -317,6 +317,6 @@
         self.sent[member, receiver] += 1
         number = self.sent[member, receiver]
         event = MessageReceived(address_of(member), message)
-        for delay_us in self.script.fate(self.now, member, receiver, number):
+        for delay_us in self.script.delivery_delays_us(self.now, member, receiver, number):
             due_us = self.now + ONE_WAY_US + delay_us
             self.schedule(due_us, partial(self.arrive, receiver, event))
--- a/tests/membership/test_group_under_faults.py
+++ b/tests/membership/test_group_under_faults.py
@@ -36,7 +36,7 @@
 @pytest.mark.parametrize("loss", [0.0, 0.3])
 def test_only_a_killed_member_is_reported_failed_and_by_all(loss: float) -> None:
     run = make_group(
-        12, Rule(loss=loss, twice=0.1, spread_ms=20), steps=(Step(30, Act.KILL, 11),)
+        12, Rule(loss=loss, duplicate_share=0.1, jitter_ms=20), steps=(Step(30, Act.KILL, 11),)
     ).run(45)
     times = detection_times_us(run, 11, 30, range(11))
     assert times[5] < 4 * SECOND and times[-1] < 8 * SECOND
--- a/tests/membership/test_membership_golden.py
+++ b/tests/membership/test_membership_golden.py
@@ -140,7 +140,7 @@
         Step(30, Act.START, 15),
         Step(45, Act.LEAVE, 6),
     )
-    rules = Rule(loss=0.2, twice=0.1, spread_ms=20), Rule(20, 35, (3,), None, cut=True)
+    rules = Rule(loss=0.2, duplicate_share=0.1, jitter_ms=20), Rule(20, 35, (3,), None, cut=True)
     script = Script(3, rules, tuple(sorted(steps, key=lambda step: step.at_s)))
     return DigestingGroup(16, script, seed=3).run(60)
 
--- a/tests/testbed/test_scenarios.py
+++ b/tests/testbed/test_scenarios.py
@@ -45,11 +45,11 @@
 
 
 def test_the_same_script_gives_the_same_datagrams_the_same_fate() -> None:
-    script = Script(7, (Rule(loss=0.3, twice=0.2, delay_ms=10, spread_ms=50),))
+    script = Script(7, (Rule(loss=0.3, duplicate_share=0.2, delay_ms=10, jitter_ms=50),))
 
     def all_fates() -> list[tuple[int, ...]]:
         return [
-            script.fate(0, sender, receiver, number)
+            script.delivery_delays_us(0, sender, receiver, number)
             for sender in range(3)
             for receiver in range(3)
             for number in range(2000)
