--- a/plankroute/cli/testbed_commands.py
+++ b/plankroute/cli/testbed_commands.py
@@ -164,7 +164,7 @@
 ) -> None:
     """Start all controllers of a site at one moment, and count calls and health checks."""
     from plankroute.testbed import cold_start_report
-    from plankroute.testbed.cold_start import Case, down_until, run_case
+    from plankroute.testbed.cold_start import ColdStartCase, down_until, run_case
 
     ways = ["peers" if peers else "alone"]
     if today:
@@ -172,14 +172,16 @@
     rows = []
     for way in ways:
         show_progress(f"{way}: {controllers} controllers ...")
-        case = Case(way, controllers, hosts, down_until(outage, rate), seed, with_hosts=True)
+        case = ColdStartCase(
+            way, controllers, hosts, down_until(outage, rate), seed, with_hosts=True
+        )
         rows.append(asyncio.run(run_case(case)))
     click.echo(cold_start_report.table(rows))
     if json_path:
         write_json(json_path, rows)
     if report_path:
         report_path.write_text(cold_start_report.page(rows))
-    if any(result.last_s is None for result in rows if result.way != "today"):
+    if any(result.last_s is None for result in rows if result.variant != "today"):
         sys.exit(EXIT_FAILED)
 
 
--- a/plankroute/testbed/cold_start.py
+++ b/plankroute/testbed/cold_start.py
@@ -25,48 +25,52 @@
 CLOCK_TICKS_A_SECOND = 100  # of /proc/PID/stat
 
 
-class Case(msgspec.Struct, frozen=True):
+class ColdStartCase(msgspec.Struct, frozen=True):
     """A cold start.
 
     Attributes:
-        way: "today": without a feature file; "alone": with backoff; "peers": and links.
-        stewards: How many controllers start.
+        variant: "today": without a feature file; "alone": with backoff; "peers": and links.
+        controllers: How many controllers start.
         hosts: How many hosts are listed.
         behaviour: What discovery does.
         seed: Seed of what is drawn.
         loopback_net: Octet of the loopback addresses; each start that runs has its own.
         limit_s: Limit of each wait.
-        own: More of the coldstart section of the feature file.
+        cold_start_section: More of the coldstart section of the feature file.
         script: Faults between controllers.
         with_hosts: Whether there are stub hosts, and a stub proxy for each controller.
-        known: Revision of the list that each controller is handed at its start; None: no list.
+        known_revision: Revision of the list in each controller's configuration; None: no list.
         padding: More bytes of each entry of the list.
         load: Requests of all proxies, as a share of what all hosts serve once they are warm.
-        cold_part: Share of the hosts that start with the controllers, where there is a load.
+        cold_host_share: Share of the hosts that start with the controllers, if there is a load.
     """
 
-    way: str
-    stewards: int
+    variant: str
+    controllers: int
     hosts: int = 500
     behaviour: Behaviour = Behaviour()
     seed: int = 1
     loopback_net: int = 90
     limit_s: float = 120.0
-    own: JsonObject = {}
+    cold_start_section: JsonObject = {}
     script: Script = NO_FAULTS
     with_hosts: bool = False
-    known: int | None = None
+    known_revision: int | None = None
     padding: int = 0
     load: float = 0.0
-    cold_part: float = 1.0
+    cold_host_share: float = 1.0
 
 
-class Seen(msgspec.Struct):
+class ColdStartResult(
+    msgspec.Struct,
+    # The JSON output keeps these keys.
+    rename={"variant": "way", "controllers": "stewards", "calls_by_controller": "calls_by_steward"},
+):
     """What a cold start showed.
 
     Attributes:
-        way: As in the case.
-        stewards: As in the case.
+        variant: As in the case.
+        controllers: As in the case.
         calls: Calls at discovery.
         refused: Those that it refused.
         busiest: The most calls within a second.
@@ -74,14 +78,14 @@
         last_s: Seconds until the last one had; None: not all have.
         served: Controllers that have the list.
         bytes: Bytes that discovery sent.
-        calls_by_steward: Calls of each controller that called, fewest first.
+        calls_by_controller: Calls of each controller that called, fewest first.
         bins: Calls by tenth of a second.
         cpu_s: CPU seconds, mean of the controllers.
         notes: Figures of hosts and load.
     """
 
-    way: str
-    stewards: int
+    variant: str
+    controllers: int
     calls: int
     refused: int
     busiest: int
@@ -89,7 +93,7 @@
     last_s: float | None
     served: int
     bytes: int
-    calls_by_steward: list[int]
+    calls_by_controller: list[int]
     bins: dict[int, int]
     cpu_s: float = 0.0
     notes: dict[str, Any] = {}
@@ -105,7 +109,7 @@
         ...
 
 
-def plan_of(case: Case, discovery: str, known: JsonObject | None) -> Plan:
+def plan_of(case: ColdStartCase, discovery: str, known: JsonObject | None) -> Plan:
     """The processes of a case.
 
     Args:
@@ -114,14 +118,14 @@
         known: The list that each controller is handed at its start.
     """
     model = ColdHostModel()
-    has_peers = case.way == "peers"
+    has_peers = case.variant == "peers"
     return Plan(
-        case.stewards,
+        case.controllers,
         case.script,
         case.loopback_net,
-        has_feature_file=case.way != "today",
+        has_feature_file=case.variant != "today",
         starts_at_once=True,
-        sections={"coldstart": {"calls_a_second": case.behaviour.rate, **case.own}},
+        sections={"coldstart": {"calls_a_second": case.behaviour.rate, **case.cold_start_section}},
         configuration={"discovery": discovery, "known": known},
         settings={
             "caps": {"mayProbe": True, "dialTimeoutMs": 300.0},
@@ -154,7 +158,7 @@
         detours: By controller, what stands between it and discovery.
     """
 
-    def __init__(self, case: Case) -> None:
+    def __init__(self, case: ColdStartCase) -> None:
         self.case = case
         self.hosts = StubHosts(case.hosts, case.loopback_net) if case.with_hosts else None
         self.service = StubDiscovery(self.targets(), case.behaviour)
@@ -187,8 +191,8 @@
             await self.hosts.open()
         address = await self.service.open(f"127.250.{self.case.loopback_net}.1")
         known: JsonObject | None = None
-        if self.case.known:
-            known = {"rev": self.case.known, "all": True, "targets": self.service.targets}
+        if self.case.known_revision:
+            known = {"rev": self.case.known_revision, "all": True, "targets": self.service.targets}
         processes = ControllerProcesses(plan_of(self.case, address, known))
         self.started_processes = processes
         processes.on_line = self.on_line
@@ -196,7 +200,7 @@
         if processes.plan.has_membership and not processes.plan.has_direct_links:
             await processes.links.open()
             await processes.streams.open()
-        for member in range(self.case.stewards):
+        for member in range(self.case.controllers):
             if member not in self.started_later:
                 await processes.start(member)
         await processes.open_gate()
@@ -220,7 +224,7 @@
 
     def boot_hosts(self) -> None:
         """A part of the hosts starts now, with the controllers."""
-        cold_hosts = round(self.case.cold_part * self.case.hosts)
+        cold_hosts = round(self.case.cold_host_share * self.case.hosts)
         boot_s: dict[str, float | None] = {}
         for place, entry in enumerate(self.service.targets):
             is_cold = place < cold_hosts
@@ -231,7 +235,7 @@
             ColdHostModel(),
             self.case.load * self.case.hosts,
             boot_s,
-            self.case.stewards,
+            self.case.controllers,
             self.proxies.values,
         )
         self.processes.run_task(self.load.run(self.case.limit_s))
@@ -249,12 +253,12 @@
         Noted as they come: a search of all logs, again and again, held up the testbed, and with it
         the discovery that it plays.
         """
-        if line.get("event") == "listening" and self.hosts and self.case.known:
+        if line.get("event") == "listening" and self.hosts and self.case.known_revision:
             self.join_proxy(member)
         is_complete_list = line.get("event") == "list" and line.get("kind") == "full"
         if not is_complete_list or line.get("revision", 0) <= 0:
             return
-        if member not in self.first_us and self.hosts and not self.case.known:
+        if member not in self.first_us and self.hosts and not self.case.known_revision:
             self.join_proxy(member)
         self.first_us.setdefault(member, line["at_us"])
 
@@ -262,7 +266,7 @@
         """By controller, when it first had a complete list; None: it has none."""
         return [
             self.first_us.get(member)
-            for member in range(self.case.stewards)
+            for member in range(self.case.controllers)
             if member not in self.started_later
         ]
 
@@ -274,14 +278,14 @@
         """Waits until all controllers have the list; False: not all have in time."""
         return await self.wait_until(lambda: None not in self.served_us())
 
-    def seen(self) -> Seen:
+    def result(self) -> ColdStartResult:
         """What the start showed so far."""
         times_s = sorted(time_us / SECOND for time_us in self.served_us() if time_us is not None)
-        all_serve = len(times_s) == self.case.stewards
+        all_serve = len(times_s) == self.case.controllers
         service = self.service
-        return Seen(
-            way=self.case.way,
-            stewards=self.case.stewards,
+        return ColdStartResult(
+            variant=self.case.variant,
+            controllers=self.case.controllers,
             calls=service.calls,
             refused=service.answers["refused"],
             busiest=service.busiest(),
@@ -289,7 +293,7 @@
             last_s=round(times_s[-1], 2) if all_serve else None,
             served=len(times_s),
             bytes=service.sent_bytes,
-            calls_by_steward=sorted(service.calls_by_address.values()),
+            calls_by_controller=sorted(service.calls_by_address.values()),
             bins=dict(service.calls_by_bin),
             cpu_s=self.cpu_s(),
             notes=self.notes(),
@@ -333,7 +337,7 @@
     return int(user_ticks) + int(kernel_ticks)
 
 
-async def run_case(case: Case) -> Seen:
+async def run_case(case: ColdStartCase) -> ColdStartResult:
     """Runs a cold start until all serve, and health checks have been counted."""
     start = ColdStart(case)
     try:
@@ -342,7 +346,7 @@
         hosts = start.hosts
         if hosts:
             await start.wait_until(lambda: hosts.elapsed_s() > COUNTING_PERIOD_S)
-        return start.seen()
+        return start.result()
     finally:
         await start.close()
 
--- a/plankroute/testbed/cold_start_cases.py
+++ b/plankroute/testbed/cold_start_cases.py
@@ -6,7 +6,7 @@
 import msgspec
 
 from plankroute.testbed import cold_start_plays as plays
-from plankroute.testbed.cold_start import Case, ColdStart
+from plankroute.testbed.cold_start import ColdStart, ColdStartCase
 from plankroute.testbed.cold_start_faults import DiscoveryCut
 from plankroute.testbed.cold_start_plays import (
     CONTROLLERS,
@@ -39,7 +39,7 @@
 
 
 class ColdCase(msgspec.Struct, frozen=True):
-    """A hard case; fields with the names of those of `Case` mean the same.
+    """A hard case; fields with the names of those of `ColdStartCase` mean the same.
 
     Attributes:
         play: What is done once all have started.
@@ -116,21 +116,21 @@
 def start_of(case: ColdCase, net: int) -> ColdStart:
     """The cold start of a hard case."""
     start = ColdStart(
-        Case(
-            way="peers",
-            stewards=CONTROLLERS,
+        ColdStartCase(
+            variant="peers",
+            controllers=CONTROLLERS,
             hosts=case.hosts,
             behaviour=case.behaviour,
             seed=1,
             loopback_net=net,
             limit_s=LIMIT_S,
-            own={"list_old_s": LIST_OLD_S},
+            cold_start_section={"list_old_s": LIST_OLD_S},
             script=case.script(watchers()),
             with_hosts=case.with_hosts,
-            known=case.known,
+            known_revision=case.known,
             padding=case.padding,
             load=case.load,
-            cold_part=case.cold_part,
+            cold_host_share=case.cold_part,
         )
     )
     start.started_later = case.absent
@@ -161,7 +161,7 @@
             for line in lines
             if line.get("event") in FAILURE_EVENTS
         ]
-        return objections + failures[:MAX_FAILURES], msgspec.to_builtins(start.seen())
+        return objections + failures[:MAX_FAILURES], msgspec.to_builtins(start.result())
     finally:
         await start.close()
         cut.close()
--- a/plankroute/testbed/cold_start_report.py
+++ b/plankroute/testbed/cold_start_report.py
@@ -2,7 +2,7 @@
 
 import jinja2
 
-from plankroute.testbed.cold_start import Seen
+from plankroute.testbed.cold_start import ColdStartResult
 from plankroute.testbed.list_service import BIN_S
 from plankroute.text_table import text_table
 
@@ -53,29 +53,29 @@
     return "never" if value is None else f"{value:.2f} s"
 
 
-def cells(seen: Seen) -> tuple[str, ...]:
+def cells(seen: ColdStartResult) -> tuple[str, ...]:
     """One start under `HEADINGS`."""
     checks = seen.notes.get("probes_a_host_mean")
     return (
-        seen.way,
+        seen.variant,
         str(seen.calls),
         str(seen.refused),
         str(seen.busiest),
         seconds(seen.first_s),
         seconds(seen.last_s),
-        f"{seen.served}/{seen.stewards}",
+        f"{seen.served}/{seen.controllers}",
         f"{seen.bytes / 1e6:.2f}",
         f"{seen.cpu_s:.2f} s",
         "-" if checks is None else f"{checks:g}, most {seen.notes['probes_a_host_most']}",
     )
 
 
-def table(rows: list[Seen]) -> str:
+def table(rows: list[ColdStartResult]) -> str:
     """A table for people."""
     return text_table([HEADINGS, *(cells(seen) for seen in rows)])
 
 
-def curve(seen: Seen) -> dict[str, object]:
+def curve(seen: ColdStartResult) -> dict[str, object]:
     """Calls within the second up to each bin, as points of a curve."""
     last = max([int(bin_number) for bin_number in seen.bins], default=0) + BINS_A_SECOND
     sums = [
@@ -89,18 +89,18 @@
         for bin_number, calls in enumerate(sums)
     )
     return {
-        "way": seen.way,
+        "way": seen.variant,
         "points": points,
         "most": most,
         "seconds": round(last * BIN_S, 1),
-        "colour": COLOURS.get(seen.way, OTHER_COLOUR),
+        "colour": COLOURS.get(seen.variant, OTHER_COLOUR),
     }
 
 
-def page(rows: list[Seen]) -> str:
+def page(rows: list[ColdStartResult]) -> str:
     """An HTML page with the table and curves."""
     text: str = PAGE.render(
-        controllers=rows[0].stewards,
+        controllers=rows[0].controllers,
         headings=HEADINGS,
         rows=[cells(seen) for seen in rows],
         width=WIDTH,
--- a/tests/cold_start/test_cold_start_processes.py
+++ b/tests/cold_start/test_cold_start_processes.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from plankroute.testbed.cold_start import Case, Seen, down_until, run_case
+from plankroute.testbed.cold_start import ColdStartCase, ColdStartResult, down_until, run_case
 from plankroute.testbed.cold_start_cases import CASES, run_cold
 from plankroute.testbed.list_service import Behaviour, Mode, Phase
 
@@ -25,19 +25,19 @@
 
 
 @pytest.fixture(scope="module")
-def starts_without_links() -> dict[str, Seen]:
-    async def run() -> list[Seen]:
+def starts_without_links() -> dict[str, ColdStartResult]:
+    async def run() -> list[ColdStartResult]:
         return await asyncio.gather(
             *(
                 run_case(
-                    Case(
+                    ColdStartCase(
                         "alone",
                         CONTROLLERS,
                         500,
                         behaviour,
                         loopback_net=100 + index,
                         limit_s=60.0,
-                        own={"retry_after_most_s": 3.0},
+                        cold_start_section={"retry_after_most_s": 3.0},
                     )
                 )
                 for index, behaviour in enumerate(SERVICE_BEHAVIOURS.values())
@@ -49,7 +49,7 @@
 
 @pytest.mark.parametrize("name", SERVICE_BEHAVIOURS)
 def test_controllers_get_the_list_from_a_faulty_list_service(
-    starts_without_links: dict[str, Seen], name: str
+    starts_without_links: dict[str, ColdStartResult], name: str
 ) -> None:
     seen = starts_without_links[name]
     assert seen.served == CONTROLLERS, f"{seen.served} controllers have the list"
@@ -68,7 +68,9 @@
     """
     seen = asyncio.run(
         run_case(
-            Case(way, 10, 60, Behaviour(20.0), loopback_net=160 + (way == "alone"), with_hosts=True)
+            ColdStartCase(
+                way, 10, 60, Behaviour(20.0), loopback_net=160 + (way == "alone"), with_hosts=True
+            )
         )
     )
     assert seen.served == 10 and seen.notes["connections_most"] <= 10
