--- a/plankroute/cli/testbed_commands.py
+++ b/plankroute/cli/testbed_commands.py
@@ -240,10 +240,10 @@
     """Measure what the restart of a controller costs, with and without prior knowledge."""
     from plankroute.testbed import warm_restart as restart
     from plankroute.testbed import warm_restart_report as report
-    from plankroute.testbed.traffic import Mix
+    from plankroute.testbed.traffic import TrafficSettings
 
     chosen_ways = tuple(ways.split(","))
-    reject_unknown(list(chosen_ways), {"ways": list(restart.WAYS)})
+    reject_unknown(list(chosen_ways), {"ways": list(restart.KNOWLEDGE_SOURCES)})
     rows = []
     for seed in range(1, seeds + 1):
         show_progress(f"seed {seed} of {seeds}: {warm_s + restart.COUNTING_PERIOD_S:.0f} s ...")
@@ -252,11 +252,11 @@
             failing_share=bad,
             warm_s=warm_s,
             seed=seed,
-            mix=Mix(probes_fail=probes_fail),
+            traffic_settings=TrafficSettings(probes_fail=probes_fail),
             is_killed=is_killed,
             restarts_proxies=proxies_too,
         )
-        rows.append(asyncio.run(restart.run_ways(chosen_ways, common)))
+        rows.append(asyncio.run(restart.run_each_source(chosen_ways, common)))
     summed = report.summed(rows)
     click.echo(report.table(summed))
     if json_path:
--- a/plankroute/testbed/traffic.py
+++ b/plankroute/testbed/traffic.py
@@ -19,7 +19,7 @@
 RECONNECT_DELAY_S = 0.1
 
 
-class Mix(msgspec.Struct, frozen=True):
+class TrafficSettings(msgspec.Struct, frozen=True):
     """What the proxies do.
 
     Attributes:
@@ -78,13 +78,17 @@
     """
 
     def __init__(
-        self, mix: Mix, address: tuple[str, int], failing: set[str], standing: list[str]
+        self,
+        settings: TrafficSettings,
+        address: tuple[str, int],
+        failing: set[str],
+        standing: list[str],
     ) -> None:
-        self.mix = mix
+        self.settings = settings
         self.address = address
         self.failing = failing
         self.proxies = [
-            ReconnectingProxy(number, *address, zone="a") for number in range(mix.proxies)
+            ReconnectingProxy(number, *address, zone="a") for number in range(settings.proxies)
         ]
         for proxy in self.proxies:
             # The table before any controller has sent one.
@@ -123,7 +127,7 @@
     def tick(self, now_s: float, passed_s: float) -> None:
         """Adds the requests of the time that has passed."""
         tick = int((now_s - self.began_s) / TICK_S)
-        requests = self.mix.rate / len(self.proxies) * passed_s
+        requests = self.settings.rate / len(self.proxies) * passed_s
         for proxy in self.proxies:
             for name, share in proxy.shares().items():
                 sent = requests * share
--- a/plankroute/testbed/warm_restart.py
+++ b/plankroute/testbed/warm_restart.py
@@ -18,11 +18,17 @@
 from plankroute.testbed.list_service import Behaviour, StubDiscovery, target
 from plankroute.testbed.plan import JsonObject, Plan
 from plankroute.testbed.processes import STREAM_PORT, ControllerProcesses
-from plankroute.testbed.traffic import TICK_S, Mix, Traffic
+from plankroute.testbed.traffic import TICK_S, Traffic, TrafficSettings
 from plankroute.warm_start.codec import encode_file
 from plankroute.warm_start.snapshot import HostKnowledge, Snapshot
 
-NOTHING, SNAPSHOT, PEER, BOTH, WRONG = WAYS = ("nothing", "snapshot", "peer", "both", "wrong")
+NOTHING, SNAPSHOT, PEER, BOTH, WRONG = KNOWLEDGE_SOURCES = (
+    "nothing",
+    "snapshot",
+    "peer",
+    "both",
+    "wrong",
+)
 COUNTING_PERIOD_S = 10.0  # after the new start: so long failures are counted
 BEFORE_START_S = 2.0  # of the curve, before the new start
 STANDING_HOSTS = 3  # in the table that a proxy holds before any controller has sent one
@@ -53,24 +59,24 @@
     """A restart.
 
     Attributes:
-        way: Where prior knowledge comes from, one of `WAYS`.
+        knowledge_source: Where prior knowledge comes from, one of `KNOWLEDGE_SOURCES`.
         hosts: How many hosts are listed.
         failing_share: Share of them that fails all requests.
         warm_s: Seconds between start and restart.
         seed: Draws the failing hosts and the standing tables.
         loopback_net: Octet of the loopback addresses; each trial that runs has its own.
-        mix: What the proxies do.
+        traffic_settings: What the proxies do.
         is_killed: The controller ends by SIGKILL instead of SIGTERM.
         restarts_proxies: The proxies restart with it, and hold no table.
     """
 
-    way: str = NOTHING
+    knowledge_source: str = NOTHING
     hosts: int = 50
     failing_share: float = 0.2
     warm_s: float = 20.0
     seed: int = 1
     loopback_net: int = 60
-    mix: Mix = Mix()
+    traffic_settings: TrafficSettings = TrafficSettings()
     is_killed: bool = False
     restarts_proxies: bool = False
 
@@ -78,12 +84,17 @@
 class Outcome(
     msgspec.Struct,
     # Keys of the JSON output, which is an interface.
-    rename={"requests": "asked", "failures": "voided", "hosts_provided": "told"},
+    rename={
+        "knowledge_source": "way",
+        "requests": "asked",
+        "failures": "voided",
+        "hosts_provided": "told",
+    },
 ):
     """What a restart cost the proxies of the restarted controller.
 
     Attributes:
-        way: As in the trial.
+        knowledge_source: As in the trial.
         requests: Requests in the counting period.
         failures: Those that failed.
         ready_ms: Time until the controller listened again.
@@ -91,7 +102,7 @@
         curve: Share of failures by tick, from `BEFORE_START_S` before it listened again.
     """
 
-    way: str
+    knowledge_source: str
     requests: float
     failures: float
     ready_ms: int
@@ -105,10 +116,10 @@
 
 def feature_sections(trial: Trial, folder: str) -> JsonObject:
     """Sections of the feature file."""
-    if trial.way == NOTHING:
+    if trial.knowledge_source == NOTHING:
         return {"coldstart": {}}
-    learned: JsonObject = {"ask_peers": 2 if trial.way in (PEER, BOTH) else 0}
-    if trial.way in (SNAPSHOT, BOTH, WRONG):
+    learned: JsonObject = {"ask_peers": 2 if trial.knowledge_source in (PEER, BOTH) else 0}
+    if trial.knowledge_source in (SNAPSHOT, BOTH, WRONG):
         learned |= {"folder": folder, "every_s": 1.0}
     return {"coldstart": {}, "learned": learned}
 
@@ -124,7 +135,7 @@
         self.failing = set(random.Random(trial.seed).sample(range(trial.hosts), failing_count))
         targets = [target(host, address) for host, address in enumerate(self.hosts.addresses)]
         self.names = [entry["uid"] for entry in targets]
-        if trial.mix.probes_fail:
+        if trial.traffic_settings.probes_fail:
             self.hosts.failing = self.failing
         self.service = StubDiscovery(targets, Behaviour(CALLS_A_SECOND), LIST_REVISION)
         self.traffic: list[Traffic] = []
@@ -132,9 +143,9 @@
     def plan(self, discovery: str) -> Plan:
         """The processes of the trial."""
         trial = self.trial
-        has_peer = trial.way in (PEER, BOTH)
+        has_peer = trial.knowledge_source in (PEER, BOTH)
         known = {"rev": LIST_REVISION, "all": True, "targets": self.service.targets}
-        proxy_settings = {**PROXY_SETTINGS, "proxies": trial.mix.proxies}
+        proxy_settings = {**PROXY_SETTINGS, "proxies": trial.traffic_settings.proxies}
         return Plan(
             len(MEMBERS),
             Script(1),
@@ -167,7 +178,7 @@
         await self.start_both(processes)
         await asyncio.sleep(trial.warm_s)
         await self.end_first(processes)
-        if trial.way == WRONG:
+        if trial.knowledge_source == WRONG:
             self.write_wrong_snapshot()
         if trial.restarts_proxies:
             self.traffic[0].close()
@@ -179,7 +190,7 @@
         counters = await processes.ask_counters(RESTARTED)
         traffic = self.traffic[-1] if trial.restarts_proxies else self.traffic[0]
         return Outcome(
-            trial.way,
+            trial.knowledge_source,
             round(traffic.between(traffic.requests, from_s, COUNTING_PERIOD_S), 1),
             round(traffic.between(traffic.failures, from_s, COUNTING_PERIOD_S), 1),
             ready_ms,
@@ -220,7 +231,7 @@
         rng = random.Random(self.trial.seed + member)
         host, _ = processes.listen_addresses[member]
         traffic = Traffic(
-            self.trial.mix,
+            self.trial.traffic_settings,
             (host, STREAM_PORT),
             {self.names[failing] for failing in self.failing},
             rng.sample(self.names, STANDING_HOSTS),
@@ -277,15 +288,17 @@
         return await Restart(trial, folder).run()
 
 
-async def run_ways(ways: tuple[str, ...], common: Trial) -> list[Outcome]:
+async def run_each_source(sources: tuple[str, ...], common: Trial) -> list[Outcome]:
     """Runs the same trial with each way, side by side, each on addresses of its own.
 
     Args:
-        ways: Where prior knowledge comes from.
+        sources: Where prior knowledge comes from.
         common: The trial but for its way; its `loopback_net` is the first of those that are used.
     """
     trials = [
-        msgspec.structs.replace(common, way=way, loopback_net=common.loopback_net + place)
-        for place, way in enumerate(ways)
+        msgspec.structs.replace(
+            common, knowledge_source=source, loopback_net=common.loopback_net + place
+        )
+        for place, source in enumerate(sources)
     ]
     return list(await asyncio.gather(*(run_trial(trial) for trial in trials)))
--- a/plankroute/testbed/warm_restart_report.py
+++ b/plankroute/testbed/warm_restart_report.py
@@ -16,7 +16,7 @@
     count = len(outcomes)
     curves = zip(*(outcome.curve for outcome in outcomes), strict=False)
     return Outcome(
-        outcomes[0].way,
+        outcomes[0].knowledge_source,
         sum(outcome.requests for outcome in outcomes),
         sum(outcome.failures for outcome in outcomes),
         round(sum(outcome.ready_ms for outcome in outcomes) / count),
@@ -30,7 +30,7 @@
 
 def table(outcomes: list[Outcome]) -> str:
     """A table for people."""
-    base = next((one.failure_ratio() for one in outcomes if one.way == NOTHING), 0.0)
+    base = next((one.failure_ratio() for one in outcomes if one.knowledge_source == NOTHING), 0.0)
     return text_table([HEADINGS, *(table_row(outcome, base) for outcome in outcomes)])
 
 
@@ -38,7 +38,7 @@
     """One outcome under `HEADINGS`; `base`: the failure ratio with nothing known."""
     ratio = outcome.failure_ratio()
     return (
-        outcome.way,
+        outcome.knowledge_source,
         f"{outcome.requests:.0f}",
         f"{outcome.failures:.0f}",
         f"{ratio:.2%}",
@@ -68,7 +68,8 @@
     """An HTML page with the table and curves, all of one scale."""
     most = max((max(outcome.curve, default=0.0) for outcome in outcomes), default=0.0) or 1.0
     curves = [
-        {"way": outcome.way, "points": curve_points(outcome.curve, most)} for outcome in outcomes
+        {"way": outcome.knowledge_source, "points": curve_points(outcome.curve, most)}
+        for outcome in outcomes
     ]
     text: str = PAGE.render(table=table(outcomes), curves=curves, most=f"{most:.0%}")
     return text
--- a/tests/warm_start/test_warm_restart_processes.py
+++ b/tests/warm_start/test_warm_restart_processes.py
@@ -12,7 +12,7 @@
 from plankroute.testbed.faults import Act, Script, Step
 from plankroute.testbed.plan import Plan
 from plankroute.testbed.processes import STREAM_PORT, ControllerProcesses
-from plankroute.testbed.warm_restart import Outcome, Trial, run_ways
+from plankroute.testbed.warm_restart import Outcome, Trial, run_each_source
 from plankroute.warm_start.codec import StoredSnapshot, decode_file, encode_file
 
 HOSTS = 20
@@ -28,15 +28,15 @@
 
     async def run() -> tuple[list[Outcome], list[Outcome]]:
         return await asyncio.gather(
-            run_ways(
+            run_each_source(
                 ("nothing", "snapshot", "peer", "wrong"),
                 Trial(loopback_net=60, warm_s=12.0, is_killed=True, restarts_proxies=True),
             ),
-            run_ways(("snapshot", "peer"), Trial(loopback_net=64, warm_s=12.0)),
+            run_each_source(("snapshot", "peer"), Trial(loopback_net=64, warm_s=12.0)),
         )
 
     fresh, stay = asyncio.run(run())
-    return {one.way: one for one in fresh}, {one.way: one for one in stay}
+    return {one.knowledge_source: one for one in fresh}, {one.knowledge_source: one for one in stay}
 
 
 @pytest.mark.parametrize("way", ["snapshot", "peer"])
