--- a/plankroute/testbed/cold_start_cases.py
+++ b/plankroute/testbed/cold_start_cases.py
@@ -10,12 +10,12 @@
 from plankroute.testbed.cold_start_faults import DiscoveryCut
 from plankroute.testbed.cold_start_plays import (
     CONTROLLERS,
-    LAST,
+    LAST_MEMBER,
     PARTITION_FROM_S,
     PARTITION_UNTIL_S,
-    Objections,
-    Play,
-    others,
+    CaseSteps,
+    Problems,
+    all_but,
     small_side,
     watchers,
 )
@@ -47,7 +47,7 @@
         absent: Controllers that the play starts.
     """
 
-    play: Play
+    play: CaseSteps
     script: ScriptMaker = no_faults
     hosts: int = 500
     behaviour: Behaviour = Behaviour()
@@ -83,33 +83,42 @@
 def cut_a_watcher_one_way(watching: list[int]) -> Script:
     """Nothing that a watcher sends arrives."""
     return slow_links(
-        Rule(3.0, NO_END_S, (watching[0],), tuple(others(watching)), cut=True),
+        Rule(3.0, NO_END_S, (watching[0],), tuple(all_but(watching)), cut=True),
     )
 
 
 def cut_small_side(watching: list[int]) -> Script:
     """A partition between a small side and the rest."""
-    sides = tuple(small_side()), tuple(others(small_side()))
+    sides = tuple(small_side()), tuple(all_but(small_side()))
     return Script(1, partition(sides, PARTITION_FROM_S, PARTITION_UNTIL_S))
 
 
 PARTED = "parted"
 CASES: dict[str, ColdCase] = {  # the longest first
-    "watchers killed": ColdCase(plays.drained_meanwhile, kill_two_watchers, LARGE_HOSTS),
-    "watchers paused": ColdCase(plays.drained_meanwhile, pause_watchers, LARGE_HOSTS),
-    "watcher cut one way": ColdCase(plays.drained_meanwhile, cut_a_watcher_one_way, LARGE_HOSTS),
-    PARTED: ColdCase(plays.partitioned, cut_small_side),
+    "watchers killed": ColdCase(plays.drain_while_watchers_fail, kill_two_watchers, LARGE_HOSTS),
+    "watchers paused": ColdCase(plays.drain_while_watchers_fail, pause_watchers, LARGE_HOSTS),
+    "watcher cut one way": ColdCase(
+        plays.drain_while_watchers_fail, cut_a_watcher_one_way, LARGE_HOSTS
+    ),
+    PARTED: ColdCase(plays.partition_and_heal, cut_small_side),
     "drained ahead": ColdCase(
-        plays.drained_ahead, only_slow_links, hosts=200, with_hosts=True, known=900, padding=5000
+        plays.drain_during_list_transfer,
+        only_slow_links,
+        hosts=200,
+        with_hosts=True,
+        known=900,
+        padding=5000,
+    ),
+    "good": ColdCase(plays.drain_and_late_start, hosts=100, absent=(LAST_MEMBER,), with_hosts=True),
+    "twice": ColdCase(plays.second_power_failure),
+    "began anew": ColdCase(plays.discovery_restart),
+    "lied to": ColdCase(plays.misbehaving_watcher),
+    "changed since": ColdCase(plays.changes_only, hosts=100, with_hosts=True, known=1000),
+    "known from before": ColdCase(
+        plays.discovery_restart_while_down, hosts=100, with_hosts=True, known=5000
     ),
-    "good": ColdCase(plays.good, hosts=100, absent=(LAST,), with_hosts=True),
-    "twice": ColdCase(plays.twice),
-    "began anew": ColdCase(plays.began_anew),
-    "lied to": ColdCase(plays.lied_to),
-    "changed since": ColdCase(plays.changed_since, hosts=100, with_hosts=True, known=1000),
-    "known from before": ColdCase(plays.known_from_before, hosts=100, with_hosts=True, known=5000),
-    "all cold": ColdCase(plays.all_cold, hosts=100, with_hosts=True, load=0.8),
-    "half cold": ColdCase(plays.all_cold, hosts=100, with_hosts=True, load=0.8, cold_part=0.5),
+    "all cold": ColdCase(plays.cold_hosts, hosts=100, with_hosts=True, load=0.8),
+    "half cold": ColdCase(plays.cold_hosts, hosts=100, with_hosts=True, load=0.8, cold_part=0.5),
 }
 
 
@@ -137,7 +146,7 @@
     return start
 
 
-async def run_cold(name: str, net: int) -> tuple[Objections, dict[str, Any]]:
+async def run_cold(name: str, net: int) -> tuple[Problems, dict[str, Any]]:
     """Runs a hard case.
 
     Args:
@@ -145,7 +154,7 @@
         net: Second or third byte of its loopback addresses.
 
     Returns:
-        Objections, and what was seen.
+        Problems, and what was seen.
     """
     case = CASES[name]
     start = start_of(case, net)
--- a/plankroute/testbed/cold_start_plays.py
+++ b/plankroute/testbed/cold_start_plays.py
@@ -1,6 +1,6 @@
 """What is done in the hard cases of a cold start through peers, and what is objected to.
 
-Each play goes on once all controllers have started, and returns its objections.
+Each play goes on once all controllers have started, and returns its problems.
 """
 
 import asyncio
@@ -16,8 +16,8 @@
 
 CONTROLLERS = 10
 WATCHERS = 3
-ALL = list(range(CONTROLLERS))
-LAST = CONTROLLERS - 1
+ALL_MEMBERS = list(range(CONTROLLERS))
+LAST_MEMBER = CONTROLLERS - 1
 DRAIN_GRACE_S = 3.0  # as the settings of these starts state it
 MAX_CALLS = 12  # at discovery: four of each watcher
 MAX_CHANGE_BYTES = 50_000  # that discovery sends where only changes are wanted
@@ -28,24 +28,24 @@
 FIRST_REVISION = 1000  # of discovery at its start
 NEVER_S = 99.0  # stands for a time where something never came
 
-Objections = list[str]
-Play = Callable[[ColdStart], Awaitable[Objections]]
+Problems = list[str]
+CaseSteps = Callable[[ColdStart], Awaitable[Problems]]
 
 
 def watchers() -> list[int]:
     """The members that watch discovery, as all members find them."""
-    names = [f"n{member:04d}" for member in ALL]
+    names = [f"n{member:04d}" for member in ALL_MEMBERS]
     return [int(name[1:]) for name in rendezvous_order(names, GROUP_NAME)[:WATCHERS]]
 
 
-def others(members: list[int]) -> list[int]:
+def all_but(members: list[int]) -> list[int]:
     """All members but these."""
-    return [member for member in ALL if member not in members]
+    return [member for member in ALL_MEMBERS if member not in members]
 
 
 def small_side() -> list[int]:
     """The smaller side of the partition: a watcher and two others."""
-    return [watchers()[2], *others(watchers())[:2]]
+    return [watchers()[2], *all_but(watchers())[:2]]
 
 
 def logged_lists(start: ColdStart, member: int) -> list[LogLine]:
@@ -79,19 +79,19 @@
     return (last_us - since_us) / SECOND
 
 
-async def expect(start: ColdStart, what: str, holds: Callable[[], bool]) -> Objections:
+async def expect(start: ColdStart, what: str, holds: Callable[[], bool]) -> Problems:
     """Waits until something holds, and objects if it does not."""
     if await start.wait_until(holds):
         return []
     return [f"{what} did not come within {start.case.limit_s:.0f} s"]
 
 
-async def expect_list(start: ColdStart) -> Objections:
+async def expect_list(start: ColdStart) -> Problems:
     """Waits until all have a list."""
     return await expect(start, "a list for all", lambda: None not in start.served_us())
 
 
-async def expect_tables(start: ColdStart, proxies: int) -> Objections:
+async def expect_tables(start: ColdStart, proxies: int) -> Problems:
     """Waits until so many proxies have joined, and each has a table."""
 
     def all_bound() -> bool:
@@ -101,11 +101,11 @@
     return await expect(start, "a table for each proxy", all_bound)
 
 
-async def expect_drain_at_proxies(start: ColdStart) -> Objections:
+async def expect_drain_at_proxies(start: ColdStart) -> Problems:
     """Drains a host, and objects if a proxy is told too late."""
     began_s = time.monotonic()
     start.service.change(DRAINED_HOST, state="DRAINING")
-    objections = await expect(
+    problems = await expect(
         start,
         "a drain at all proxies",
         lambda: all(DRAINED_UID in proxy.withdrawn_s for proxy in start.proxies.values()),
@@ -115,49 +115,49 @@
     ]
     took_s = max(withdrawn_s) - began_s
     if took_s > DRAIN_GRACE_S:
-        objections.append(f"proxies withdrew the draining host after {took_s:.2f} s")
-    return objections
+        problems.append(f"proxies withdrew the draining host after {took_s:.2f} s")
+    return problems
 
 
-def object_to_calls(start: ColdStart, before: int = 0) -> Objections:
+def check_call_count(start: ColdStart, before: int = 0) -> Problems:
     """Objects to many calls at discovery."""
     calls = start.service.calls - before
     return [f"{calls} calls"] if calls > MAX_CALLS else []
 
 
-async def good(start: ColdStart) -> Objections:
+async def drain_and_late_start(start: ColdStart) -> Problems:
     """All serve after few calls; a drain reaches all; a late controller joins without a call."""
-    early = ALL[:LAST]
-    objections = await expect_list(start)
-    objections += object_to_calls(start)
-    objections += await expect_tables(start, len(early))
+    early = ALL_MEMBERS[:LAST_MEMBER]
+    problems = await expect_list(start)
+    problems += check_call_count(start)
+    problems += await expect_tables(start, len(early))
     began_us = start.processes.now_us()
-    objections += await expect_drain_at_proxies(start)
+    problems += await expect_drain_at_proxies(start)
     revision = FIRST_REVISION + 1
-    objections += await expect(start, "a drain", lambda: have_revision(start, early, revision))
-    drain_s = NEVER_S if objections else seconds_until(start, early, revision, began_us)
+    problems += await expect(start, "a drain", lambda: have_revision(start, early, revision))
+    drain_s = NEVER_S if problems else seconds_until(start, early, revision, began_us)
     calls = start.service.calls
     began_us = start.processes.now_us()
-    await start.processes.start(LAST)
-    objections += await expect(
-        start, "the late one's list", lambda: have_revision(start, [LAST], revision)
+    await start.processes.start(LAST_MEMBER)
+    problems += await expect(
+        start, "the late one's list", lambda: have_revision(start, [LAST_MEMBER], revision)
     )
-    late_s = NEVER_S if objections else seconds_until(start, [LAST], revision, began_us)
+    late_s = NEVER_S if problems else seconds_until(start, [LAST_MEMBER], revision, began_us)
     if drain_s > 1.0:
-        objections.append(f"a drain took {drain_s:.2f} s")
+        problems.append(f"a drain took {drain_s:.2f} s")
     if start.service.calls > calls:
-        objections.append(f"the late one called ({start.service.calls - calls})")
+        problems.append(f"the late one called ({start.service.calls - calls})")
     if late_s > 2.0:
-        objections.append(f"the late one took {late_s:.2f} s")
-    return objections
+        problems.append(f"the late one took {late_s:.2f} s")
+    return problems
 
 
-async def drained_meanwhile(start: ColdStart) -> Objections:
+async def drain_while_watchers_fail(start: ColdStart) -> Problems:
     """Watchers fail by script while the list is handed out; a host begins to drain."""
     await asyncio.sleep(3.0)
     start.service.change(DRAINED_HOST, state="DRAINING")
     killed = {done.member for done in start.processes.history.done if done.act == Act.KILL.value}
-    alive = [member for member in ALL if member not in killed]
+    alive = [member for member in ALL_MEMBERS if member not in killed]
     return await expect(
         start,
         "the drain for all that live",
@@ -165,34 +165,34 @@
     )
 
 
-async def partitioned(start: ColdStart) -> Objections:
+async def partition_and_heal(start: ColdStart) -> Problems:
     """The smaller side can't reach discovery: it goes on, warns, and catches up after the heal."""
     processes = start.processes
     small = small_side()
     revision = FIRST_REVISION + 1
-    objections = await expect_list(start)
+    problems = await expect_list(start)
     await start.wait_until(lambda: (processes.script_us() or 0) > 20 * SECOND)
     start.service.change(DRAINED_HOST, state="DRAINING")
     await start.wait_until(lambda: (processes.script_us() or 0) > 32 * SECOND)
     if have_revision(start, small[:1], revision):
-        objections.append("the cut side heard of the change: the trial shows nothing")
+        problems.append("the cut side heard of the change: the trial shows nothing")
     warned = {member for member in small if processes.has_logged(member, "list_old")}
     if warned != set(small):
-        objections.append(f"logged list_old: {sorted(warned)} of {small}")
+        problems.append(f"logged list_old: {sorted(warned)} of {small}")
     healed_us = processes.history_us(PARTITION_UNTIL_S)
-    objections += await expect(
-        start, "the newest list", lambda: have_revision(start, ALL, revision)
+    problems += await expect(
+        start, "the newest list", lambda: have_revision(start, ALL_MEMBERS, revision)
     )
-    took_s = 0.0 if objections else seconds_until(start, small, revision, healed_us)
+    took_s = 0.0 if problems else seconds_until(start, small, revision, healed_us)
     if took_s > 3.0:
-        objections.append(f"the newest list took {took_s:.2f} s after the heal")
-    return objections
+        problems.append(f"the newest list took {took_s:.2f} s after the heal")
+    return problems
 
 
-async def twice(start: ColdStart) -> Objections:
+async def second_power_failure(start: ColdStart) -> Problems:
     """Power fails again after the start, and all start once more."""
     processes = start.processes
-    objections = await expect_list(start)
+    problems = await expect_list(start)
     calls = start.service.calls
     for process in list(processes.running.values()):
         process.kill()
@@ -201,103 +201,106 @@
     for lines in processes.log_lines:
         lines.clear()
     start.first_us.clear()
-    for member in ALL:
+    for member in ALL_MEMBERS:
         await processes.start(member)
-    objections += await expect_list(start)
-    return objections + object_to_calls(start, before=calls)
+    problems += await expect_list(start)
+    return problems + check_call_count(start, before=calls)
 
 
-async def began_anew(start: ColdStart) -> Objections:
+async def discovery_restart(start: ColdStart) -> Problems:
     """Discovery restarts with revisions that begin anew; all follow to the lower ones."""
-    objections = await expect_list(start)
+    problems = await expect_list(start)
     start.service.change(DRAINED_HOST, state="DRAINING")
-    objections += await expect(
-        start, "a change", lambda: have_revision(start, ALL, FIRST_REVISION + 1)
+    problems += await expect(
+        start, "a change", lambda: have_revision(start, ALL_MEMBERS, FIRST_REVISION + 1)
     )
     start.service.restart()
     start.service.change(DRAINED_HOST + 1, state="DRAINING")
-    return objections + await expect(
-        start, "the list that began anew", lambda: newest_is(start, ALL, 2)
+    return problems + await expect(
+        start, "the list that began anew", lambda: newest_is(start, ALL_MEMBERS, 2)
     )
 
 
-async def drained_ahead(start: ColdStart) -> Objections:
+async def drain_during_list_transfer(start: ColdStart) -> Problems:
     """A host drains while a list of 1 MB is handed out over slow links; all have an older one.
 
     The drain must not wait behind the list.
     """
-    objections = await expect_tables(start, CONTROLLERS)
-    objections += await expect(
+    problems = await expect_tables(start, CONTROLLERS)
+    problems += await expect(
         start, "a complete list under way", lambda: start.service.answers["watch"] > 0
     )
     await asyncio.sleep(2.0)  # the list takes twenty seconds: it is in the middle of its way
-    objections += await expect_drain_at_proxies(start)
-    if have_revision(start, others(watchers()), FIRST_REVISION):
-        objections.append("the list was there already: the trial shows nothing")
-    objections += await expect(
-        start, "the complete list", lambda: have_revision(start, ALL, FIRST_REVISION + 1)
+    problems += await expect_drain_at_proxies(start)
+    if have_revision(start, all_but(watchers()), FIRST_REVISION):
+        problems.append("the list was there already: the trial shows nothing")
+    problems += await expect(
+        start, "the complete list", lambda: have_revision(start, ALL_MEMBERS, FIRST_REVISION + 1)
     )
     again = [proxy for proxy in start.proxies.values() if DRAINED_UID in proxy.shares()]
     if again:
-        objections.append(f"{len(again)} proxies send to the draining host again")
-    return objections
+        problems.append(f"{len(again)} proxies send to the draining host again")
+    return problems
 
 
-async def changed_since(start: ColdStart) -> Objections:
+async def changes_only(start: ColdStart) -> Problems:
     """All have the newest list but for two changes: only these are sent, as changes."""
     start.service.change(DRAINED_HOST, state="DRAINING")
     start.service.change(DRAINED_HOST + 1, state="DRAINING")
-    objections = await expect(
-        start, "the changes", lambda: have_revision(start, ALL, FIRST_REVISION + 2)
+    problems = await expect(
+        start, "the changes", lambda: have_revision(start, ALL_MEMBERS, FIRST_REVISION + 2)
     )
     usable = start.case.hosts - 2
-    objections += await expect(
+    problems += await expect(
         start,
         "tables without those two",
         lambda: all(len(proxy.shares()) == usable for proxy in start.proxies.values()),
     )
     complete = [
-        line for member in ALL for line in logged_lists(start, member) if line["kind"] == "full"
+        line
+        for member in ALL_MEMBERS
+        for line in logged_lists(start, member)
+        if line["kind"] == "full"
     ]
     if complete:
-        objections.append(f"{len(complete)} complete lists")
-    objections += object_to_calls(start)
+        problems.append(f"{len(complete)} complete lists")
+    problems += check_call_count(start)
     if start.service.sent_bytes > MAX_CHANGE_BYTES:
-        objections.append(f"{start.service.sent_bytes} bytes")
-    return objections
+        problems.append(f"{start.service.sent_bytes} bytes")
+    return problems
 
 
-async def known_from_before(start: ColdStart) -> Objections:
+async def discovery_restart_while_down(start: ColdStart) -> Problems:
     """Discovery began anew while all were off: lists known from before have higher revisions."""
     start.service.change(DRAINED_HOST, state="DRAINING")
-    objections = await expect(
-        start, "the list that began anew", lambda: newest_is(start, ALL, FIRST_REVISION + 1)
+    problems = await expect(
+        start, "the list that began anew", lambda: newest_is(start, ALL_MEMBERS, FIRST_REVISION + 1)
     )
-    return objections + object_to_calls(start)
+    return problems + check_call_count(start)
 
 
-async def all_cold(start: ColdStart) -> Objections:
+async def cold_hosts(start: ColdStart) -> Problems:
     """Hosts start with the controllers; none may get over the stated multiple of its capacity."""
-    objections = await expect_list(start)
-    objections += await expect_tables(start, CONTROLLERS)
+    problems = await expect_list(start)
+    problems += await expect_tables(start, CONTROLLERS)
     assert start.load
     load = start.load
     bound_s = time.monotonic()
     await start.wait_until(lambda: time.monotonic() - bound_s > 2 * ColdHostModel().window_s)
     notes = load.notes()
     if len(load.max_ratio) < start.case.hosts / 2:
-        objections.append(
+        problems.append(
             f"brought only {notes['over_mean']} of what hosts could do: the trial shows nothing"
         )
     if load.overloaded_s:
-        objections.append(f"{len(load.overloaded_s)} hosts fell over: {notes}")
-    return objections
+        problems.append(f"{len(load.overloaded_s)} hosts fell over: {notes}")
+    return problems
 
 
-async def lied_to(start: ColdStart) -> Objections:
+async def misbehaving_watcher(start: ColdStart) -> Problems:
     """A watcher is replaced by one that invents revisions, sends too much, or never ends."""
     processes = start.processes
-    objections = await expect_list(start)
+    problems = await expect_list(start)
     liar = watchers()[0]
     processes.running[liar].kill()
     await processes.running[liar].wait()
@@ -310,8 +313,8 @@
             start.service.change(9, state="DRAINING", boot_ms=1)
             await asyncio.sleep(0.5)
         newest = start.service.revision
-        objections += await expect(
-            start, "the true list", lambda: newest_is(start, others([liar]), newest)
+        problems += await expect(
+            start, "the true list", lambda: newest_is(start, all_but([liar]), newest)
         )
     finally:
         server.close()
@@ -321,4 +324,4 @@
         for line in lines
         if line.get("event") in ("election_failed", "core_failed")
     ]
-    return objections + [str(line) for line in failures]
+    return problems + [str(line) for line in failures]
