--- a/plankroute/testbed/cold_start.py
+++ b/plankroute/testbed/cold_start.py
@@ -99,7 +99,7 @@
     notes: dict[str, Any] = {}
 
 
-class Detour(Protocol):
+class DiscoveryRelay(Protocol):
     """Something that stands between controllers and discovery."""
 
     address: str
@@ -155,7 +155,7 @@
         first_us: By controller, when it had its first complete list.
         started_later: Controllers that are started later, by whoever looks on.
         load: The load on cold hosts, where there is one.
-        detours: By controller, what stands between it and discovery.
+        discovery_relays: By controller, what stands between it and discovery.
     """
 
     def __init__(self, case: ColdStartCase) -> None:
@@ -167,7 +167,7 @@
         self.first_us: dict[int, int] = {}
         self.started_later: tuple[int, ...] = ()
         self.load: ColdHostLoad | None = None
-        self.detours: dict[int, Detour] = {}
+        self.discovery_relays: dict[int, DiscoveryRelay] = {}
 
     @property
     def processes(self) -> ControllerProcesses:
@@ -196,7 +196,7 @@
         processes = ControllerProcesses(plan_of(self.case, address, known))
         self.started_processes = processes
         processes.on_line = self.on_line
-        await self.open_detours(address)
+        await self.open_discovery_relays(address)
         if processes.plan.has_membership and not processes.plan.has_direct_links:
             await processes.links.open()
             await processes.streams.open()
@@ -213,13 +213,13 @@
             processes.run_task(processes.run_script())
         return self
 
-    async def open_detours(self, discovery: str) -> None:
+    async def open_discovery_relays(self, discovery: str) -> None:
         """Sends some controllers to discovery by a detour; there is one for all of these."""
-        for detour in set(self.detours.values()):
-            detour.address = discovery
-            address = await detour.open(f"127.250.{self.case.loopback_net}.2")
+        for relay in set(self.discovery_relays.values()):
+            relay.address = discovery
+            address = await relay.open(f"127.250.{self.case.loopback_net}.2")
             self.processes.configurations = {
-                member: {"discovery": address} for member in self.detours
+                member: {"discovery": address} for member in self.discovery_relays
             }
 
     def boot_hosts(self) -> None:
--- a/plankroute/testbed/cold_start_cases.py
+++ b/plankroute/testbed/cold_start_cases.py
@@ -7,7 +7,7 @@
 
 from plankroute.testbed import cold_start_plays as plays
 from plankroute.testbed.cold_start import ColdStart, ColdStartCase
-from plankroute.testbed.cold_start_faults import DiscoveryCut
+from plankroute.testbed.cold_start_faults import InterruptedRelay
 from plankroute.testbed.cold_start_plays import (
     CONTROLLERS,
     LAST_MEMBER,
@@ -158,9 +158,9 @@
     """
     case = CASES[name]
     start = start_of(case, net)
-    cut = DiscoveryCut(start, PARTITION_FROM_S, PARTITION_UNTIL_S)
+    cut = InterruptedRelay(start, PARTITION_FROM_S, PARTITION_UNTIL_S)
     if name == PARTED:
-        start.detours = dict.fromkeys(small_side(), cut)
+        start.discovery_relays = dict.fromkeys(small_side(), cut)
     try:
         await start.begin()
         objections = await case.play(start)
--- a/plankroute/testbed/cold_start_faults.py
+++ b/plankroute/testbed/cold_start_faults.py
@@ -21,7 +21,7 @@
 POLL_INTERVAL_S = 0.05
 
 
-class LyingWatcher:
+class MisbehavingWatcher:
     """Takes a watcher's place, and sends what can't be, something else to each that follows it."""
 
     def __init__(self, seed: int) -> None:
@@ -57,7 +57,7 @@
         ]
 
 
-class DiscoveryCut:
+class InterruptedRelay:
     """Stands between discovery and some controllers; for some time nothing comes through.
 
     Attributes:
--- a/plankroute/testbed/cold_start_plays.py
+++ b/plankroute/testbed/cold_start_plays.py
@@ -10,7 +10,7 @@
 from plankroute.cold_start.rendezvous import rendezvous_order
 from plankroute.testbed.cold_host_load import ColdHostModel
 from plankroute.testbed.cold_start import ColdStart
-from plankroute.testbed.cold_start_faults import LyingWatcher
+from plankroute.testbed.cold_start_faults import MisbehavingWatcher
 from plankroute.testbed.faults import SECOND, Act
 from plankroute.testbed.processes import GROUP_NAME, LINK_PORT, LogLine
 
@@ -305,8 +305,8 @@
     processes.running[liar].kill()
     await processes.running[liar].wait()
     host, _ = processes.listen_addresses[liar]
-    lying_watcher = LyingWatcher(processes.plan.script.seed)
-    server = await asyncio.start_server(lying_watcher.serve, host, LINK_PORT)
+    misbehaving = MisbehavingWatcher(processes.plan.script.seed)
+    server = await asyncio.start_server(misbehaving.serve, host, LINK_PORT)
     try:
         began_us = processes.now_us()
         while processes.now_us() - began_us < 3 * SECOND:
