--- a/plankroute/testbed/links.py
+++ b/plankroute/testbed/links.py
@@ -222,6 +222,6 @@
     return sock
 
 
-def stranger_socket() -> socket.socket:
+def non_member_socket() -> socket.socket:
     """A UDP socket that belongs to no member: for noise."""
     return socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
--- a/plankroute/testbed/membership_scenarios.py
+++ b/plankroute/testbed/membership_scenarios.py
@@ -11,7 +11,7 @@
 from plankroute.membership.records import MemberRecord
 from plankroute.testbed import checkers
 from plankroute.testbed.faults import SECOND, Act, Rule, Step, partition, pauses
-from plankroute.testbed.links import stranger_socket
+from plankroute.testbed.links import non_member_socket
 from plankroute.testbed.plan import Plan
 from plankroute.testbed.processes import GROUP_NAME
 from plankroute.testbed.scenario import CUT_FROM_S, CUT_UNTIL_S, Scenario, Trial, plan_of
@@ -325,7 +325,7 @@
         """Sends a bounded number, drawn by seed, in small bursts from one socket."""
         rng = random.Random(trial.processes.plan.script.seed)
         kinds = noise_kinds(rng)
-        with stranger_socket() as stranger:
+        with non_member_socket() as stranger:
             stranger.setblocking(False)
             for number in range(NOISE_DATAGRAMS):
                 make_datagram = kinds[number % len(kinds)]
--- a/plankroute/testbed/paced_channel.py
+++ b/plankroute/testbed/paced_channel.py
@@ -42,7 +42,7 @@
         self._free_at_s = 0.0
         self._is_carrying = False
 
-    def enter(self, message: QueuedMessage) -> None:
+    def enqueue(self, message: QueuedMessage) -> None:
         """Takes a message whose last byte has come."""
         self._queue.append(message)
         self.most_waiting = max(self.most_waiting, self.waiting_lines())
--- a/plankroute/testbed/roaming_proxies.py
+++ b/plankroute/testbed/roaming_proxies.py
@@ -82,7 +82,7 @@
             parts.append(line.decode("ascii").split())
             if "part=1" in parts[-1]:
                 continue
-            channel.enter(
+            channel.enqueue(
                 QueuedMessage(
                     OVERHEAD_LINES + sum(map(line_count, parts)),
                     is_wanted=lambda: self.controller is not None and self._stream == stream,
--- a/tests/testbed/test_fleet_rules.py
+++ b/tests/testbed/test_fleet_rules.py
@@ -83,7 +83,7 @@
     async def run() -> set[RuleName]:
         rules, _, channel = judge("h1")
         for _ in range(2):
-            channel.enter(QueuedMessage(51.0, lambda: True, lambda: None))
+            channel.enqueue(QueuedMessage(51.0, lambda: True, lambda: None))
         return looks(rules, 100.0)
 
     assert asyncio.run(run()) == {RuleName.BACKLOG}
@@ -102,9 +102,9 @@
                 done.set()
 
         began_s = loop.time()
-        channel.enter(QueuedMessage(100.0, lambda: True, lambda: deliver("first")))
-        channel.enter(QueuedMessage(60_000.0, lambda: False, lambda: deliver("lost")))
-        channel.enter(QueuedMessage(50.0, lambda: True, lambda: deliver("last")))
+        channel.enqueue(QueuedMessage(100.0, lambda: True, lambda: deliver("first")))
+        channel.enqueue(QueuedMessage(60_000.0, lambda: False, lambda: deliver("lost")))
+        channel.enqueue(QueuedMessage(50.0, lambda: True, lambda: deliver("last")))
         assert channel.waiting_lines() == 150.0
         await asyncio.wait_for(done.wait(), 30.0)
         return delivered, loop.time() - began_s
