--- a/plankroute/testbed/faults.py
+++ b/plankroute/testbed/faults.py
@@ -1,6 +1,7 @@
-"""Faults by script and seed: what happens to datagrams between members, and to their processes.
+"""Fault scripts: what happens to the traffic between members, and to their processes.
 
-The same script gives the same datagrams the same fate, in simulated time and between processes.
+The same script and seed lose, delay and duplicate the same datagrams, in simulated time and between
+real processes.
 """
 
 from enum import Enum
@@ -10,12 +11,12 @@
 
 MS = 1000  # microseconds
 SECOND = 1_000_000
-NO_END_S = 1e9  # a rule that ends later has no end
-GOLDEN_RATIO_32 = 0x9E3779B9  # 2**32 over the golden ratio: successive draws are far apart
+NO_END_S = 1e9  # a rule that ends at this time or later counts as one without an end
+GOLDEN_RATIO_32 = 0x9E3779B9  # 2**32 over the golden ratio: successive states are far apart
 
 
 class Act(Enum):
-    """What is done to a member's process."""
+    """An action on a member's process."""
 
     KILL = "kill"
     START = "start"
@@ -25,12 +26,12 @@
 
 
 class Step(msgspec.Struct, frozen=True):
-    """Something done to one member.
+    """An action on one member at a given time.
 
     Attributes:
-        at_s: When, in seconds from the start of the script.
-        act: What.
-        member: To whom.
+        at_s: Time of the action, in seconds from the start of the script.
+        act: The action.
+        member: The member whose process it affects.
     """
 
     at_s: float
@@ -39,21 +40,21 @@
 
 
 class Rule(msgspec.Struct, frozen=True):
-    """What happens to datagrams between members for some time.
+    """A network fault between members during a period.
 
     Attributes:
-        from_s: When the rule begins, in seconds from the start of the script.
-        until_s: When it ends.
-        senders: Whose datagrams; None: everybody's.
-        receivers: To whom; None: to everybody.
-        cut: All are lost.
-        loss: Share that is lost, 0 to 1.
-        duplicate_share: Share that arrives twice.
-        delay_ms: One-way delay.
-        jitter_ms: Further delay, drawn up to this; it reorders datagrams.
-        late_share: Share that takes `late_ms` instead.
-        late_ms: One-way delay of those.
-        bytes_a_second: Pace of each TCP link; None: no bound.
+        from_s: Start of the period, in seconds from the start of the script.
+        until_s: End of the period (exclusive), in seconds from the start of the script.
+        senders: Members whose traffic is affected; None: all members.
+        receivers: Members to which that traffic goes; None: all members.
+        cut: Whether nothing arrives: datagrams are lost and TCP links stall.
+        loss: Share of the datagrams that is lost, 0 to 1.
+        duplicate_share: Share of the datagrams that arrives twice.
+        delay_ms: One-way delay of the datagrams.
+        jitter_ms: Maximum of a further random delay, which reorders datagrams.
+        late_share: Share of the datagrams that is delayed by `late_ms` instead.
+        late_ms: One-way delay of the datagrams in `late_share`.
+        bytes_a_second: Bandwidth of each TCP link; None: unlimited.
     """
 
     from_s: float = 0.0
@@ -70,7 +71,7 @@
     bytes_a_second: float | None = None
 
     def applies_to(self, at_s: float, sender: int, receiver: int) -> bool:
-        """Whether the rule holds for this pair at this time."""
+        """Returns whether the rule affects traffic from `sender` to `receiver` at this time."""
         return (
             self.from_s <= at_s < self.until_s
             and (self.senders is None or sender in self.senders)
@@ -82,9 +83,9 @@
     """All faults of a run.
 
     Attributes:
-        seed: Draws the fates.
-        rules: What happens to datagrams.
-        steps: What is done to processes, in order of time.
+        seed: Seed of the random loss, duplication and delay of datagrams.
+        rules: Network faults.
+        steps: Actions on processes, in order of time.
     """
 
     seed: int
@@ -94,13 +95,16 @@
     def delivery_delays_us(
         self, at_us: int, sender: int, receiver: int, number: int
     ) -> tuple[int, ...]:
-        """Delays of the copies of a datagram that arrive, in microseconds; none: it is lost.
+        """Returns the delay of each copy of a datagram that arrives, in microseconds.
 
         Args:
-            at_us: When it was sent, from the start of the script.
-            sender: Who sent it.
-            receiver: To whom.
-            number: Which datagram of this pair it is.
+            at_us: Time at which it is sent, from the start of the script.
+            sender: The sending member.
+            receiver: The receiving member.
+            number: Number of the datagram among those from this sender to this receiver.
+
+        Returns:
+            One delay for each copy; empty if the datagram is lost, (0,) if no rule applies.
         """
         rules = self.rules_for(at_us, sender, receiver)
         if not rules:
@@ -109,7 +113,7 @@
         delay_us = 0.0
         copies = 1
         for rule in rules:
-            # The order of the draws is part of what a seed replays.
+            # A seed replays a run only if the random numbers are drawn in this order.
             if rule.cut or (rule.loss and draws.next() < rule.loss):
                 return ()
             if rule.duplicate_share and draws.next() < rule.duplicate_share:
@@ -120,42 +124,53 @@
                 delay_us += (rule.delay_ms + rule.jitter_ms * draws.next()) * MS
         return tuple(int(delay_us * (1 + copy)) for copy in range(copies))
 
-    def pace(self, at_us: int, sender: int, receiver: int) -> float | None:
-        """Bytes a second that a TCP link carries that way: 0 where it is cut, None for no bound."""
+    def bandwidth(self, at_us: int, sender: int, receiver: int) -> float | None:
+        """Returns the bandwidth of a TCP link in one direction, in bytes per second.
+
+        Returns 0 where the link is cut, and None where the bandwidth is unlimited.
+        """
         rules = self.rules_for(at_us, sender, receiver)
-        paces = [0.0 if rule.cut else rule.bytes_a_second for rule in rules]
-        return min((pace for pace in paces if pace is not None), default=None)
+        limits = [0.0 if rule.cut else rule.bytes_a_second for rule in rules]
+        return min((limit for limit in limits if limit is not None), default=None)
 
     def rules_for(self, at_us: int, sender: int, receiver: int) -> list[Rule]:
-        """The rules that hold for this pair at this time."""
+        """Returns the rules that affect traffic from `sender` to `receiver` at this time."""
         at_s = at_us / SECOND
         return [rule for rule in self.rules if rule.applies_to(at_s, sender, receiver)]
 
-    def ends_s(self) -> float:
-        """When the last step is done and the last rule with an end is over."""
+    def end_s(self) -> float:
+        """Returns the time of the last step or of the end of the last rule, whichever is later.
+
+        In seconds from the start of the script. Rules without an end are ignored; 0 if nothing is
+        left.
+        """
         ends = [step.at_s for step in self.steps]
         ends += [rule.until_s for rule in self.rules if rule.until_s < NO_END_S]
         return max(ends, default=0.0)
 
 
 class Draws:
-    """Random draws for one datagram, the same whenever and wherever they are made.
+    """Random numbers for one datagram or pause, the same on every run and machine.
 
-    A checksum alone is linear: two pairs that differ in one digit would lose the same datagrams,
-    and losses would not be independent. So its bits are mixed by two odd factors.
+    The state starts from a CRC, which is linear: if it were used directly, two pairs of members
+    that differ in one digit would lose the same datagrams, and losses would not be independent. So
+    `mix_bits` is applied to the state before each number.
     """
 
     def __init__(self, seed: int, sender: int, receiver: int, number: int) -> None:
         self.state = crc32(b"%d:%d:%d:%d" % (seed, sender, receiver, number))
 
     def next(self) -> float:
-        """A number from 0 up to 1."""
+        """Returns the next number, at least 0 and less than 1."""
         self.state = mix_bits(self.state + GOLDEN_RATIO_32)
         return self.state / (1 << 32)
 
 
 def mix_bits(value: int) -> int:
-    """The finaliser of MurmurHash3: each bit of the value changes half of the result's bits."""
+    """Returns the 32-bit MurmurHash3 finaliser of `value`.
+
+    Each bit of the value changes about half of the bits of the result.
+    """
     value = ((value ^ (value >> 16)) * 0x85EBCA6B) & 0xFFFFFFFF
     value = ((value ^ (value >> 13)) * 0xC2B2AE35) & 0xFFFFFFFF
     return value ^ (value >> 16)
@@ -164,7 +179,7 @@
 def cut_between(
     one: tuple[int, ...], other: tuple[int, ...], from_s: float, until_s: float
 ) -> tuple[Rule, ...]:
-    """Rules by which neither side hears the other."""
+    """Returns rules that cut all traffic between two sets of members, in both directions."""
     return (
         Rule(from_s, until_s, one, other, cut=True),
         Rule(from_s, until_s, other, one, cut=True),
@@ -174,7 +189,7 @@
 def partition(
     parts: tuple[tuple[int, ...], ...], from_s: float, until_s: float
 ) -> tuple[Rule, ...]:
-    """Rules by which no part hears another one."""
+    """Returns rules that cut all traffic between any two of the parts."""
     rules: list[Rule] = []
     for index, one in enumerate(parts):
         for other in parts[index + 1 :]:
@@ -192,15 +207,15 @@
     run_least_s: float = 0.2,
     run_most_s: float = 1.5,
 ) -> tuple[Step, ...]:
-    """Steps that pause each member again and again, at times of its own; all run at the end.
+    """Returns steps that pause each member repeatedly, at random times that differ by member.
 
     Args:
-        members: Who is paused.
-        from_s: When it begins, in seconds from the start of the script.
-        until_s: When all run again.
-        seed: Draws the durations.
+        members: Members to pause.
+        from_s: Start of the period with pauses, in seconds from the start of the script.
+        until_s: End of that period; all members are resumed by then.
+        seed: Seed of the random durations.
         least_s: Shortest pause.
-        most_s: Longest pause; also the longest time to a member's first one.
+        most_s: Longest pause, and the longest time from `from_s` to a member's first pause.
         run_least_s: Shortest time between pauses.
         run_most_s: Longest time between pauses.
     """
--- a/plankroute/testbed/links.py
+++ b/plankroute/testbed/links.py
@@ -1,8 +1,8 @@
-"""Faulty links between real controllers: datagrams and streams are delayed, doubled or cut.
+"""Relays between real controllers that inject faults: loss, delay, low bandwidth and cuts.
 
-Each controller is known to the others by the address of its link. What arrives there from one
-controller is passed on from the first one's link, so that nobody sees another's real address. No
-rights beyond those of an ordinary user are needed.
+Each controller advertises the address of its relay instead of its own. A datagram that arrives
+there is forwarded from the address of the sender's relay, so that the receiver does not see the
+sender's own address either. This needs no privileges.
 """
 
 import asyncio
@@ -18,14 +18,15 @@
 Address = tuple[str, int]
 ScriptClock = Callable[[], int | None]
 
-CHUNK_BYTES = 8192  # of a stream, passed on at a time
-CUT_POLL_INTERVAL_S = 0.05  # how often a cut stream looks whether it is whole again
-# Bytes: the queue of a slow path. The kernel's default would hold ten seconds of one.
+CHUNK_BYTES = 8192  # most bytes of a stream that are forwarded at a time
+CUT_POLL_INTERVAL_S = 0.05  # how often a cut stream checks whether the cut is over
+# Receive buffer of a relayed stream. With the kernel's default, it would hold the data of ten
+# seconds on a slow link.
 PATH_QUEUE_BYTES = 16384
 
 
 class LinkEnd(asyncio.DatagramProtocol):
-    """The address of one controller's link."""
+    """The UDP endpoint of one controller's relay."""
 
     def __init__(self, links: "DatagramLinks", member: int) -> None:
         self.links = links
@@ -37,21 +38,21 @@
         self.transport = cast("asyncio.DatagramTransport", transport)
 
     def datagram_received(self, data: bytes, addr: Address) -> None:
-        """Passes a datagram on."""
-        self.links.carry(addr, self.member, data)
+        """Forwards a datagram."""
+        self.links.forward(addr, self.member, data)
 
 
 class DatagramLinks:
-    """The links of a group's membership.
+    """The relays for the membership datagrams of a group.
 
     Attributes:
-        listen_addresses: By member, where it receives datagrams.
-        advertised_addresses: By member, where others think that it does.
-        script: What happens to datagrams.
-        script_us: Microseconds since the start of the script; None: it has not started.
-        carried: By sender and receiver, the number of datagrams.
-        strangers: Datagrams from none of the members.
-        lost: Datagrams that the script lost.
+        listen_addresses: By member, the address on which it receives datagrams.
+        advertised_addresses: By member, the address of its relay.
+        script: The faults to inject.
+        script_us: Returns the microseconds since the start of the script; None before its start.
+        datagram_counts: By sender and receiver, datagrams since the start of the script.
+        unknown_senders: Number of datagrams that came from no member; they are dropped.
+        lost: Number of datagrams that were dropped by the script.
     """
 
     def __init__(
@@ -67,12 +68,12 @@
         self.script_us = script_us
         self.members = {address: member for member, address in enumerate(listen_addresses)}
         self.ends: list[LinkEnd] = []
-        self.carried: Counter[tuple[int, int]] = Counter()
-        self.strangers = 0
+        self.datagram_counts: Counter[tuple[int, int]] = Counter()
+        self.unknown_senders = 0
         self.lost = 0
 
     async def open(self) -> None:
-        """Opens all links."""
+        """Opens the relays of all members."""
         loop = asyncio.get_running_loop()
         for member, (host, port) in enumerate(self.advertised_addresses):
             _, end = await loop.create_datagram_endpoint(
@@ -80,19 +81,19 @@
             )
             self.ends.append(end)
 
-    def carry(self, source: Address, receiver: int, data: bytes) -> None:
-        """Gives a datagram the fate that the script has for it."""
+    def forward(self, source: Address, receiver: int, data: bytes) -> None:
+        """Forwards a datagram with the faults of the script; without faults before its start."""
         sender = self.members.get(source)
         if sender is None:
-            self.strangers += 1
+            self.unknown_senders += 1
             return
         at_us = self.script_us()
         if at_us is None:
             self.deliver(sender, receiver, data)
             return
-        self.carried[sender, receiver] += 1
+        self.datagram_counts[sender, receiver] += 1
         delays_us = self.script.delivery_delays_us(
-            at_us, sender, receiver, self.carried[sender, receiver]
+            at_us, sender, receiver, self.datagram_counts[sender, receiver]
         )
         if not delays_us:
             self.lost += 1
@@ -104,25 +105,25 @@
                 self.deliver(sender, receiver, data)
 
     def deliver(self, sender: int, receiver: int, data: bytes) -> None:
-        """Sends a datagram to its receiver, from the sender's link."""
+        """Sends a datagram to its receiver, from the address of the sender's relay."""
         transport = self.ends[sender].transport
         if transport and not transport.is_closing():
             transport.sendto(data, self.listen_addresses[receiver])
 
     def close(self) -> None:
-        """Closes all links."""
+        """Closes all relays."""
         for end in self.ends:
             if end.transport:
                 end.transport.close()
 
 
 class StreamLinks:
-    """TCP links between controllers, slow or cut by script.
+    """Relays for the TCP links between controllers, which the script slows down or cuts.
 
-    A cut stream stays open and carries nothing, as on a real network.
+    A cut stream stays open and transfers nothing, as on a real network.
 
     Attributes:
-        opened: By sender and receiver, the number of streams.
+        opened: By the member that connects and the one that accepts, the number of streams.
     """
 
     def __init__(
@@ -142,7 +143,7 @@
         self.opened: Counter[tuple[int, int]] = Counter()
 
     async def open(self) -> None:
-        """Opens all links."""
+        """Opens the relays of all members."""
         for member, address in enumerate(self.advertised_addresses):
             server = await asyncio.start_server(
                 partial(self.serve, member), limit=CHUNK_BYTES, sock=listening_socket(address)
@@ -152,7 +153,7 @@
     async def serve(
         self, receiver: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        """Passes a stream on, both ways, until one of them ends."""
+        """Forwards a stream in both directions until one of them ends, then closes it."""
         sender = self.members.get(writer.get_extra_info("peername")[0], -1)
         self.opened[sender, receiver] += 1
         writers = [writer]
@@ -163,42 +164,42 @@
             writers.append(far_writer)
             self.writers.update(writers)
             directions = [
-                asyncio.create_task(self.carry(reader, far_writer, sender, receiver)),
-                asyncio.create_task(self.carry(far_reader, writer, receiver, sender)),
+                asyncio.create_task(self.forward(reader, far_writer, sender, receiver)),
+                asyncio.create_task(self.forward(far_reader, writer, receiver, sender)),
             ]
             await asyncio.wait(directions, return_when=asyncio.FIRST_COMPLETED)
             for direction in directions:
                 direction.cancel()
         except (OSError, asyncio.CancelledError):
-            pass  # an end is gone, or the testbed ends
+            pass  # a controller has closed its end, or the testbed is closing
         finally:
             for end in writers:
                 end.transport.abort()
             self.writers.difference_update(writers)
 
-    async def carry(
+    async def forward(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, sender: int, receiver: int
     ) -> None:
-        """Passes one direction on, at the pace of the script."""
+        """Forwards one direction of a stream, at the bandwidth of the script."""
         try:
             while data := await reader.read(CHUNK_BYTES):
-                pace = self.pace(sender, receiver)
-                while pace == 0.0:
+                bandwidth = self.bandwidth(sender, receiver)
+                while bandwidth == 0.0:
                     await asyncio.sleep(CUT_POLL_INTERVAL_S)
-                    pace = self.pace(sender, receiver)
+                    bandwidth = self.bandwidth(sender, receiver)
                 writer.write(data)
                 await writer.drain()
-                if pace:
-                    await asyncio.sleep(len(data) / pace)
+                if bandwidth:
+                    await asyncio.sleep(len(data) / bandwidth)
         except OSError:
-            pass  # an end is gone: the other direction ends with it
+            pass  # a controller has closed its end; `serve` ends the other direction as well
 
-    def pace(self, sender: int, receiver: int) -> float | None:
-        """Bytes a second that way now: 0 where it is cut, None for no bound."""
-        return self.script.pace(self.script_us() or 0, sender, receiver)
+    def bandwidth(self, sender: int, receiver: int) -> float | None:
+        """Returns the present bandwidth in bytes per second: 0 if cut, None if unlimited."""
+        return self.script.bandwidth(self.script_us() or 0, sender, receiver)
 
     def close(self) -> None:
-        """Closes all links."""
+        """Closes all relays and aborts their streams."""
         for server in self.servers:
             server.close()
         for writer in list(self.writers):
@@ -206,16 +207,16 @@
 
 
 def short_queue_socket() -> socket.socket:
-    """A TCP socket that does not block and holds little."""
+    """Returns a non-blocking TCP socket with a receive buffer of `PATH_QUEUE_BYTES`."""
     sock = socket.socket()
-    # The kernel doubles the size.
+    # The kernel doubles the size that is set.
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, PATH_QUEUE_BYTES // 2)
     sock.setblocking(False)
     return sock
 
 
 def listening_socket(address: Address) -> socket.socket:
-    """A TCP socket that is bound to an address; what it accepts holds little."""
+    """Returns a TCP socket bound to an address; accepted sockets inherit its small buffer."""
     sock = short_queue_socket()
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
     sock.bind(address)
@@ -223,5 +224,5 @@
 
 
 def non_member_socket() -> socket.socket:
-    """A UDP socket that belongs to no member: for noise."""
+    """Returns a UDP socket that belongs to no member, to send invalid datagrams from."""
     return socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
--- a/plankroute/testbed/plan.py
+++ b/plankroute/testbed/plan.py
@@ -1,4 +1,4 @@
-"""What a group of real controllers is: who they are, their files, and what befalls them."""
+"""The description of a group of real controllers: members, configuration files and faults."""
 
 from typing import Any
 
@@ -6,29 +6,33 @@
 
 from plankroute.testbed.faults import Script
 
-JsonObject = dict[str, Any]  # a part of a configuration or of a feature file, in their own words
+JsonObject = dict[str, Any]  # a part of a configuration or of a feature file, with its own keys
 
 
 class Plan(msgspec.Struct, frozen=True):
     """A group of real controllers.
 
     Attributes:
-        members: How many.
-        script: What befalls them.
-        loopback_net: Second byte of their loopback addresses; each group that runs has its own.
-        seeds: Members that the others ask at their start.
-        started_later: Members that are not started until a step says so.
-        names: By member, a name other than its usual one.
-        clock_jumps: By member, after how many seconds its wall clock jumps, and by how many.
-        membership: More of the feature file's membership section.
-        sections: More sections of the feature file.
-        configuration: More of the configuration.
-        settings: More of the settings in it.
-        has_feature_file: Whether there is a feature file at all.
-        has_membership: Whether it has a membership section.
-        has_links: Whether it has links between controllers.
-        has_direct_links: No faulty links: for sizes at which they would be what is measured.
-        starts_at_once: All processes wait, and start at one moment.
+        members: Number of controllers.
+        script: Faults that are injected.
+        loopback_net: Second octet of their loopback addresses; groups that run at the same time
+            need different ones.
+        seeds: Members that the others contact when they start.
+        started_later: Members that are started by a step of the script or by the caller, not at
+            launch.
+        names: By member, a name that replaces the default one.
+        clock_jumps: By member, the seconds after which its wall clock jumps, and the jump in
+            seconds.
+        membership: Fields that are added to the feature file's membership section.
+        sections: Sections that are added to the feature file.
+        configuration: Fields that are added to the configuration.
+        settings: Fields that are added to the configuration's settings.
+        has_feature_file: Whether the controllers have a feature file.
+        has_membership: Whether the feature file has a membership section.
+        has_links: Whether the feature file configures links between controllers.
+        has_direct_links: Whether controllers reach each other without the relays that inject
+            faults. In large groups the relays would dominate what is measured.
+        starts_at_once: Whether all processes wait for each other and then start simultaneously.
     """
 
     members: int
--- a/plankroute/testbed/processes.py
+++ b/plankroute/testbed/processes.py
@@ -1,6 +1,6 @@
-"""Real controllers as processes: started, paused and killed by script, their logs gathered.
+"""Runs real controllers as processes: starts, pauses and kills them by script, reads their logs.
 
-Ends no process but those that it started, each by its handle.
+Only processes that were started here are ended, each through its handle.
 """
 
 import asyncio
@@ -23,14 +23,15 @@
 from plankroute.testbed.links import Address, DatagramLinks, StreamLinks
 from plankroute.testbed.plan import JsonObject, Plan
 
-LogLine = dict[str, Any]  # a line of a controller's log: event, level, and more by event
+LogLine = dict[str, Any]  # a line of a controller's log: event, level, and fields of the event
 
-MEMBERSHIP_PORT = 7946  # where a controller receives datagrams
-ADVERTISED_MEMBERSHIP_PORT = 7947  # where others think that it does: its faulty link
-STREAM_PORT = 7948  # of proxies and collectors
-LINK_PORT = 7950  # of links between controllers
-ADVERTISED_LINK_PORT = 7951  # where others think that they are
-NO_DISCOVERY = "127.0.0.1:9"  # nobody listens there: the list handed over is all there is
+MEMBERSHIP_PORT = 7946  # where a controller receives membership datagrams
+ADVERTISED_MEMBERSHIP_PORT = 7947  # where others send them: the relay that injects faults
+STREAM_PORT = 7948  # where proxies and collectors connect
+LINK_PORT = 7950  # where a controller accepts links from other controllers
+ADVERTISED_LINK_PORT = 7951  # where others open links: the relay that injects faults
+# Nothing listens there: controllers have only the endpoint list in their configuration.
+NO_DISCOVERY = "127.0.0.1:9"
 GROUP_NAME = "lab"
 SIGNALS = {
     Act.KILL: signal.SIGKILL,
@@ -38,11 +39,11 @@
     Act.RESUME: signal.SIGCONT,
     Act.LEAVE: signal.SIGTERM,
 }
-KEPT_LINES = 200  # of each process's log, for whoever looks why a run failed
-JOIN_TIMEOUT_S = 60.0  # for all to join: some hundred interpreters may start at once
+MAX_LOG_LINES = 200  # kept for each member, to diagnose failed runs
+JOIN_TIMEOUT_S = 60.0  # until all have joined: some hundred interpreters may start at once
 COUNTERS_TIMEOUT_S = 10.0
 POLL_INTERVAL_S = 0.02
-PR_SET_PDEATHSIG = 1  # of Linux
+PR_SET_PDEATHSIG = 1  # option of Linux's prctl
 SETTINGS: JsonObject = {
     "classes": [{"name": "lookup", "idempotency": "retryable"}],
     "dcs": ["a", "b", "c"],
@@ -52,10 +53,10 @@
 
 
 def die_with_parent() -> None:
-    """Runs in a child before its program starts.
+    """Makes the kernel kill this process when its parent ends.
 
-    Guards against controllers that outlive a testbed that was itself killed: they would hold their
-    addresses for good.
+    Runs in a child process before its program starts. Otherwise controllers would outlive a testbed
+    that is itself killed, and keep their addresses in use.
     """
     ctypes.CDLL(None).prctl(PR_SET_PDEATHSIG, signal.SIGKILL)
 
@@ -64,13 +65,14 @@
     """The processes of a plan.
 
     Attributes:
-        history: What they reported about each other, and what was done to them.
-        listen_addresses: By member, where it receives datagrams.
-        advertised_addresses: By member, where others think that it does.
-        running: By member, its newest process.
-        log_lines: By member, the newest lines of its log.
-        configurations: By member, more of its own configuration.
-        on_line: Called with each line of a log.
+        history: Status changes that the members reported about each other, and the steps that were
+            run.
+        listen_addresses: By member, the address on which it receives membership datagrams.
+        advertised_addresses: By member, the address to which others send these datagrams.
+        running: By member, its latest process, which may have ended.
+        log_lines: By member, the latest lines of its log.
+        configurations: By member, fields that are added to its configuration only.
+        on_line: Called with the member and each line of its log.
     """
 
     def __init__(self, plan: Plan) -> None:
@@ -96,7 +98,7 @@
         }
         self.running: dict[int, asyncio.subprocess.Process] = {}
         self.log_lines: list[deque[LogLine]] = [
-            deque(maxlen=KEPT_LINES) for _ in range(plan.members)
+            deque(maxlen=MAX_LOG_LINES) for _ in range(plan.members)
         ]
         self.tasks: set[asyncio.Task[None]] = set()
         self.folder = tempfile.TemporaryDirectory(prefix="plankroute-testbed-")
@@ -106,21 +108,21 @@
         self.on_line: Callable[[int, LogLine], None] = lambda member, line: None
         self.gate: tuple[int, ...] = os.pipe() if plan.starts_at_once else ()
 
-    # Who and where
+    # Members and addresses
 
     def addresses(self, port: int) -> list[Address]:
-        """By member, its loopback address with that port."""
+        """Returns the loopback address of each member with this port."""
         return [
             (f"127.{self.plan.loopback_net}.{member // 250}.{member % 250 + 1}", port)
             for member in range(self.plan.members)
         ]
 
     def name(self, member: int) -> str:
-        """The name of a member."""
+        """Returns the name of a member."""
         return self.plan.names.get(member, f"n{member:04d}")
 
-    def present(self) -> list[int]:
-        """Members that are there from the start."""
+    def initial_members(self) -> list[int]:
+        """Returns the members that are started at launch."""
         return [
             member for member in range(self.plan.members) if member not in self.plan.started_later
         ]
@@ -128,22 +130,25 @@
     # Time
 
     def now_us(self) -> int:
-        """Microseconds since the launch: the clock of the history."""
+        """Returns the microseconds since the launch, which is the clock of the history."""
         return (time.monotonic_ns() - self.launched_ns) // 1000
 
     def script_us(self) -> int | None:
-        """Microseconds since the start of the script; None: it has not started."""
+        """Returns the microseconds since the start of the script; None before its start."""
         return None if self.script_began_us is None else self.now_us() - self.script_began_us
 
     def history_us(self, script_s: float) -> int:
-        """A moment of the script on the history's clock; before the script, its start is at -1."""
+        """Converts seconds of the script into microseconds of the history's clock.
+
+        As long as the script has not started, its start counts as -1 us.
+        """
         began_us = -1 if self.script_began_us is None else self.script_began_us
         return began_us + int(script_s * SECOND)
 
     # Files of a process
 
     def feature_file(self, member: int) -> JsonObject:
-        """The feature file of a member."""
+        """Returns the content of a member's feature file."""
         sections: JsonObject = {**self.plan.sections}
         if self.plan.has_membership:
             sections["membership"] = self.membership_section(member)
@@ -158,7 +163,7 @@
         return sections
 
     def membership_section(self, member: int) -> JsonObject:
-        """The membership section of a member's feature file."""
+        """Returns the membership section of a member's feature file."""
         host = self.listen_addresses[member][0]
         seeds = [seed for seed in self.plan.seeds if seed < self.plan.members]
         return {
@@ -172,7 +177,7 @@
         }
 
     def configuration(self, member: int) -> JsonObject:
-        """The configuration of a member."""
+        """Returns the configuration of a member."""
         settings = {**SETTINGS, "zone": member % 3, "rank": member, "instances": self.plan.members}
         return {
             "name": self.name(member),
@@ -187,7 +192,7 @@
         }
 
     def feature_file_path(self, member: int) -> Path:
-        """Where the feature file of a member is."""
+        """Returns the path of a member's feature file."""
         return Path(self.folder.name) / f"features{member}.json"
 
     def write_files(self, member: int) -> dict[str, str]:
@@ -204,7 +209,7 @@
     # Processes
 
     async def start(self, member: int) -> None:
-        """Starts the process of a member."""
+        """Starts a new process of a member, and reads its log in the background."""
         environment = {
             "PYTHONPATH": ":".join(sys.path),
             "PYTHONDONTWRITEBYTECODE": "1",
@@ -221,10 +226,10 @@
             pass_fds=self.gate[:1],
         )
         self.running[member] = process
-        self.run_task(self.gather_log(member, process))
+        self.run_task(self.read_log(member, process))
 
     def program(self, member: int) -> list[str]:
-        """The module that a member runs, with its arguments."""
+        """Returns the module that a member runs, followed by its arguments."""
         if member in self.plan.clock_jumps:
             after_s, jump_s = self.plan.clock_jumps[member]
             return ["plankroute.testbed.skewed_controller", str(after_s), str(jump_s)]
@@ -233,34 +238,39 @@
         return ["plankroute"]
 
     def are_waiting(self) -> bool:
-        """Whether all processes wait at the gate."""
+        """Returns whether all processes have logged that they wait at the gate."""
         return all(self.has_logged(member, "waits") for member in self.running)
 
     async def open_gate(self) -> bool:
-        """Lets all start at one moment, once all wait; the history's clock starts anew.
+        """Waits for all processes at the gate, then opens it and restarts the history's clock.
+
+        The gate is opened after a timeout as well.
 
         Returns:
-            Whether all were there in time.
+            Whether all processes were waiting before the timeout.
         """
-        are_there = await self.wait_until(self.are_waiting, JOIN_TIMEOUT_S)
+        all_waiting = await self.wait_until(self.are_waiting, JOIN_TIMEOUT_S)
         self.launched_ns = time.monotonic_ns()
         self.close_gate()
-        return are_there
+        return all_waiting
 
     def close_gate(self) -> None:
-        """Closes both ends of the gate's pipe."""
+        """Closes both ends of the gate's pipe, which lets waiting processes start."""
         for end in self.gate:
             os.close(end)
         self.gate = ()
 
     def run_task(self, work: Coroutine[None, None, None]) -> None:
-        """Runs until it ends, or until `close`."""
+        """Runs a coroutine in the background; `close` cancels it if it has not ended."""
         task = asyncio.create_task(work)
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
     async def run_step(self, step: Step) -> None:
-        """Does a step of the script now."""
+        """Runs a step now, whatever its time, and records it in the history.
+
+        A signal to a process that has ended is not sent.
+        """
         self.history.done.append(Done(self.now_us(), step.act.value, step.member))
         if step.act is Act.START:
             await self.start(step.member)
@@ -270,38 +280,43 @@
             process.send_signal(SIGNALS[step.act])
 
     def send_reload(self, member: int) -> None:
-        """Sends SIGHUP to a member's process, if it runs."""
+        """Sends SIGHUP to a member's process if it is running."""
         process = self.running.get(member)
         if process and process.returncode is None:
             process.send_signal(signal.SIGHUP)
 
     async def launch(self) -> bool:
-        """Opens links and starts all members that are there from the start.
+        """Opens the datagram links and starts the initial members.
 
         Returns:
-            Whether all know all in time.
+            Whether each of them has seen all the others join before the timeout.
         """
         if not self.plan.has_direct_links:
             await self.links.open()
-        for member in self.present():
+        for member in self.initial_members():
             await self.start(member)
-        return await self.wait_until(lambda: self.have_joined(self.present()), JOIN_TIMEOUT_S)
+        return await self.wait_until(
+            lambda: self.have_joined(self.initial_members()), JOIN_TIMEOUT_S
+        )
 
     async def run_script(self) -> None:
-        """Does the script's steps at their times; its rules hold from here on."""
+        """Runs the script's steps at their times; its rules apply from now on.
+
+        Returns at the end of the script; see `Script.end_s`.
+        """
         script = self.plan.script
         self.script_began_us = self.now_us()
         for step in script.steps:
             await self.sleep_until(step.at_s)
             await self.run_step(step)
-        await self.sleep_until(script.ends_s())
+        await self.sleep_until(script.end_s())
 
     async def sleep_until(self, script_s: float) -> None:
-        """Sleeps until a moment of the script."""
+        """Sleeps until a time of the script, in seconds from its start."""
         await asyncio.sleep(max(0.0, (self.history_us(script_s) - self.now_us()) / 1e6))
 
     async def close(self) -> None:
-        """Kills all processes that were started, and closes all that was opened."""
+        """Kills all processes, cancels background tasks, closes links and deletes the files."""
         self.history.ends_us = self.now_us()
         self.close_gate()
         for process in self.running.values():
@@ -315,10 +330,13 @@
         self.streams.close()
         self.folder.cleanup()
 
-    # What they report
+    # Logs
+
+    async def read_log(self, member: int, process: asyncio.subprocess.Process) -> None:
+        """Reads the log of one process to its end.
 
-    async def gather_log(self, member: int, process: asyncio.subprocess.Process) -> None:
-        """Takes the log of one process; times are those of arrival, since wall clocks may jump."""
+        Each line is stamped with its time of arrival, because wall clocks of members may jump.
+        """
         assert process.stderr
         async for text in process.stderr:
             try:
@@ -331,7 +349,7 @@
             self.record_change(member, line)
 
     def record_change(self, observer: int, line: LogLine) -> None:
-        """Adds to the history what a line says of another member."""
+        """Adds a log line to the history if it reports a status change of a member."""
         kind, _, change = str(line.get("event", "")).partition("_")
         subject = self.member_by_name.get(line.get("member", ""))
         if kind in ("member", "membership") and subject is not None:
@@ -341,7 +359,7 @@
             self.history.entries.append(entry)
 
     def has_logged(self, member: int, event: str, **details: object) -> bool:
-        """Whether the newest lines of a member have such an event."""
+        """Returns whether the kept log lines of a member have an event with these fields."""
         return any(
             line.get("event") == event
             and all(line.get(key) == value for key, value in details.items())
@@ -349,7 +367,10 @@
         )
 
     def have_joined(self, members: Iterable[int]) -> bool:
-        """Whether each of them was told of each other one, by whatever name it goes."""
+        """Returns whether each of these members has reported that all the others joined.
+
+        Members that share a name count as one.
+        """
         members = list(members)
         known = {
             (entry.observer, entry.subject) for entry in self.history.of("joined", "recovered")
@@ -362,7 +383,7 @@
         )
 
     async def wait_until(self, holds: Callable[[], bool], limit_s: float) -> bool:
-        """Waits until something holds; False: it did not in time."""
+        """Polls a condition; returns whether it held within `limit_s` seconds."""
         end_s = time.monotonic() + limit_s
         while not holds():
             if time.monotonic() > end_s:
@@ -371,7 +392,7 @@
         return True
 
     async def ask_counters(self, member: int) -> JsonObject:
-        """What a process has counted; empty where it did not say."""
+        """Asks a process for its counters by SIGUSR1; returns {} after a timeout."""
         before = len(self.counter_lines(member))
         self.running[member].send_signal(signal.SIGUSR1)
         await self.wait_until(lambda: len(self.counter_lines(member)) > before, COUNTERS_TIMEOUT_S)
@@ -379,5 +400,5 @@
         return new[-1] if new else {}
 
     def counter_lines(self, member: int) -> list[LogLine]:
-        """The lines with counters among the newest of a member."""
+        """Returns the kept log lines of a member that hold its counters."""
         return [line for line in self.log_lines[member] if line.get("event") == "counters"]
