--- a/plankroute/testbed/fleet_collector.py
+++ b/plankroute/testbed/fleet_collector.py
@@ -1,4 +1,4 @@
-"""A collector of one controller: reports what its stub proxies met at the hosts."""
+"""A collector of one controller, which reports the request outcomes of its stub proxies."""
 
 import asyncio
 from collections.abc import Callable
@@ -9,7 +9,7 @@
 REPORT_INTERVAL_S = 1.0
 RECONNECT_DELAY_S = 0.1
 GOOD_LATENCY_MS = 20.0
-REQUESTS_IN_FLIGHT = 2  # that a host reports
+REQUESTS_IN_FLIGHT = 2  # reported for each host
 
 
 async def report_forever(
@@ -18,13 +18,13 @@
     proxy_rate: float,
     ended_hosts: set[str],
 ) -> None:
-    """Reports each second, until cancelled; connects anew when its connection ends.
+    """Reports every second until cancelled; reconnects when the connection ends.
 
     Args:
-        address: Where the controller listens.
-        proxies: Returns the proxies that are joined to it.
-        proxy_rate: Requests a second of each.
-        ended_hosts: Hosts that answer nobody any more.
+        address: Address on which the controller listens.
+        proxies: Returns the proxies that are joined to the controller now.
+        proxy_rate: Requests per second of each proxy.
+        ended_hosts: Names of the hosts that have shut down; all requests to them fail.
     """
     while True:
         try:
@@ -39,7 +39,7 @@
 
 
 def report(proxies: list[RoamingProxy], proxy_rate: float, ended_hosts: set[str]) -> bytes:
-    """Returns the lines of one report."""
+    """Returns the lines of one report, which covers one interval."""
     attempts: dict[str, float] = {}
     for proxy in proxies:
         for host, share in proxy.shares().items():
--- a/plankroute/testbed/fleet_stage.py
+++ b/plankroute/testbed/fleet_stage.py
@@ -1,7 +1,8 @@
-"""Real controllers with stand-ins for all they meet: discovery, hosts, proxies and their channels.
+"""A fleet of real controllers with stubs for discovery, hosts, proxies and channels.
 
-Hosts are replaced as in a release: listed draining, ended at the earliest moment that the rules
-permit, listed as gone. A judge looks at all proxies meanwhile.
+Hosts are replaced as in a release: they are listed as draining, shut down at the earliest time that
+the rules permit, and then listed as deleted. Meanwhile the operators' rules are checked at all
+proxies.
 """
 
 import asyncio
@@ -22,34 +23,35 @@
 from plankroute.testbed.processes import STREAM_PORT, ControllerProcesses
 from plankroute.testbed.roaming_proxies import RoamingProxy
 
-LOOK_INTERVAL_S = 0.05  # between looks of the judge
+LOOK_INTERVAL_S = 0.05  # between checks of the rules
 READY_TIMEOUT_S = 30.0
-INITIAL_HOSTS = 6  # in the table that a proxy holds before any controller has sent one
+INITIAL_HOSTS = 6  # in a proxy's table before any controller has sent one
 LIST_REVISION = 1000
-CALLS_A_SECOND = 1000.0  # that discovery answers
+CALLS_A_SECOND = 1000.0  # rate limit of discovery
 CLASSES = [{"name": "lookup", "idempotency": "fragile", "onTimeMs": 500.0, "deadlineMs": 2000.0}]
 
 
 @dataclass(frozen=True, slots=True)
 class FleetSize:
-    """How large a fleet is, and the figures of its settings.
+    """The size of a fleet, and the values in its settings.
 
     Attributes:
         controllers: Number of controllers.
         proxies: Number of proxies.
-        hosts: Hosts at the start.
-        spare_hosts: Hosts that may be listed later.
-        loopback_net: Octet of the loopback addresses; each stage that is open has its own.
-        seed: Draws where proxies go.
-        lines_per_s: Pace of a controller's channel.
-        backlog_cap: Lines that may wait in it.
-        delay_s: From a message's leaving the channel to its effect; the settings state twice that
-            as the longest.
-        drain_grace_s: For which a proxy may use a removed host.
-        max_unbound_s: For which a joined proxy may have no host.
-        warmup_s: After which a host is warm.
-        proxy_rate: Requests a second of a proxy.
-        host_capacity: Requests a second that a warm host bears.
+        hosts: Number of hosts that are listed at the start.
+        spare_hosts: Number of hosts that releases may add later.
+        loopback_net: Octet of the loopback addresses; fleets that run at the same time need
+            different ones.
+        seed: Seed of the proxies' initial hosts and choices of controllers.
+        lines_per_s: Rate of a controller's channel.
+        backlog_cap: Most lines that may wait in a channel.
+        delay_s: Delay from the time a message has left the channel until it is delivered. The
+            settings state it as the usual delay, and twice as much as the maximum.
+        drain_grace_s: Time for which a proxy may use a removed host.
+        max_unbound_s: Time for which a joined proxy may have no usable host.
+        warmup_s: Time after its start at which a host is warm.
+        proxy_rate: Requests per second of a proxy.
+        host_capacity: Requests per second that a warm host can serve.
     """
 
     controllers: int
@@ -68,7 +70,7 @@
     host_capacity: float = 100.0
 
     def settings(self) -> JsonObject:
-        """Returns the settings, in the operators' words."""
+        """Returns the settings of the controllers' configuration."""
         return {
             "caps": {"mayProbe": True, "dialTimeoutMs": 300.0},
             "classes": CLASSES,
@@ -97,7 +99,7 @@
         }
 
     def rule_times(self) -> RuleTimes:
-        """Returns the figures of the rules."""
+        """Returns the limits of the operators' rules."""
         return RuleTimes(
             drain_grace_s=self.drain_grace_s,
             max_unbound_s=self.max_unbound_s,
@@ -115,14 +117,15 @@
     """A fleet of real controllers.
 
     Attributes:
-        processes: The controllers.
-        discovery: The list service that all of them watch.
+        processes: The controllers' processes; set by `open`.
+        discovery: The stub of the discovery service that all controllers watch.
+        names: Names of all hosts, by number.
         proxies: All proxies of the fleet.
         channels: The channel of each controller.
-        rules: The judge.
-        addresses: Where each controller listens.
-        present: Places of the hosts that are listed ready.
-        ended_hosts: Names of the hosts that have ended.
+        rules: Checks the operators' rules.
+        addresses: Address on which each controller listens for proxies and collectors.
+        present: Numbers of the hosts that are listed as serving.
+        ended_hosts: Names of the hosts that have shut down.
     """
 
     def __init__(self, size: FleetSize) -> None:
@@ -147,7 +150,11 @@
         self._tasks: set[asyncio.Task[None]] = set()
 
     async def open(self) -> None:
-        """Starts everything; returns when all controllers listen."""
+        """Starts controllers and stubs; returns when all controllers listen.
+
+        Raises:
+            TimeoutError: A controller does not listen in time.
+        """
         size = self.size
         await self.hosts.open()
         discovery = await self.discovery.open(f"127.250.{size.loopback_net}.1")
@@ -172,17 +179,17 @@
             initial = proxy.rng.sample(self.names[: size.hosts], INITIAL_HOSTS)
             proxy.weights = dict.fromkeys(initial, 1.0)
             self.proxies.append(proxy)
-            self.run_task(proxy.roam())
+            self.run_task(proxy.connect_repeatedly())
         for controller, address in enumerate(self.addresses):
             proxies = functools.partial(self.proxies_at, controller)
             self.run_task(report_forever(address, proxies, size.proxy_rate, self.ended_hosts))
         now_s = asyncio.get_running_loop().time()
         for host in self.present:
             self.rules.host_started(self.names[host], now_s - size.warmup_s)
-        self.run_task(self._judge())
+        self.run_task(self._check_rules())
 
     async def close(self) -> None:
-        """Ends all that was started."""
+        """Cancels background tasks, kills the controllers and closes the stubs."""
         for task in list(self._tasks):
             task.cancel()
         if hasattr(self, "processes"):
@@ -191,7 +198,7 @@
         self.hosts.close()
 
     def run_task(self, work: Coroutine[None, None, None]) -> None:
-        """Runs until it ends, or until `close`."""
+        """Runs a coroutine in the background; `close` cancels it if it has not ended."""
         task = asyncio.create_task(work)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
@@ -199,19 +206,19 @@
     # Controllers
 
     async def wait_until_listening(self, controller: int) -> None:
-        """Waits until a controller that was started says that it listens.
+        """Waits until a controller that was started logs that it listens.
 
         Raises:
-            TimeoutError: It does not in time.
+            TimeoutError: It has not logged that within `READY_TIMEOUT_S`.
         """
         is_ready = await self.processes.wait_until(
             lambda: self.processes.has_logged(controller, "listening"), READY_TIMEOUT_S
         )
         if not is_ready:
-            raise TimeoutError(f"controller {controller} does not listen")
+            raise TimeoutError(f"controller {controller} did not listen in time")
 
     async def restart(self, controller: int) -> float:
-        """Starts a controller that has ended; returns the seconds until it listens."""
+        """Starts a controller that has ended; returns the seconds until it listened."""
         began_s = asyncio.get_running_loop().time()
         self.processes.log_lines[controller].clear()
         await self.processes.start(controller)
@@ -219,7 +226,13 @@
         return asyncio.get_running_loop().time() - began_s
 
     async def end(self, controller: int, act: Act) -> float:
-        """Ends a controller; returns the seconds that it took."""
+        """Ends a controller by the signal of `act`; returns the seconds until its process ended.
+
+        Also drops the messages in its channel.
+
+        Raises:
+            TimeoutError: The process has not ended within `READY_TIMEOUT_S`.
+        """
         began_s = asyncio.get_running_loop().time()
         process = self.processes.running[controller]
         await self.processes.run_step(Step(0.0, act, controller))
@@ -228,17 +241,24 @@
         return asyncio.get_running_loop().time() - began_s
 
     def proxies_at(self, controller: int) -> list[RoamingProxy]:
-        """Returns the proxies that are joined to a controller."""
+        """Returns the proxies that are joined to a controller now."""
         return [proxy for proxy in self.proxies if proxy.controller == controller]
 
     async def wait_until(self, holds: Callable[[], bool], limit_s: float) -> bool:
-        """Waits until something holds; False: it did not in time."""
+        """Polls a condition; returns whether it held within `limit_s` seconds."""
         return await self.processes.wait_until(holds, limit_s)
 
     # Hosts
 
     def replace_hosts(self, leaving: Iterable[int], count_of_new: int) -> None:
-        """Lists hosts as draining and as many new ones; those that leave end after the grace."""
+        """Lists hosts as draining, and adds new hosts to the list.
+
+        The draining hosts are shut down and listed as deleted after the drain grace.
+
+        Args:
+            leaving: Numbers of the hosts that drain.
+            count_of_new: Number of hosts to add; fewer if not enough spare hosts are left.
+        """
         loop = asyncio.get_running_loop()
         leaving = list(leaving)
         first_new = len(self.discovery.targets)
@@ -263,7 +283,7 @@
             self.discovery.targets[host] = {**self._targets[host], "state": "DELETED"}
         self.discovery.send_changes(hosts)
 
-    async def _judge(self) -> None:
+    async def _check_rules(self) -> None:
         loop = asyncio.get_running_loop()
         while True:
             self.rules.look(loop.time())
--- a/plankroute/testbed/hosts.py
+++ b/plankroute/testbed/hosts.py
@@ -1,27 +1,27 @@
-"""Stub hosts that count health checks, and stub proxies that hold the table they are sent."""
+"""Stub hosts that count health checks, and stub proxies that hold a routing table."""
 
 import asyncio
 import time
 from collections import Counter
 
-BIN_S = 0.1  # in which health checks are counted
+BIN_S = 0.1  # width of the time bins in which health checks are counted
 FIRST_PORT = 9000
-HOSTS_PER_PORT = 250  # loopback addresses of one network that hosts use
+HOSTS_PER_PORT = 250  # one on each loopback address; further hosts use the next port
 LOAD_REPORT = b"TEXT inflight=2\n"
 REQUEST_TIMEOUT_S = 5.0
-BACKLOG = 512  # connections that may wait at a host
-MAX_LINE_BYTES = 1 << 21  # a whole table is one line
+MAX_PENDING_CONNECTIONS = 512  # listen backlog of a host
+MAX_LINE_BYTES = 1 << 21  # a complete table is sent as one line of text
 READ_LIMIT_S = 60.0
 
 
 class StubHosts:
-    """Servers that answer health checks, on loopback addresses of their own network.
+    """Servers that answer health checks, each on its own loopback address and port.
 
     Attributes:
-        addresses: By place, host and port.
-        failing: Places of hosts that answer health checks with an error.
-        checks: Health checks by host and by bin of `BIN_S`.
-        max_connections: The most connections that a host had at once.
+        addresses: By host number, its address as `host:port`.
+        failing: Numbers of the hosts that answer health checks with 503.
+        checks: Number of health checks by host number and time bin of `BIN_S`.
+        max_connections: The most connections that any host had at the same time.
     """
 
     def __init__(self, count: int, loopback_net: int) -> None:
@@ -38,22 +38,22 @@
         self.began_s = time.monotonic()
 
     async def open(self) -> None:
-        """Opens all servers."""
+        """Opens the servers of all hosts."""
         for host, address in enumerate(self.addresses):
             server = await self.open_host(host, address)
             self.servers.append(server)
 
     async def open_host(self, host: int, address: str) -> asyncio.Server:
-        """Opens one server."""
+        """Opens the server of one host."""
 
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             await self.serve(host, reader, writer)
 
         ip, _, port = address.rpartition(":")
-        return await asyncio.start_server(serve, ip, int(port), backlog=BACKLOG)
+        return await asyncio.start_server(serve, ip, int(port), backlog=MAX_PENDING_CONNECTIONS)
 
     def restart_clock(self) -> None:
-        """Counts from now on."""
+        """Restarts the time from which bins are numbered; counts are kept."""
         self.began_s = time.monotonic()
 
     async def serve(
@@ -74,25 +74,28 @@
             await writer.drain()
             writer.close()
         except (OSError, TimeoutError, asyncio.IncompleteReadError, asyncio.CancelledError):
-            pass  # the caller, or the testbed, has ended
+            pass  # the client has closed the connection, or the testbed is closing
         finally:
             self.connections[host] -= 1
             if not writer.is_closing():
                 writer.transport.abort()
 
     def first_bin(self) -> int | None:
-        """The bin of the first health check of any host."""
+        """Returns the bin of the first health check of any host; None if there was none."""
         return min((bin_number for _, bin_number in self.checks), default=None)
 
     def elapsed_s(self) -> float:
-        """Seconds since the first health check."""
+        """Returns the seconds since the start of the first health check's bin; 0 if none."""
         first = self.first_bin()
         if first is None:
             return 0.0
         return time.monotonic() - self.began_s - first * BIN_S
 
     def checks_by_host(self, within_s: float) -> list[int]:
-        """Health checks of each host, in so many seconds from the first of all."""
+        """Counts the health checks of each host within a period.
+
+        The period of `within_s` seconds starts with the first health check of any host.
+        """
         counts = [0] * len(self.addresses)
         first = self.first_bin() or 0
         for (host, bin_number), times in self.checks.items():
@@ -107,14 +110,15 @@
 
 
 class StubProxy:
-    """Joins a controller as its proxy, acknowledges what it is sent, and holds its table.
+    """Joins a controller as a proxy, acknowledges messages, and holds the routing table.
 
     Attributes:
-        number: The proxy's number at its controller.
-        withdrawn_s: By host, the steady time at which it was first told to send nothing there.
-        is_bound: Whether a controller has sent a table.
-        drained: Hosts that it was told to drain.
-        weights: Its table, by host.
+        number: Number that the proxy reports when it joins.
+        withdrawn_s: By host, the monotonic time at which it was first withdrawn, by a drain or by
+            weight 0.
+        is_bound: Whether any controller has sent a complete table.
+        drained: Names of the hosts that the controller has told the proxy to drain.
+        weights: The routing table: weight by name of the host.
     """
 
     def __init__(self, host: str, port: int, zone: str, number: int = 0) -> None:
@@ -128,7 +132,7 @@
         self.weights: dict[str, float] = {}
 
     async def run(self, limit_s: float = READ_LIMIT_S) -> None:
-        """Joins once, and reads until the stream ends or the limit is over."""
+        """Joins once, and reads until the stream ends or `limit_s` seconds have passed."""
         try:
             reader, writer = await asyncio.open_connection(
                 self.host, self.port, limit=MAX_LINE_BYTES
@@ -136,23 +140,31 @@
             writer.write(self.hello(is_cold=True))
             async with asyncio.timeout(limit_s):
                 while line := await reader.readline():
-                    self.take_and_acknowledge(line, writer)
+                    self.apply_and_acknowledge(line, writer)
         except (OSError, TimeoutError, ValueError):
-            pass  # the controller has ended
+            pass  # the controller has closed the stream or does not listen, or the limit is reached
 
     def hello(self, is_cold: bool) -> bytes:
-        """The first line of a stream; a cold proxy holds no table."""
+        """Returns the first line of a stream.
+
+        Args:
+            is_cold: Whether the proxy holds no table yet.
+        """
         cold = 1 if is_cold else 0
         return f"hello node={self.number} locality={self.zone} w=10.0 cold={cold}\r\n".encode()
 
-    def take_and_acknowledge(self, line: bytes, writer: asyncio.StreamWriter) -> None:
-        """Takes a line of the controller, and answers if it asks for an acknowledgement."""
-        sequence_number = self.take(line.decode("ascii").split())
+    def apply_and_acknowledge(self, line: bytes, writer: asyncio.StreamWriter) -> None:
+        """Applies a line from the controller, and acknowledges it if the line asks for that."""
+        sequence_number = self.apply_line(line.decode("ascii").split())
         if sequence_number is not None:
             writer.write(f"ack node={self.number} nonce={sequence_number} latency=1.0\r\n".encode())
 
-    def take(self, words: list[str]) -> str | None:
-        """Takes a line; returns the sequence number that is to be acknowledged, if there is one."""
+    def apply_line(self, words: list[str]) -> str | None:
+        """Applies a line, split into words, to the table and the drained hosts.
+
+        Returns:
+            The sequence number to acknowledge; None if the line has none.
+        """
         fields = dict(word.partition("=")[::2] for word in words[1:])
         if "replace" in fields:
             self.is_bound = True
@@ -170,7 +182,7 @@
         return fields.get("stamp")
 
     def shares(self) -> dict[str, float]:
-        """The share of its requests that it sends to each host."""
+        """Returns the share of the proxy's requests for each usable host, by name."""
         usable = {
             name: weight
             for name, weight in self.weights.items()
--- a/plankroute/testbed/paced_channel.py
+++ b/plankroute/testbed/paced_channel.py
@@ -1,4 +1,7 @@
-"""A controller's channel to its proxies as operators state it: so many lines a second, in order."""
+"""A simulated channel from a controller to its proxies, with a limited rate and in-order delivery.
+
+The operators' settings state its rate in lines per second.
+"""
 
 import asyncio
 from collections import deque
@@ -11,9 +14,10 @@
     """A message in the channel.
 
     Attributes:
-        lines: What it costs, its overhead included.
-        is_wanted: Whether the stream that it came on is still open: else it is lost.
-        deliver: Puts it into effect.
+        lines: Cost of the message in lines, with the message overhead.
+        is_wanted: Returns whether the stream of the message is still open; otherwise the message
+            is dropped.
+        deliver: Called at the time at which the message takes effect at the proxy.
     """
 
     lines: float
@@ -22,49 +26,49 @@
 
 
 class PacedChannel:
-    """Carries messages one after another, each at the stated pace.
+    """Delivers messages one after another at a limited rate.
 
     Attributes:
-        most_waiting: The most lines that ever waited.
+        max_waiting_lines: The most lines that have waited at the same time.
     """
 
     def __init__(self, lines_per_s: float, delay_s: float) -> None:
-        """Starts empty.
+        """Starts with an empty queue.
 
         Args:
-            lines_per_s: Its pace.
-            delay_s: From a message's leaving the channel to its effect.
+            lines_per_s: Rate of the channel.
+            delay_s: Delay from the time a message has left the channel until it is delivered.
         """
         self.lines_per_s = lines_per_s
         self.delay_s = delay_s
-        self.most_waiting = 0.0
+        self.max_waiting_lines = 0.0
         self._queue: deque[QueuedMessage] = deque()
         self._free_at_s = 0.0
-        self._is_carrying = False
+        self._is_sending = False
 
     def enqueue(self, message: QueuedMessage) -> None:
-        """Takes a message whose last byte has come."""
+        """Adds a message, which has been received completely, to the queue."""
         self._queue.append(message)
-        self.most_waiting = max(self.most_waiting, self.waiting_lines())
-        if not self._is_carrying:
+        self.max_waiting_lines = max(self.max_waiting_lines, self.waiting_lines())
+        if not self._is_sending:
             self._free_at_s = max(self._free_at_s, asyncio.get_running_loop().time())
-            self._carry_next()
+            self._send_next()
 
     def waiting_lines(self) -> float:
-        """Returns the lines that wait for streams that are still open."""
+        """Returns the queued lines, without messages whose stream has ended."""
         return sum(message.lines for message in self._queue if message.is_wanted())
 
     def clear(self) -> None:
-        """Drops all that waits: the controller has ended."""
+        """Drops all queued messages, for a controller that has ended."""
         self._queue.clear()
 
-    def _carry_next(self) -> None:
+    def _send_next(self) -> None:
         while self._queue and not self._queue[0].is_wanted():
             self._queue.popleft()
-        self._is_carrying = bool(self._queue)
-        if not self._is_carrying:
+        self._is_sending = bool(self._queue)
+        if not self._is_sending:
             return
-        # From the end of the message before: timers that are late do not slow the channel down.
+        # Counted from the end of the previous message, so that late timers do not lower the rate.
         self._free_at_s += self._queue[0].lines / self.lines_per_s
         loop = asyncio.get_running_loop()
         loop.call_at(self._free_at_s, self._finish, self._queue[0])
@@ -74,7 +78,7 @@
             self._queue.popleft()
             loop = asyncio.get_running_loop()
             loop.call_at(self._free_at_s + self.delay_s, self._deliver, message)
-        self._carry_next()
+        self._send_next()
 
     def _deliver(self, message: QueuedMessage) -> None:
         if message.is_wanted():
--- a/plankroute/testbed/roaming_proxies.py
+++ b/plankroute/testbed/roaming_proxies.py
@@ -1,4 +1,4 @@
-"""Stub proxies that go to another controller when their stream ends, and keep what they hold."""
+"""Stub proxies that connect to another controller when their stream ends, and keep their table."""
 
 import asyncio
 import random
@@ -9,16 +9,16 @@
 from plankroute.testbed.paced_channel import PacedChannel, QueuedMessage
 
 RECONNECT_DELAY_S = 0.05
-OVERHEAD_LINES = 6  # that each message costs beside its own
+OVERHEAD_LINES = 6  # message overhead in the channel
 
 
 class RoamingProxy(StubProxy):
-    """A proxy that is joined to one controller at a time.
+    """A proxy that is joined to at most one controller at a time.
 
     Attributes:
-        controller: Where it is joined; None: nowhere.
-        joined_s: Since when, on the loop's clock.
-        retry_policies: Retry policies that it was sent.
+        controller: The controller that it is joined to; None: not connected.
+        joined_s: When it joined that controller, on the event loop's clock.
+        retry_policies: All retry policies that controllers have sent.
     """
 
     def __init__(
@@ -28,13 +28,13 @@
         channels: Sequence[PacedChannel],
         rng: random.Random,
     ) -> None:
-        """Starts joined nowhere.
+        """Creates a proxy that is not connected.
 
         Args:
-            number: Its number in the fleet.
-            addresses: Where controllers listen.
+            number: Number of the proxy in the fleet.
+            addresses: Addresses on which the controllers listen.
             channels: The channel of each controller.
-            rng: Draws where it goes next.
+            rng: Chooses the next controller when a stream ends.
         """
         super().__init__("", 0, "a", number)
         self.addresses = addresses
@@ -45,8 +45,11 @@
         self.retry_policies: set[str] = set()
         self._stream = 0
 
-    async def roam(self) -> None:
-        """Joins one controller after another, until cancelled; first the one of its number."""
+    async def connect_repeatedly(self) -> None:
+        """Joins one controller after another until cancelled.
+
+        The first one follows from the proxy's number, the others are random.
+        """
         target = self.number % len(self.addresses)
         while True:
             await self.connect_once(target)
@@ -66,7 +69,7 @@
             self.joined_s = asyncio.get_running_loop().time()
             await self.read(reader, writer, self.channels[target])
         except (OSError, ValueError):
-            pass  # the controller has ended
+            pass  # the controller has closed the stream or does not listen
         finally:
             self.controller = None
             if writer:
@@ -75,7 +78,7 @@
     async def read(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, channel: PacedChannel
     ) -> None:
-        """Puts each message into the controller's channel as its last byte arrives."""
+        """Puts each message into the controller's channel when its last line has arrived."""
         stream = self._stream
         parts: list[list[str]] = []
         while line := await reader.readline():
@@ -86,18 +89,20 @@
                 QueuedMessage(
                     OVERHEAD_LINES + sum(map(line_count, parts)),
                     is_wanted=lambda: self.controller is not None and self._stream == stream,
-                    deliver=self.applier(parts, writer),
+                    deliver=self.delivery_callback(parts, writer),
                 )
             )
             parts = []
 
-    def applier(self, parts: list[list[str]], writer: asyncio.StreamWriter) -> Callable[[], None]:
-        """Returns what puts a message into effect and acknowledges it."""
+    def delivery_callback(
+        self, parts: list[list[str]], writer: asyncio.StreamWriter
+    ) -> Callable[[], None]:
+        """Returns a function that applies a message and acknowledges it."""
 
         def apply() -> None:
             for words in parts:
                 self.note_retry_policy(words)
-                sequence_number = self.take(words)
+                sequence_number = self.apply_line(words)
                 if sequence_number is not None and not writer.is_closing():
                     writer.write(
                         f"ack node={self.number} nonce={sequence_number} latency=1.0\r\n".encode()
@@ -106,18 +111,18 @@
         return apply
 
     def note_retry_policy(self, words: list[str]) -> None:
-        """Remembers which retry policies it was told to use."""
+        """Records the retry policies in a line of a message."""
         self.retry_policies.update(
             word.removeprefix("again=") for word in words if word.startswith("again=")
         )
 
     def usable_hosts(self) -> set[str]:
-        """Returns the hosts that it may send a request to."""
+        """Returns the hosts with a positive weight that are not drained."""
         return {name for name, weight in self.weights.items() if weight > 0} - self.drained
 
 
 def line_count(words: list[str]) -> int:
-    """Returns the lines that the channel counts for one part of a message."""
+    """Returns the number of channel lines that one part of a message costs."""
     fields = dict(word.partition("=")[::2] for word in words[1:])
     listed = sum(
         len(fields[name].split(",")) for name in ("rows", "drop", "undrop") if fields.get(name)
--- a/plankroute/testbed/soak.py
+++ b/plankroute/testbed/soak.py
@@ -1,7 +1,7 @@
-"""A soak: real controllers under signals, kills, releases and floods drawn from a seed.
+"""A soak test: real controllers under signals, kills, releases and floods drawn from a seed.
 
-Judged are the operators' rules, starts, ends, logs, memory and descriptors. Nothing is repeated
-until it passes: a seed that breaks is reported with the command that plays it again.
+Checks the operators' rules, start and shutdown times, logs, memory and file descriptors. A seed
+that fails is not retried; it is reported with the command that runs it again.
 """
 
 import asyncio
@@ -19,24 +19,24 @@
 from plankroute.testbed.processes import LogLine
 
 READY_LIMIT_S = 10.0
-END_LIMIT_S = 0.7  # after SIGTERM, before operators send SIGKILL
-BIND_LIMIT_S = 60.0  # for all proxies to be on complete tables again, after the last fault
+END_LIMIT_S = 0.7  # from SIGTERM until operators send SIGKILL
+BIND_LIMIT_S = 60.0  # from the last fault until all proxies are joined and hold a table
 FIRST_FAULT_S = 1.0
-LAST_FAULT_S = 6.0  # before the end: the last hosts that drain end after the grace
-FAULT_INTERVAL_S = (0.2, 2.5)  # drawn from; the shorter ones overlap
-PAUSE_S = (0.1, 0.8)
+LAST_FAULT_S = 6.0  # before the end, so that the last draining hosts shut down within the run
+FAULT_INTERVAL_S = (0.2, 2.5)  # range of the random intervals; faults at short ones overlap
+PAUSE_S = (0.1, 0.8)  # range of the random durations
 FLOOD_CONNECTIONS = 150
 FLOOD_S = 1.0
-REPLACED_HOSTS = (2, 8)
+REPLACED_HOSTS = (2, 8)  # range of the random number of hosts in a release
 MAX_MEMORY_GROWTH_MB = 16.0
-MAX_EXTRA_DESCRIPTORS = 32  # over one for each proxy, health check and collector
+MAX_EXTRA_DESCRIPTORS = 32  # besides one for each proxy, health check and collector
 MB = 1 << 20
 PROBLEM_LEVELS = frozenset({"error"})
-PROBLEM_EVENTS = frozenset({"unreadable"})  # a line that is no JSON: a traceback is
+PROBLEM_EVENTS = frozenset({"unreadable"})  # a line that is not JSON, such as a traceback
 
 
 class Fault(Enum):
-    """What befalls the fleet."""
+    """Kinds of faults."""
 
     RELEASE = "release"
     TERM = "term"
@@ -64,13 +64,14 @@
 
 @dataclass(frozen=True, slots=True)
 class PlannedFault:
-    """A fault of the script.
+    """A fault that is scheduled.
 
     Attributes:
-        at_s: When it begins, in seconds from the start of the play.
-        fault: What it is.
-        member: The controller that it befalls; it is passed over if that ends or starts just then.
-        seed: Draws the rest of it.
+        at_s: Start of the fault, in seconds from the start of the faults.
+        fault: Kind of the fault.
+        member: The controller that it affects; the fault is skipped if that controller is ending,
+            starting or paused at that time.
+        seed: Seed of the other parameters of the fault.
     """
 
     at_s: float
@@ -80,7 +81,13 @@
 
 
 def plan_faults(seed: int, seconds: float, controllers: int) -> list[PlannedFault]:
-    """Draws the faults of a play, which follow from the seed alone."""
+    """Returns the faults of a run, which depend only on the arguments.
+
+    Args:
+        seed: Seed of the faults and their times.
+        seconds: Length of the run; no fault starts in its last `LAST_FAULT_S` seconds.
+        controllers: Number of controllers.
+    """
     rng = random.Random(seed)
     planned: list[PlannedFault] = []
     at_s = FIRST_FAULT_S
@@ -92,17 +99,17 @@
 
 
 class SoakResult(msgspec.Struct):
-    """What a seed showed.
+    """The result of one seed.
 
     Attributes:
         seed: The seed.
-        faults: What befell the fleet, in order.
-        rules_broken: By rule, what was seen first.
-        problems: Whatever else was wrong.
-        longest_use_s: The longest that a removed host stayed in use.
-        slowest_start_s: The longest until a controller that was started listened.
-        slowest_end_s: The longest from SIGTERM to the end of a controller.
-        most_memory_mb: The most memory of a controller at the end.
+        faults: The injected faults in order, each with the number of its controller.
+        rules_broken: By broken rule, its first violation.
+        problems: All other failed checks.
+        longest_use_s: The longest time for which a removed host stayed in use.
+        slowest_start_s: The longest time until a restarted controller listened.
+        slowest_end_s: The longest time from SIGTERM until a controller had ended.
+        most_memory_mb: The largest resident memory of a controller after the faults.
     """
 
     seed: int
@@ -115,11 +122,11 @@
     most_memory_mb: float
 
     def is_good(self) -> bool:
-        """Whether nothing was wrong."""
+        """Returns whether no rule was broken and no other check failed."""
         return not self.rules_broken and not self.problems
 
     def summary(self) -> str:
-        """Returns one line for a person."""
+        """Returns a readable summary in one line."""
         verdict = "good" if self.is_good() else "BROKEN"
         return (
             f"seed {self.seed}: {verdict}, {len(self.faults)} faults, a removed host in use for "
@@ -129,11 +136,12 @@
 
 
 class Soak:
-    """Plays one seed.
+    """The run of one seed.
 
     Attributes:
         stage: The fleet.
-        problems: What was wrong beside rules.
+        faults: The injected faults so far.
+        problems: Failed checks, without broken rules.
     """
 
     def __init__(self, seed: int, seconds: float, loopback_net: int) -> None:
@@ -155,18 +163,18 @@
         self.problems: list[str] = []
         self.slowest_start_s = 0.0
         self.slowest_end_s = 0.0
-        self._busy: set[int] = set()  # controllers that end or start just now
-        self._running: set[asyncio.Task[None]] = set()
+        self._busy: set[int] = set()  # controllers that are ending, starting or paused
+        self._running_faults: set[asyncio.Task[None]] = set()
 
     async def run(self) -> SoakResult:
-        """Plays the seed; all that it started is ended."""
+        """Runs the faults and checks of the seed; ends all processes that it started."""
         memory_mb = 0.0
         try:
             await self.stage.open()
             self.stage.processes.on_line = self.check_line
             await self.wait_until_bound()
             memory_before = self.memory_by_controller()
-            await self.play()
+            await self.run_faults()
             await self.wait_until_bound()
             memory_mb = max(self.memory_by_controller().values(), default=0.0)
             self.check_growth(memory_before)
@@ -179,11 +187,11 @@
 
     @property
     def size(self) -> FleetSize:
-        """How large the fleet is."""
+        """The size of the fleet."""
         return self.stage.size
 
     def result(self, memory_mb: float) -> SoakResult:
-        """Returns what was seen."""
+        """Returns the result; `memory_mb` is the largest memory of a controller."""
         rules = self.stage.rules
         return SoakResult(
             self.seed,
@@ -196,19 +204,22 @@
             round(memory_mb, 1),
         )
 
-    async def play(self) -> None:
-        """Does faults at drawn times; a fault may begin while others go on."""
+    async def run_faults(self) -> None:
+        """Starts the planned faults at their times, and waits until all of them have ended.
+
+        A fault may start while others are still running.
+        """
         loop = asyncio.get_running_loop()
         began_s = loop.time()
         for planned in plan_faults(self.seed, self.seconds, self.size.controllers):
             await asyncio.sleep(max(0.0, began_s + planned.at_s - loop.time()))
-            self.begin(planned)
+            self.start_fault(planned)
         await asyncio.sleep(max(0.0, began_s + self.seconds - loop.time()))
-        if self._running:
-            await asyncio.wait_for(asyncio.gather(*self._running), READY_LIMIT_S * 4)
+        if self._running_faults:
+            await asyncio.wait_for(asyncio.gather(*self._running_faults), READY_LIMIT_S * 4)
 
-    def begin(self, planned: PlannedFault) -> None:
-        """Begins a fault, unless its controller ends or starts just now."""
+    def start_fault(self, planned: PlannedFault) -> None:
+        """Starts a fault, unless its controller is ending, starting or paused."""
         member = planned.member
         if member in self._busy:
             return
@@ -226,19 +237,19 @@
         }
         self.faults.append(f"{planned.fault.value} {member}")
         task = asyncio.ensure_future(actions[planned.fault]())
-        self._running.add(task)
-        task.add_done_callback(self._running.discard)
+        self._running_faults.add(task)
+        task.add_done_callback(self._running_faults.discard)
 
     # Faults
 
     async def release(self, rng: random.Random) -> None:
-        """Replaces some hosts; half of those at the start are left in any case."""
+        """Replaces a random number of hosts by as many new ones, while spare hosts are left."""
         count = rng.randint(*REPLACED_HOSTS)
         present = sorted(self.stage.present)
         self.stage.replace_hosts(rng.sample(present, count), count)
 
     async def restart(self, member: int, act: Act, times: int) -> None:
-        """Ends a controller by a signal, sent so many times, and starts it again."""
+        """Ends a controller by a signal that is sent `times` times, and starts it again."""
         self._busy.add(member)
         for _ in range(times - 1):
             await self.stage.processes.run_step(Step(0.0, act, member))
@@ -250,7 +261,10 @@
         self._busy.discard(member)
 
     async def kill_most(self, survivor: int) -> None:
-        """Kills all other controllers at once: all proxies come to the one that is left."""
+        """Kills the other controllers at once, waits for all proxies to join, and restarts them.
+
+        Controllers that are ending, starting or paused are not killed.
+        """
         others = set(range(self.size.controllers)) - {survivor}
         killed = sorted(others - self._busy)
         self._busy.update(killed)
@@ -262,20 +276,20 @@
         self._busy.difference_update(killed)
 
     async def reload(self, member: int, times: int) -> None:
-        """Sends SIGHUP so many times, one right after another."""
+        """Sends SIGHUP to a controller `times` times without a delay."""
         for _ in range(times):
             self.stage.processes.send_reload(member)
 
-    async def pause(self, member: int, for_s: float) -> None:
-        """Stops a controller for a while; it is not ended or started meanwhile."""
+    async def pause(self, member: int, duration_s: float) -> None:
+        """Suspends a controller for `duration_s`; other faults skip it during that time."""
         self._busy.add(member)
         await self.stage.processes.run_step(Step(0.0, Act.PAUSE, member))
-        await asyncio.sleep(for_s)
+        await asyncio.sleep(duration_s)
         await self.stage.processes.run_step(Step(0.0, Act.RESUME, member))
         self._busy.discard(member)
 
     async def flood(self, member: int) -> None:
-        """Opens many connections that say nothing, and closes them later."""
+        """Opens many connections that send nothing, and closes them after `FLOOD_S`."""
         address = self.stage.addresses[member]
         attempts = await asyncio.gather(
             *(asyncio.open_connection(*address) for _ in range(FLOOD_CONNECTIONS)),
@@ -289,14 +303,14 @@
     # Checks
 
     async def start(self, member: int) -> None:
-        """Starts a controller, and checks that it is ready in time."""
+        """Starts a controller, and checks the time until it listens."""
         took_s = await self.stage.restart(member)
         self.slowest_start_s = max(self.slowest_start_s, took_s)
         if took_s > READY_LIMIT_S:
             self.problems.append(f"controller {member} was ready after {took_s:.1f} s")
 
     async def end(self, member: int) -> None:
-        """Ends a controller by SIGTERM, and checks its exit status and time."""
+        """Ends a controller by SIGTERM, and checks its exit status and shutdown time."""
         took_s = await self.stage.end(member, Act.LEAVE)
         self.slowest_end_s = max(self.slowest_end_s, took_s)
         status = self.stage.processes.running[member].returncode
@@ -306,7 +320,7 @@
             self.problems.append(f"controller {member} ended after {took_s:.2f} s")
 
     async def wait_until_bound(self) -> None:
-        """Waits until all proxies hold a controller's table; adds a problem where they do not."""
+        """Waits until all proxies are joined and hold a table; adds a problem on a timeout."""
 
         def are_bound() -> bool:
             return all(
@@ -317,12 +331,12 @@
             self.problems.append("not all proxies were bound in time")
 
     def check_line(self, member: int, line: LogLine) -> None:
-        """Adds a problem for each line of a log that tells of one."""
+        """Adds a problem if a controller has logged an error or a line that is not JSON."""
         if line.get("level") in PROBLEM_LEVELS or line.get("event") in PROBLEM_EVENTS:
             self.problems.append(f"controller {member} logged {line}")
 
     def memory_by_controller(self) -> dict[int, float]:
-        """Returns the resident memory of each controller that runs, in MB."""
+        """Returns the resident memory of each running controller, in MB."""
         pages_by_member = {
             member: int(Path(f"/proc/{process.pid}/statm").read_text().split()[1])
             for member, process in self.stage.processes.running.items()
@@ -332,7 +346,10 @@
         return {member: pages * page_bytes / MB for member, pages in pages_by_member.items()}
 
     def check_growth(self, memory_before: dict[int, float]) -> None:
-        """Adds a problem where memory or descriptors have grown over what the fleet explains."""
+        """Adds a problem for each controller that uses too much memory or too many descriptors.
+
+        Memory may exceed the largest in `memory_before` by `MAX_MEMORY_GROWTH_MB`.
+        """
         usual_mb = max(memory_before.values(), default=0.0)
         most_descriptors = (
             self.size.proxies + len(self.stage.present) + self.size.controllers
@@ -341,17 +358,20 @@
             pid = self.stage.processes.running[member].pid
             descriptors = len(os.listdir(f"/proc/{pid}/fd"))
             if memory_mb > usual_mb + MAX_MEMORY_GROWTH_MB:
-                self.problems.append(f"controller {member}: {memory_mb:.0f} MB of {usual_mb:.0f}")
+                self.problems.append(
+                    f"controller {member} uses {memory_mb:.0f} MB, up from {usual_mb:.0f} MB"
+                )
             if descriptors > most_descriptors:
-                self.problems.append(f"controller {member}: {descriptors} descriptors")
+                self.problems.append(f"controller {member} has {descriptors} open descriptors")
 
 
 async def run_soak(seed: int, seconds: float, loopback_net: int) -> SoakResult:
-    """Plays one seed.
+    """Runs the soak test with one seed.
 
     Args:
-        seed: Draws faults and their times.
-        seconds: How long faults are played, with the time after the last one.
-        loopback_net: Octet of the loopback addresses; each soak that runs has its own.
+        seed: Seed of the faults and their times.
+        seconds: Length of the run with faults, including the time after the last one.
+        loopback_net: Octet of the loopback addresses; soaks that run at the same time need
+            different ones.
     """
     return await Soak(seed, seconds, loopback_net).run()
--- a/plankroute/testbed/warm_restart.py
+++ b/plankroute/testbed/warm_restart.py
@@ -1,7 +1,8 @@
-"""Measures what the restart of a controller costs while some hosts fail all requests.
+"""Measures how many requests fail after a controller restarts while some hosts fail all requests.
 
-With nothing known, with a snapshot file, a peer, both, or prior knowledge that is all wrong. Real
-controllers, stub proxies and hosts; counts the requests that fail.
+The controller restarts without prior knowledge, or with knowledge from a snapshot file, from a
+peer, from both, or from a file in which all of it is wrong. Uses real controllers, and stubs of
+proxies, hosts and discovery.
 """
 
 import asyncio
@@ -29,13 +30,13 @@
     "both",
     "wrong",
 )
-COUNTING_PERIOD_S = 10.0  # after the new start: so long failures are counted
-BEFORE_START_S = 2.0  # of the curve, before the new start
-STANDING_HOSTS = 3  # in the table that a proxy holds before any controller has sent one
+COUNTING_PERIOD_S = 10.0  # requests are counted for this time after the restart
+CURVE_LEAD_S = 2.0  # the curve of failures starts this time before the controller listens again
+INITIAL_HOSTS = 3  # in a proxy's table before any controller has sent one
 READY_TIMEOUT_S = 30.0
-CALLS_A_SECOND = 100.0  # that discovery answers
+CALLS_A_SECOND = 100.0  # rate limit of discovery
 LIST_REVISION = 1000
-RESTARTED, OTHER = 0, 1  # the controllers, by their places
+RESTARTED, OTHER = 0, 1  # the numbers of the two controllers
 MEMBERS = (RESTARTED, OTHER)
 CLASSES = [{"name": "lookup", "idempotency": "retryable", "onTimeMs": 500.0, "deadlineMs": 2000.0}]
 PROXY_SETTINGS: JsonObject = {
@@ -56,18 +57,19 @@
 
 
 class Trial(msgspec.Struct, frozen=True):
-    """A restart.
+    """The parameters of a restart.
 
     Attributes:
-        knowledge_source: Where prior knowledge comes from, one of `KNOWLEDGE_SOURCES`.
-        hosts: How many hosts are listed.
-        failing_share: Share of them that fails all requests.
-        warm_s: Seconds between start and restart.
-        seed: Draws the failing hosts and the standing tables.
-        loopback_net: Octet of the loopback addresses; each trial that runs has its own.
-        traffic_settings: What the proxies do.
-        is_killed: The controller ends by SIGKILL instead of SIGTERM.
-        restarts_proxies: The proxies restart with it, and hold no table.
+        knowledge_source: Source of prior knowledge, one of `KNOWLEDGE_SOURCES`.
+        hosts: Number of listed hosts.
+        failing_share: Share of the hosts that fail all requests.
+        warm_s: Seconds between the start and the restart.
+        seed: Seed of the failing hosts and of the proxies' initial tables.
+        loopback_net: Octet of the loopback addresses; trials that run at the same time need
+            different ones.
+        traffic_settings: Settings of the proxies and their requests.
+        is_killed: Whether the controller ends by SIGKILL instead of SIGTERM.
+        restarts_proxies: Whether the proxies restart with the controller, and lose their tables.
     """
 
     knowledge_source: str = NOTHING
@@ -83,7 +85,7 @@
 
 class Outcome(
     msgspec.Struct,
-    # Keys of the JSON output, which is an interface.
+    # The JSON output keeps these keys.
     rename={
         "knowledge_source": "way",
         "requests": "asked",
@@ -91,15 +93,16 @@
         "hosts_provided": "told",
     },
 ):
-    """What a restart cost the proxies of the restarted controller.
+    """The measurements of a restart, for the proxies of the restarted controller.
 
     Attributes:
         knowledge_source: As in the trial.
-        requests: Requests in the counting period.
-        failures: Those that failed.
-        ready_ms: Time until the controller listened again.
-        hosts_provided: Hosts of which its policy had prior knowledge.
-        curve: Share of failures by tick, from `BEFORE_START_S` before it listened again.
+        requests: Number of requests in the counting period.
+        failures: Number of these requests that failed.
+        ready_ms: Milliseconds from the new start until the controller listened.
+        hosts_provided: Number of hosts for which the controller's policy had prior knowledge.
+        curve: Share of failed requests by tick, from `CURVE_LEAD_S` before the controller listened
+            again.
     """
 
     knowledge_source: str
@@ -110,12 +113,12 @@
     curve: list[float]
 
     def failure_ratio(self) -> float:
-        """Share of the requests that failed."""
+        """Returns the share of the requests that failed; 0 without requests."""
         return self.failures / max(1.0, self.requests)
 
 
 def feature_sections(trial: Trial, folder: str) -> JsonObject:
-    """Sections of the feature file."""
+    """Returns the sections of the feature file for the trial's source of prior knowledge."""
     if trial.knowledge_source == NOTHING:
         return {"coldstart": {}}
     learned: JsonObject = {"ask_peers": 2 if trial.knowledge_source in (PEER, BOTH) else 0}
@@ -125,7 +128,10 @@
 
 
 class Restart:
-    """Two controllers with proxies of their own over the same hosts; the first one restarts."""
+    """The run of a trial: two controllers with the same hosts, of which the first one restarts.
+
+    Each controller has its own proxies.
+    """
 
     def __init__(self, trial: Trial, folder: str) -> None:
         self.trial = trial
@@ -141,7 +147,7 @@
         self.traffic: list[Traffic] = []
 
     def plan(self, discovery: str) -> Plan:
-        """The processes of the trial."""
+        """Returns the plan of the controllers; `discovery` is the address of discovery."""
         trial = self.trial
         has_peer = trial.knowledge_source in (PEER, BOTH)
         known = {"rev": LIST_REVISION, "all": True, "targets": self.service.targets}
@@ -159,12 +165,12 @@
         )
 
     async def run(self) -> Outcome:
-        """Runs the trial; all that it started is ended."""
+        """Runs the trial, and closes all that it has started."""
         await self.hosts.open()
         address = await self.service.open(f"127.250.{self.trial.loopback_net}.1")
         processes = ControllerProcesses(self.plan(address))
         try:
-            return await self.play(processes)
+            return await self.restart_and_count(processes)
         finally:
             for traffic in self.traffic:
                 traffic.close()
@@ -172,12 +178,12 @@
             self.service.close()
             self.hosts.close()
 
-    async def play(self, processes: ControllerProcesses) -> Outcome:
-        """Starts both, ends the first one, starts it again, and counts."""
+    async def restart_and_count(self, processes: ControllerProcesses) -> Outcome:
+        """Starts both controllers, restarts the first one, and counts its proxies' requests."""
         trial = self.trial
         await self.start_both(processes)
         await asyncio.sleep(trial.warm_s)
-        await self.end_first(processes)
+        await self.end_restarted(processes)
         if trial.knowledge_source == WRONG:
             self.write_wrong_snapshot()
         if trial.restarts_proxies:
@@ -191,33 +197,33 @@
         traffic = self.traffic[-1] if trial.restarts_proxies else self.traffic[0]
         return Outcome(
             trial.knowledge_source,
-            round(traffic.between(traffic.requests, from_s, COUNTING_PERIOD_S), 1),
-            round(traffic.between(traffic.failures, from_s, COUNTING_PERIOD_S), 1),
+            round(traffic.count_between(traffic.requests, from_s, COUNTING_PERIOD_S), 1),
+            round(traffic.count_between(traffic.failures, from_s, COUNTING_PERIOD_S), 1),
             ready_ms,
             counters.get("warm_start.hosts_provided", 0),
             failure_curve(traffic, from_s),
         )
 
     async def start_both(self, processes: ControllerProcesses) -> None:
-        """Starts both controllers, and their traffic when both listen."""
+        """Starts both controllers, and their traffic once both listen."""
         for member in MEMBERS:
             await processes.start(member)
         await processes.wait_until(
             lambda: all(processes.has_logged(member, "listening") for member in MEMBERS),
             READY_TIMEOUT_S,
         )
-        for_s = self.trial.warm_s + COUNTING_PERIOD_S + READY_TIMEOUT_S
+        duration_s = self.trial.warm_s + COUNTING_PERIOD_S + READY_TIMEOUT_S
         for member in MEMBERS:
-            self.start_traffic(processes, member, for_s)
+            self.start_traffic(processes, member, duration_s)
 
-    async def end_first(self, processes: ControllerProcesses) -> None:
-        """Ends the first controller, and waits until it has ended."""
+    async def end_restarted(self, processes: ControllerProcesses) -> None:
+        """Ends the first controller by SIGTERM or SIGKILL, and waits until it has ended."""
         act = Act.KILL if self.trial.is_killed else Act.LEAVE
         await processes.run_step(Step(0.0, act, RESTARTED))
         await asyncio.wait_for(processes.running[RESTARTED].wait(), READY_TIMEOUT_S)
 
     async def start_again(self, processes: ControllerProcesses) -> int:
-        """Starts the first controller again; returns after how many milliseconds it listens."""
+        """Starts the first controller again; returns the milliseconds until it listens."""
         processes.log_lines[RESTARTED].clear()
         began_s = time.monotonic()
         await processes.start(RESTARTED)
@@ -226,54 +232,60 @@
         )
         return round((time.monotonic() - began_s) * 1e3)
 
-    def start_traffic(self, processes: ControllerProcesses, member: int, for_s: float) -> None:
-        """Starts the proxies of a controller."""
+    def start_traffic(self, processes: ControllerProcesses, member: int, duration_s: float) -> None:
+        """Starts the proxies and the collector of a controller for `duration_s` seconds."""
         rng = random.Random(self.trial.seed + member)
         host, _ = processes.listen_addresses[member]
         traffic = Traffic(
             self.trial.traffic_settings,
             (host, STREAM_PORT),
             {self.names[failing] for failing in self.failing},
-            rng.sample(self.names, STANDING_HOSTS),
+            rng.sample(self.names, INITIAL_HOSTS),
         )
-        traffic.start(for_s)
+        traffic.start(duration_s)
         self.traffic.append(traffic)
 
     def write_wrong_snapshot(self) -> None:
-        """A file in which the failing hosts are the best, and as many good ones are ejected."""
+        """Replaces the snapshot file by one with wrong knowledge of all hosts.
+
+        In that file the failing hosts have the highest weight, and as many good ones are ejected.
+        """
         healthy = [host for host in range(self.trial.hosts) if host not in self.failing]
-        slandered = set(healthy[: len(self.failing)])
+        wrongly_ejected = set(healthy[: len(self.failing)])
         hosts = tuple(
-            self.wrong_knowledge(host, host in slandered) for host in range(self.trial.hosts)
+            self.wrong_knowledge(host, host in wrongly_ejected) for host in range(self.trial.hosts)
         )
         snapshot = Snapshot("n0000", LIST_REVISION, 0, hosts, ())
         path = Path(self.folder) / snapshot_file_name("n0000")
         path.write_bytes(encode_file(snapshot, time.time_ns() // 1_000_000))
 
-    def wrong_knowledge(self, host: int, is_slandered: bool) -> HostKnowledge:
-        """What the wrong snapshot says of a host."""
+    def wrong_knowledge(self, host: int, is_wrongly_ejected: bool) -> HostKnowledge:
+        """Returns what the wrong snapshot states about a host."""
         weight = 1.0
         if host in self.failing:
             weight = 1.5
-        elif is_slandered:
+        elif is_wrongly_ejected:
             weight = 0.05
         return HostKnowledge(
             uid=self.names[host],
             boot_ms=0,
             weight=weight,
             attempts=50.0,
-            failed=50.0 if is_slandered else 0.0,
+            failed=50.0 if is_wrongly_ejected else 0.0,
             mean_latency_us=20_000.0,
-            ejected=is_slandered,
+            ejected=is_wrongly_ejected,
             required_checks=8,
             age_us=0,
         )
 
 
 def failure_curve(traffic: Traffic, from_s: float) -> list[float]:
-    """Share of failures by tick, from `BEFORE_START_S` before that time."""
-    first = int((from_s - traffic.began_s - BEFORE_START_S) / TICK_S)
-    end = first + round((COUNTING_PERIOD_S + BEFORE_START_S) / TICK_S)
+    """Returns the share of failed requests by tick, from `CURVE_LEAD_S` before `from_s`.
+
+    `from_s` is a monotonic time. A tick without requests counts as 0.
+    """
+    first = int((from_s - traffic.began_s - CURVE_LEAD_S) / TICK_S)
+    end = first + round((COUNTING_PERIOD_S + CURVE_LEAD_S) / TICK_S)
     curve: list[float] = []
     for tick in range(max(0, first), end):
         requests = traffic.requests.get(tick, 0)
@@ -283,17 +295,18 @@
 
 
 async def run_trial(trial: Trial) -> Outcome:
-    """Runs a trial with a folder of its own."""
+    """Runs a trial with a temporary folder for its snapshot files."""
     with tempfile.TemporaryDirectory(prefix="plankroute-warm-restart-") as folder:
         return await Restart(trial, folder).run()
 
 
 async def run_each_source(sources: tuple[str, ...], common: Trial) -> list[Outcome]:
-    """Runs the same trial with each way, side by side, each on addresses of its own.
+    """Runs the same trial with each source of prior knowledge, at the same time.
 
     Args:
-        sources: Where prior knowledge comes from.
-        common: The trial but for its way; its `loopback_net` is the first of those that are used.
+        sources: Sources of prior knowledge.
+        common: The trial; its knowledge source is ignored. The runs use consecutive loopback
+            networks, starting with its `loopback_net`.
     """
     trials = [
         msgspec.structs.replace(
