--- a/plankroute/testbed/cold_start_faults.py
+++ b/plankroute/testbed/cold_start_faults.py
@@ -1,4 +1,4 @@
-"""Faults of cold starts that scripts can't express: a watcher that lies, a cut way to discovery."""
+"""Faults of cold starts beyond fault scripts: a misbehaving watcher, discovery out of reach."""
 
 import asyncio
 import random
@@ -16,36 +16,40 @@
 from plankroute.testbed.processes import GROUP_NAME
 
 IMPOSSIBLE_REVISION = 10**9
-EMPTY_PARTS = 200  # that a lying watcher goes on with, one each tenth of a second
+EMPTY_PARTS = 200  # that a misbehaving watcher sends after the invalid frames, ten per second
 READ_BYTES = 65536
 POLL_INTERVAL_S = 0.05
 
 
 class MisbehavingWatcher:
-    """Takes a watcher's place, and sends what can't be, something else to each that follows it."""
+    """Replaces a watcher, and sends invalid frames to its followers, others on each link.
+
+    Attributes:
+        links_served: Number of links that were accepted.
+    """
 
     def __init__(self, seed: int) -> None:
         self.rng = random.Random(seed)
-        self.served = 0
+        self.links_served = 0
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Serves one link; the one that follows it is to end it."""
-        self.served += 1
-        lies = self.lies()
+        """Sends invalid frames, then empty list parts, until the follower closes the link."""
+        self.links_served += 1
+        invalid_streams = self.invalid_streams()
         try:
-            for data in lies[self.served % len(lies)]:
+            for data in invalid_streams[self.links_served % len(invalid_streams)]:
                 writer.write(data)
             for _ in range(EMPTY_PARTS):
                 writer.write(encode_frame(ListPart(b"")))
                 await writer.drain()
                 await asyncio.sleep(0.1)
         except (OSError, asyncio.CancelledError):
-            pass  # the link was ended, or the testbed ends
+            pass  # the follower has closed the link, or the testbed is closing
         finally:
             writer.transport.abort()
 
-    def lies(self) -> list[list[bytes]]:
-        """What can't be: revisions, sizes, order, and frames that are none."""
+    def invalid_streams(self) -> list[list[bytes]]:
+        """Returns sequences of frames with invalid revisions, sizes, order or encoding."""
         return [
             [
                 encode_frame(Heartbeat(IMPOSSIBLE_REVISION, 0)),
@@ -58,10 +62,12 @@
 
 
 class InterruptedRelay:
-    """Stands between discovery and some controllers; for some time nothing comes through.
+    """A relay between some controllers and discovery that forwards nothing during a period.
 
     Attributes:
-        address: The address of discovery.
+        address: The address of discovery, as `host:port`.
+        from_s: Start of the interruption, in seconds from the start of the script.
+        until_s: End of the interruption, in seconds from the start of the script.
     """
 
     def __init__(self, start: ColdStart, from_s: float, until_s: float) -> None:
@@ -73,25 +79,25 @@
         self.writers: set[asyncio.StreamWriter] = set()
 
     async def open(self, host: str) -> str:
-        """Opens it; returns its address."""
+        """Opens the relay on an IP address; returns its address as `host:port`."""
         self.server = await asyncio.start_server(self.serve, host, 0)
         ip, port = self.server.sockets[0].getsockname()
         return f"{ip}:{port}"
 
     def close(self) -> None:
-        """Ends all."""
+        """Stops listening and aborts all connections."""
         if self.server:
             self.server.close()
         for writer in list(self.writers):
             writer.transport.abort()
 
     def is_cut(self) -> bool:
-        """Whether nothing comes through now."""
+        """Returns whether the relay is interrupted now."""
         script_us = self.start.processes.script_us()
         return script_us is not None and self.from_s <= script_us / SECOND < self.until_s
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Passes one call on."""
+        """Forwards one call; during the interruption it waits and keeps connections open."""
         far_writer: asyncio.StreamWriter | None = None
         try:
             host, _, port = self.address.rpartition(":")
@@ -105,7 +111,7 @@
                 writer.write(data)
                 await writer.drain()
         except (OSError, asyncio.IncompleteReadError, asyncio.CancelledError):
-            pass  # an end is gone, or the testbed ends
+            pass  # an end has closed its connection, or the testbed is closing
         finally:
             for end in (writer, far_writer):
                 if end:
--- a/plankroute/testbed/list_service.py
+++ b/plankroute/testbed/list_service.py
@@ -1,7 +1,7 @@
-"""A stub of the discovery service, from its published form: list, watch, 503 with Retry-After.
+"""A stub of the discovery service, with its published protocol: list, watch, 503 with Retry-After.
 
-Bounded rate, outages, restarts with revisions that begin anew, slow bodies, half a list, by script.
-It counts calls and judges nothing.
+Simulates a rate limit, outages, restarts after which revisions start over, slow bodies and
+truncated lists. Counts calls, but does not check them.
 """
 
 import asyncio
@@ -17,18 +17,18 @@
 from plankroute.net.discovery.catalogue import MEMBERS
 from plankroute.token_bucket import TokenBucket
 
-Target = dict[str, Any]  # a host as the service lists it, in the service's own words
+Target = dict[str, Any]  # an entry of the endpoint list, with the field names of the service
 
-BIN_S = 0.1  # in which calls are counted
-SIGN_OF_LIFE_INTERVAL_S = 2.0  # on a watch, as published
+BIN_S = 0.1  # width of the time bins in which calls are counted
+KEEPALIVE_INTERVAL_S = 2.0  # on a watch, as the service documents it
 REQUEST_TIMEOUT_S = 5.0
-SLOW_PIECE_BYTES = 4096  # that a slow body writes at once
-MAX_CALLS = 100_000  # of one run: a stub ends by itself
-BACKLOG = 2048  # connections that may wait
+SLOW_PIECE_BYTES = 4096  # written at once when the bandwidth is limited
+MAX_CALLS = 100_000  # further calls are refused, so that a run with runaway retries ends
+MAX_PENDING_CONNECTIONS = 2048  # listen backlog
 CHUNKED_OK = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 LAST_CHUNK = b"0\r\n\r\n"
-SIGN_OF_LIFE = b"1\r\n\n\r\n"  # a chunk with an empty line
-HANGING_S = 3600.0  # longer than any run
+KEEPALIVE = b"1\r\n\n\r\n"  # a chunk that holds an empty line
+HANG_S = 3600.0  # longer than any run
 
 
 class Mode(Enum):
@@ -36,19 +36,19 @@
 
     GOOD = "good"
     DOWN = "down"  # 503 without Retry-After
-    BUSY = "busy"  # 503 with the Retry-After that is set
-    ONE_IN_THREE = "one in three"  # refuses two calls of three
-    HANG = "hang"  # after the head of the answer
-    HALF = "half"  # half a list, then the end
+    BUSY = "busy"  # 503 with the Retry-After of the behaviour
+    ONE_IN_THREE = "one in three"  # refuses two of three calls
+    HANG = "hang"  # sends nothing after the response header
+    HALF = "half"  # sends half a list, then closes the connection
 
 
 class Phase(msgspec.Struct, frozen=True):
-    """How the service answers from some time on, until the next phase.
+    """How the service answers from a given time until the next phase.
 
     Attributes:
-        from_s: Seconds after the opening.
+        from_s: Start of the phase, in seconds after the service was opened.
         mode: How it answers.
-        restart: Whether all watches end, and revisions begin anew.
+        restart: Whether the service restarts: all watches end, and revisions start over.
     """
 
     from_s: float
@@ -57,13 +57,13 @@
 
 
 class Behaviour(msgspec.Struct, frozen=True):
-    """What the service does.
+    """The limits and faults of the service.
 
     Attributes:
-        rate: Calls answered a second; the rest get 503.
-        retry_after: The value of that header; None: none.
-        phases: How it answers, in order of time.
-        bytes_a_second: Pace of each body; None: no bound.
+        rate: Calls per second that are answered; others get 503.
+        retry_after: Value of the Retry-After header of a 503; None: no such header.
+        phases: Phases in order of time.
+        bytes_a_second: Bandwidth of each response body; None: unlimited.
     """
 
     rate: float = 20.0
@@ -75,7 +75,7 @@
 def target(
     host: int, address: str, zone: str = "a", state: str = "SERVING", boot_ms: int = 0
 ) -> Target:
-    """An entry of the list."""
+    """Returns an entry of the endpoint list."""
     return {
         "uid": f"s-{host:05d}",
         "endpoint": address,
@@ -89,16 +89,16 @@
 
 
 class StubDiscovery:
-    """Serves a list, whose revision rises with each change.
+    """Serves an endpoint list, whose revision increases with each change.
 
     Attributes:
-        targets: The list.
-        revision: Its revision.
-        calls: Calls so far.
-        answers: Answers by kind.
-        calls_by_address: Calls by the address of the caller.
-        calls_by_bin: Calls by bin of `BIN_S` since the opening.
-        sent_bytes: Bytes of all answers.
+        targets: The endpoint list; the host number is the index.
+        revision: Revision of the list.
+        calls: Number of calls.
+        answers: Number of answers by kind: refused, hung, half, watch or list.
+        calls_by_address: Number of calls by the client's IP address.
+        calls_by_bin: Number of calls by time bin of `BIN_S` since the service was opened.
+        sent_bytes: Bytes of all responses.
     """
 
     def __init__(self, targets: list[Target], behaviour: Behaviour, revision: int = 1000) -> None:
@@ -107,8 +107,8 @@
         self.revision = revision
         self.first_revision = revision
         self.changes: list[tuple[int, Target]] = []
-        # Bursts of a quarter of a second.
-        self.allowed = TokenBucket(behaviour.rate, max(1.0, behaviour.rate / 4))
+        # Allows bursts of a quarter of a second's calls, and of one call at least.
+        self.rate_limit = TokenBucket(behaviour.rate, max(1.0, behaviour.rate / 4))
         self.server: asyncio.Server | None = None
         self.opened_s = 0.0
         self.sent_bytes = 0
@@ -120,8 +120,10 @@
         self.tasks: set[asyncio.Task[None]] = set()
 
     async def open(self, host: str, port: int = 0) -> str:
-        """Opens the service; returns its address."""
-        self.server = await asyncio.start_server(self.serve, host, port, backlog=BACKLOG)
+        """Opens the service; returns its address as `host:port`."""
+        self.server = await asyncio.start_server(
+            self.serve, host, port, backlog=MAX_PENDING_CONNECTIONS
+        )
         ip, bound_port = self.server.sockets[0].getsockname()
         self.opened_s = time.monotonic()
         for phase in self.behaviour.phases:
@@ -130,32 +132,35 @@
         return f"{ip}:{bound_port}"
 
     def run_task(self, work: Coroutine[None, None, None]) -> None:
-        """Runs until it ends, or until `close`."""
+        """Runs a coroutine in the background; `close` cancels it if it has not ended."""
         task = asyncio.create_task(work)
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
     async def call_at(self, after_s: float, action: Callable[[], None]) -> None:
-        """Calls a function so many seconds after the opening."""
+        """Calls a function `after_s` seconds after the service was opened."""
         await asyncio.sleep(max(0.0, after_s - self.elapsed_s()))
         action()
 
     def elapsed_s(self) -> float:
-        """Seconds since the opening."""
+        """Returns the seconds since the service was opened, or since `restart_clock`."""
         return time.monotonic() - self.opened_s
 
     def mode(self) -> Mode:
-        """How the service answers now."""
+        """Returns how the service answers now."""
         elapsed_s = self.elapsed_s()
         begun = [phase.mode for phase in self.behaviour.phases if phase.from_s <= elapsed_s]
         return begun[-1] if begun else Mode.GOOD
 
     def restart_clock(self) -> None:
-        """Phases and counts begin now: those who start may still have been coming up."""
+        """Restarts the time of phases and bins now.
+
+        Used when the controllers have been started, which takes a while after the opening.
+        """
         self.opened_s = time.monotonic()
 
     def restart(self) -> None:
-        """Acts as another process: watches end, and revisions begin anew."""
+        """Acts as a restarted service: ends all watches, and starts revisions over at 1."""
         self.revision = 1
         self.first_revision = 1
         self.changes = []
@@ -163,12 +168,15 @@
             writer.transport.abort()
 
     def change(self, host: int, **fields: object) -> None:
-        """Changes fields of an entry, and sends the change to all watches."""
+        """Changes fields of a host's entry, and sends the change to all watches."""
         self.targets[host] = {**self.targets[host], **fields}
         self.send_changes([host])
 
     def send_changes(self, hosts: Iterable[int]) -> None:
-        """Sends the entries of these hosts, which are in the list already, to all watches."""
+        """Sends the current entries of these hosts to all watches, as one new revision.
+
+        The entries must be in `targets` already.
+        """
         self.revision += 1
         changed = [self.targets[host] for host in hosts]
         self.changes += [(self.revision, entry) for entry in changed]
@@ -177,12 +185,15 @@
             self.write(writer, chunk)
 
     def chunk(self, is_complete: bool, targets: list[Target]) -> bytes:
-        """A list, or changes of it, as a chunk of a body."""
+        """Returns a complete list or changes, encoded as one chunk of a response body."""
         body = orjson.dumps({"rev": self.revision, "all": is_complete, "targets": targets}) + b"\n"
         return b"%x\r\n%s\r\n" % (len(body), body)
 
     def changes_since(self, revision: int) -> bytes:
-        """Changes after that revision; all, where it is none of this process's."""
+        """Returns the changes after a revision, encoded as one chunk.
+
+        Returns the complete list if the revision is not one since the last restart.
+        """
         if not self.first_revision <= revision <= self.revision:
             return self.chunk(True, self.targets)
         changed = [entry for changed_at, entry in self.changes if changed_at > revision]
@@ -202,7 +213,7 @@
             asyncio.IncompleteReadError,
             asyncio.CancelledError,
         ):
-            pass  # the caller has ended or sends nonsense, or the testbed ends
+            pass  # the client has closed the connection or sent no valid request, or we are closing
         finally:
             self.watches.discard(writer)
             writer.transport.abort()
@@ -210,7 +221,7 @@
     async def answer(
         self, resource: str, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        """Answers one call as the present mode has it."""
+        """Counts one call and answers it according to the present mode."""
         self.calls += 1
         self.calls_by_bin[int(self.elapsed_s() / BIN_S)] += 1
         self.calls_by_address[str(writer.get_extra_info("peername")[0])] += 1
@@ -221,20 +232,20 @@
         elif mode is Mode.HANG:
             self.answers["hung"] += 1
             self.write(writer, CHUNKED_OK)
-            await asyncio.sleep(HANGING_S)
+            await asyncio.sleep(HANG_S)
         else:
             await self.send_list(resource, mode, reader, writer)
 
     def refuses(self, mode: Mode) -> bool:
-        """Whether this call is refused; takes a token if nothing else refuses it."""
+        """Returns whether to refuse this call; takes a token if nothing else refuses it."""
         if mode in (Mode.DOWN, Mode.BUSY) or self.calls > MAX_CALLS:
             return True
         if mode is Mode.ONE_IN_THREE and self.calls % 3:
             return True
-        return not self.allowed.take(time.monotonic_ns() // 1000)
+        return not self.rate_limit.take(time.monotonic_ns() // 1000)
 
     async def refuse(self, writer: asyncio.StreamWriter, mode: Mode) -> None:
-        """Answers 503."""
+        """Answers 503, with Retry-After unless the mode is `DOWN`, and closes the connection."""
         retry_after = None if mode is Mode.DOWN else self.behaviour.retry_after
         header = "" if retry_after is None else f"Retry-After: {retry_after}\r\n"
         answer = f"HTTP/1.1 503 Busy\r\n{header}Content-Length: 0\r\nConnection: close\r\n\r\n"
@@ -250,7 +261,7 @@
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
     ) -> None:
-        """Sends the list once, or serves a watch until the caller ends."""
+        """Sends the list once, or serves a watch until the client closes it."""
         path, _, query = resource.partition("?")
         if path != MEMBERS:
             self.write(writer, b"HTTP/1.1 404 No\r\nContent-Length: 0\r\n\r\n")
@@ -273,19 +284,19 @@
             await writer.drain()
             return
         self.watches.add(writer)
-        self.run_task(self.send_signs_of_life(writer))
+        self.run_task(self.send_keepalives(writer))
         await reader.read()
 
-    async def send_signs_of_life(self, writer: asyncio.StreamWriter) -> None:
-        """Sends an empty line again and again, as long as the watch is there."""
+    async def send_keepalives(self, writer: asyncio.StreamWriter) -> None:
+        """Sends an empty line at each interval as long as the watch is open."""
         while writer in self.watches:
-            await asyncio.sleep(SIGN_OF_LIFE_INTERVAL_S)
-            self.write(writer, SIGN_OF_LIFE)
+            await asyncio.sleep(KEEPALIVE_INTERVAL_S)
+            self.write(writer, KEEPALIVE)
 
     async def send_paced(self, writer: asyncio.StreamWriter, data: bytes) -> None:
-        """Sends data at the pace that is set, or at once."""
-        pace = self.behaviour.bytes_a_second
-        if not pace:
+        """Sends data at the bandwidth of the behaviour, or at once if it is unlimited."""
+        bandwidth = self.behaviour.bytes_a_second
+        if not bandwidth:
             self.write(writer, data)
             await writer.drain()
             return
@@ -293,16 +304,16 @@
             piece = data[start : start + SLOW_PIECE_BYTES]
             self.write(writer, piece)
             await writer.drain()
-            await asyncio.sleep(len(piece) / pace)
+            await asyncio.sleep(len(piece) / bandwidth)
 
     def write(self, writer: asyncio.StreamWriter, data: bytes) -> None:
-        """Writes to a connection that is still open, and counts the bytes."""
+        """Writes to a connection and counts the bytes; does nothing if it is closing."""
         if not writer.is_closing():
             self.sent_bytes += len(data)
             writer.write(data)
 
-    def busiest(self, over_s: float = 1.0) -> int:
-        """The most calls within so long."""
+    def peak_calls(self, over_s: float = 1.0) -> int:
+        """Returns the most calls in any period of `over_s` seconds, which starts with a bin."""
         bins = round(over_s / BIN_S)
         sums = [
             sum(self.calls_by_bin[start + offset] for offset in range(bins))
@@ -311,7 +322,7 @@
         return max(sums, default=0)
 
     def close(self) -> None:
-        """Ends all."""
+        """Cancels background tasks, stops listening and aborts all watches."""
         for task in list(self.tasks):
             task.cancel()
         if self.server:
