--- a/plankroute/testbed/gated_controller.py
+++ b/plankroute/testbed/gated_controller.py
@@ -1,7 +1,7 @@
-"""A controller that waits at a gate, so that hundreds start at one moment, as after a power cut.
+"""A controller that waits before it starts, so that hundreds start at once, as after a power cut.
 
-`python -m plankroute.testbed.gated_controller FD`: it imports all that a start imports, and starts
-when the other end of that pipe is closed.
+`python -m plankroute.testbed.gated_controller FD` does the imports of a start, and starts when the
+write end of the pipe FD, the gate, is closed.
 """
 
 import os
@@ -11,11 +11,11 @@
 
 
 def main() -> int:
-    """Waits at the gate, then runs the controller; returns its exit status."""
+    """Waits until the gate opens, then runs the controller; returns its exit status."""
     from plankroute.net.process.service import main as run_controller
 
     if os.environ.get("PLANKROUTE_FILE"):
-        import plankroute.net.process.optional_features  # noqa: F401 - a start imports it first of all
+        import plankroute.net.process.optional_features  # noqa: F401 - a start imports it first
     gate = int(sys.argv[1])
     os.write(sys.stderr.fileno(), WAITING_LINE)
     os.read(gate, 1)
--- a/plankroute/testbed/skewed_controller.py
+++ b/plankroute/testbed/skewed_controller.py
@@ -8,7 +8,7 @@
 
 
 def main() -> int:
-    """Makes the wall clock jump, and runs the controller; returns its exit status."""
+    """Sets up the jump of the wall clock, and runs the controller; returns its exit status."""
     after_s = float(sys.argv[1])
     jump_s = float(sys.argv[2])
     make_wall_clock_jump(after_s, jump_s)
@@ -18,7 +18,12 @@
 
 
 def make_wall_clock_jump(after_s: float, jump_s: float) -> None:
-    """Replaces the functions of `time` that read the wall clock; after `after_s` it jumps."""
+    """Replaces the functions of `time` that read the wall clock.
+
+    Args:
+        after_s: Seconds from now after which the clock jumps.
+        jump_s: The jump in seconds; negative: backwards.
+    """
     true_time = time.time
     true_time_ns = time.time_ns
     began_s = time.monotonic()
--- a/plankroute/testbed/write_kills.py
+++ b/plankroute/testbed/write_kills.py
@@ -1,7 +1,7 @@
-"""Kills a process while it writes its snapshot file, and checks what a start would find.
+"""Kills a process while it writes its snapshot file, and checks the file that a start would read.
 
-Every second kill is sent while the process is seen within a write; the others at drawn moments.
-`python -m plankroute.testbed.write_kills FOLDER` is the process that writes.
+Half of the kills are sent while a write is observed to be in progress, the others at random times.
+`python -m plankroute.testbed.write_kills FOLDER` is the writing process.
 """
 
 import asyncio
@@ -25,17 +25,17 @@
 
 CONTROLLER = "n0000"
 HOSTS = 500  # of each snapshot
-WRITING_PERIOD_S = 20.0  # a writer that nobody kills ends by itself
+WRITING_PERIOD_S = 20.0  # a writer that is not killed ends after this time
 FIRST_WRITE_TIMEOUT_S = 20.0
-MID_WRITE_TIMEOUT_S = 10.0  # to see the writer within a write: one takes milliseconds
+MID_WRITE_TIMEOUT_S = 10.0  # to observe a write in progress; a write takes milliseconds
 POLL_INTERVAL_S = 0.002
 MID_WRITE_POLL_INTERVAL_S = 0.0005
-MAX_KILL_DELAY_S = 0.012  # a kill is drawn within the time of some writes
+MAX_KILL_DELAY_S = 0.012  # random delay of a kill; covers several writes
 CONCURRENT_WRITERS = 8
 
 
 def numbered_snapshot(number: int) -> Snapshot:
-    """A snapshot in which each host says its number: a mixture of two would show."""
+    """Returns a snapshot with this number in each host, so that a mixture of two is detected."""
     hosts = tuple(
         HostKnowledge(
             uid=f"s-{host:05d}",
@@ -54,7 +54,7 @@
 
 
 def write_repeatedly(folder: Path) -> None:
-    """Writes snapshot after snapshot, with the code that a controller writes with."""
+    """Writes snapshots with increasing numbers, with the same code as a controller."""
     written = threading.Event()
     end_s = time.monotonic() + WRITING_PERIOD_S
     path = folder / snapshot_file_name(CONTROLLER)
@@ -68,22 +68,22 @@
 
 
 def last_number(path: Path) -> int:
-    """The number of the snapshot in a file; 0 without one."""
+    """Returns the number of the snapshot in a file; 0 if there is no usable one."""
     data = Disk().read(path, MAX_FILE_BYTES)
     stored = decode_file(data, CONTROLLER, 0) if data else None
     return stored.snapshot.list_revision if isinstance(stored, StoredSnapshot) else 0
 
 
 class WriteKillCounts(msgspec.Struct):
-    """What the starts after all kills would have found.
+    """Counts of kills, and of the files that a start after each of them would have read.
 
     Attributes:
-        kills: Kills sent.
-        mixtures: Files that mix two snapshots.
-        failed_starts: Files that can't be used.
-        missing_files: Starts without a file.
-        mid_write: Kills that left a temporary file, half written or not yet renamed.
-        took_s: Seconds for all.
+        kills: Number of kills.
+        mixtures: Number of files that mix two snapshots.
+        failed_starts: Number of unusable files.
+        missing_files: Number of kills after which there was no file.
+        mid_write: Number of kills that left a temporary file, partly written or not renamed yet.
+        took_s: Duration of the run in seconds.
     """
 
     kills: int = 0
@@ -94,7 +94,7 @@
     took_s: float = 0.0
 
     def summary(self) -> str:
-        """One line for people."""
+        """Returns a readable summary in one line."""
         return (
             f"{self.kills} kills in {self.took_s:.0f} s, {self.mid_write} of them in the middle of "
             f"a write; {self.mixtures} mixtures, {self.failed_starts} failed starts, "
@@ -105,13 +105,13 @@
 async def kill_writer(
     folder: Path, rng: random.Random, is_mid_write: bool, counts: WriteKillCounts
 ) -> None:
-    """Starts a writer, kills it, and checks the file; the next writer goes on from that file.
+    """Starts a writer, kills it, and checks the file, from which the next writer continues.
 
     Args:
-        folder: Where the writer writes.
-        rng: Draws the moment of the kill.
-        is_mid_write: Whether the kill waits until the writer is seen within a write.
-        counts: What is seen is added there.
+        folder: The folder of the snapshot file.
+        rng: Chooses the delay of the kill.
+        is_mid_write: Whether the kill waits until a write is observed to be in progress.
+        counts: The counts to add to.
     """
     path = folder / snapshot_file_name(CONTROLLER)
     previous_inode = inode_of(path)
@@ -129,7 +129,7 @@
             await asyncio.sleep(POLL_INTERVAL_S)
         await asyncio.sleep(rng.random() * MAX_KILL_DELAY_S)
         if is_mid_write:
-            await stop_mid_write(process, temporary_file(path))
+            await suspend_mid_write(process, temporary_file(path))
     finally:
         if process.returncode is None:
             process.kill()
@@ -140,10 +140,11 @@
     check_file(path, counts)
 
 
-async def stop_mid_write(process: asyncio.subprocess.Process, temporary: Path) -> None:
-    """Stops a writer whose temporary file is there, so that a kill is sure to meet its write.
+async def suspend_mid_write(process: asyncio.subprocess.Process, temporary: Path) -> None:
+    """Suspends a writer while its temporary file exists, so that a kill interrupts a write.
 
-    A writer that had finished the write by the time it stood still goes on, and is tried again.
+    If the writer has finished the write by the time it is suspended, it is resumed and the attempt
+    is repeated. Returns without a suspended writer after `MID_WRITE_TIMEOUT_S`.
     """
     end_s = time.monotonic() + MID_WRITE_TIMEOUT_S
     while time.monotonic() < end_s:
@@ -159,18 +160,21 @@
 
 
 def is_stopped(pid: int) -> bool:
-    """Whether all threads of a child stand still; does not reap a child that has ended."""
+    """Returns whether a child process has been suspended; does not reap one that has ended.
+
+    A suspended process has stopped all of its threads.
+    """
     status = os.waitid(os.P_PID, pid, os.WSTOPPED | os.WNOHANG)
     return status is not None
 
 
 def temporary_file(path: Path) -> Path:
-    """Where a write puts the new content before it is renamed."""
+    """Returns the path of the temporary file, which is renamed to `path` at the end of a write."""
     return path.with_name(path.name + TEMPORARY_SUFFIX)
 
 
 def inode_of(path: Path) -> int:
-    """Which file it is: each write makes another one; 0 without one."""
+    """Returns the inode number, which changes with each write; 0 if there is no file."""
     try:
         return path.stat().st_ino
     except FileNotFoundError:
@@ -178,7 +182,7 @@
 
 
 def check_file(path: Path, counts: WriteKillCounts) -> None:
-    """Counts what a start would find: it must be all of one snapshot."""
+    """Checks that a start would read one complete snapshot, and counts it otherwise."""
     data = Disk().read(path, MAX_FILE_BYTES)
     if data is None:
         counts.missing_files += 1
@@ -194,21 +198,21 @@
 
 
 async def run_kills(kills: int, seed: int) -> WriteKillCounts:
-    """Kills writers, several rows of them side by side, each row in a folder of its own."""
+    """Kills this number of writers; several workers do so in parallel, each in its own folder."""
     counts = WriteKillCounts()
     began_s = time.monotonic()
 
-    async def run_row(row: int, folder: Path) -> None:
-        rng = random.Random(seed * 1000 + row)
+    async def run_worker(worker: int, folder: Path) -> None:
+        rng = random.Random(seed * 1000 + worker)
         folder.mkdir()
-        for number in range(row, kills, CONCURRENT_WRITERS):
+        for number in range(worker, kills, CONCURRENT_WRITERS):
             is_mid_write = number // CONCURRENT_WRITERS % 2 == 0
             await kill_writer(folder, rng, is_mid_write, counts)
 
     with tempfile.TemporaryDirectory(prefix="plankroute-kills-") as top:
-        async with asyncio.TaskGroup() as rows:
-            for row in range(CONCURRENT_WRITERS):
-                rows.create_task(run_row(row, Path(top) / str(row)))
+        async with asyncio.TaskGroup() as workers:
+            for worker in range(CONCURRENT_WRITERS):
+                workers.create_task(run_worker(worker, Path(top) / str(worker)))
     counts.took_s = time.monotonic() - began_s
     return counts
 
--- a/tests/testbed/test_controller_processes.py
+++ b/tests/testbed/test_controller_processes.py
@@ -1,4 +1,4 @@
-"""Two groups of real controllers: the members command, groups kept apart, seeds reloaded."""
+"""Two groups of real controllers: the members command, separate groups, reloaded seeds."""
 
 import asyncio
 import signal
@@ -11,7 +11,7 @@
 from plankroute.testbed.plan import Plan
 from plankroute.testbed.processes import GROUP_NAME, MEMBERSHIP_PORT, ControllerProcesses
 
-GROUP_NET, OTHER_GROUP_NET = 41, 42  # loopback addresses of this test
+GROUP_NET, OTHER_GROUP_NET = 41, 42  # octets of the loopback addresses
 
 
 def members_command(*arguments: str) -> subprocess.CompletedProcess[bytes]:
@@ -23,8 +23,8 @@
     )
 
 
-async def wait_for_stranger(processes: ControllerProcesses) -> None:
-    """Waits until a datagram of another group is dropped; they come once a second."""
+async def wait_for_datagram_of_other_group(processes: ControllerProcesses) -> None:
+    """Waits until a datagram from the other group is dropped; one arrives each second."""
     counters: dict[str, int] = {}
     for _ in range(600):
         counters = await processes.ask_counters(0)
@@ -36,7 +36,7 @@
 
 
 def check_members_command(processes: ControllerProcesses) -> None:
-    """By address and by feature file; another group's name gets no answer."""
+    """Checks the members command by address, by feature file and with a wrong group name."""
     address = f"{processes.listen_addresses[1][0]}:{MEMBERSHIP_PORT}"
     answer = orjson.loads(members_command(address, "--group", GROUP_NAME, "--json").stdout)
     assert answer["steward"] == "n0001"
@@ -51,7 +51,11 @@
 async def reload_membership(
     processes: ControllerProcesses, event: str, **fields: object
 ) -> dict[str, object]:
-    """Changes the feature file of the first controller, and sends SIGHUP; returns the log line."""
+    """Changes the feature file of the first controller, and reloads it by SIGHUP.
+
+    Returns:
+        The latest log line of `event`, which must be logged within ten seconds.
+    """
     path = processes.feature_file_path(0)
     feature_file = orjson.loads(path.read_bytes())
     feature_file["membership"] |= fields
@@ -61,10 +65,13 @@
     return [line for line in processes.log_lines[0] if line["event"] == event][-1]
 
 
-def test_members_are_shown_seeds_reloaded_and_another_group_is_not_heard() -> None:
-    """Two groups that know each other's addresses; the second learns its own seed by SIGHUP."""
+def test_two_groups_with_members_command_and_reloaded_seeds() -> None:
+    """Guards against a group that accepts datagrams of another group, which has it as a seed.
+
+    The other group first rejects invalid seeds on SIGHUP, then accepts its own address as a seed.
+    """
 
-    async def scene() -> None:
+    async def run() -> None:
         processes = ControllerProcesses(Plan(2, Script(1), GROUP_NET, seeds=(0,)))
         seed = f"{processes.listen_addresses[0][0]}:{processes.listen_addresses[0][1]}"
         membership = {"group": "another", "seeds": [seed]}
@@ -72,7 +79,7 @@
         try:
             assert await processes.launch()
             assert await other.launch()
-            await wait_for_stranger(processes)
+            await wait_for_datagram_of_other_group(processes)
             check_members_command(processes)
             await reload_membership(other, "reload_failed", seeds="nonsense", patience_ms=2600)
             own_seed = f"{other.listen_addresses[0][0]}:9"
@@ -84,4 +91,4 @@
             await processes.close()
             await other.close()
 
-    asyncio.run(scene())
+    asyncio.run(run())
--- a/tests/testbed/test_mass_kills.py
+++ b/tests/testbed/test_mass_kills.py
@@ -1,4 +1,4 @@
-"""Real controllers, most of which are killed in a release: the proxies come to the one left."""
+"""Kills of most controllers during a release, after which all proxies join the one that is left."""
 
 import asyncio
 
@@ -8,7 +8,7 @@
 SIZE = FleetSize(controllers=5, proxies=60, hosts=60, spare_hosts=40, loopback_net=80)
 SURVIVOR = 2
 KILLED = [controller for controller in range(SIZE.controllers) if controller != SURVIVOR]
-BATCH = 10  # hosts that drain together
+BATCH = 10  # hosts that are replaced together
 BATCHES = 4
 
 
@@ -17,12 +17,12 @@
 
 
 def users_of(stage: FleetStage, hosts: set[str]) -> int:
-    """How many proxies may send to any of these hosts."""
+    """Counts the proxies that may send requests to any of these hosts."""
     return sum(bool(proxy.usable_hosts() & hosts) for proxy in stage.proxies)
 
 
 async def drain_batch(stage: FleetStage, number: int) -> None:
-    """Replaces some hosts; returns as soon as any proxy has heard of that."""
+    """Replaces a batch of hosts; returns as soon as one proxy no longer uses any of them."""
     hosts = names_of_batch(stage, number)
     users = users_of(stage, hosts)
     stage.replace_hosts(range(number * BATCH, (number + 1) * BATCH), BATCH)
@@ -43,7 +43,10 @@
 
 
 def test_no_proxy_uses_a_drained_host_after_most_controllers_were_killed() -> None:
-    """Guards against drained hosts in the tables that proxies bring from killed controllers."""
+    """Guards against the use of drained hosts from the tables of killed controllers.
+
+    Proxies keep these tables when they join another controller, which has to withdraw the hosts.
+    """
 
     async def run() -> FleetStage:
         stage = FleetStage(SIZE)
@@ -56,4 +59,4 @@
 
     stage = asyncio.run(run())
     assert not stage.rules.breaks.first
-    assert stage.rules.longest_use_s > 0.0  # the judge has seen hosts that drain in use
+    assert stage.rules.longest_use_s > 0.0  # the checks have seen draining hosts in use
--- a/tests/testbed/test_soak.py
+++ b/tests/testbed/test_soak.py
@@ -1,4 +1,4 @@
-"""A short soak: real controllers under signals, kills, releases and floods."""
+"""A short soak test: real controllers under signals, kills, releases and floods."""
 
 import asyncio
 import subprocess
@@ -10,13 +10,16 @@
 
 SEEDS = (1, 2)
 SECONDS = 16.0
-NET = 82  # and the next ones
+FIRST_LOOPBACK_NET = 82  # each seed uses the next one
 
 
-def test_seeds_of_the_soak_break_no_rule() -> None:
+def test_soak_seeds_break_no_rule() -> None:
     async def run() -> list[SoakResult]:
         return await asyncio.gather(
-            *(run_soak(seed, SECONDS, NET + place) for place, seed in enumerate(SEEDS))
+            *(
+                run_soak(seed, SECONDS, FIRST_LOOPBACK_NET + index)
+                for index, seed in enumerate(SEEDS)
+            )
         )
 
     for result in asyncio.run(run()):
@@ -25,13 +28,13 @@
 
 
 @pytest.mark.parametrize("seeds", ["3", "5:4", "x:y"])
-def test_a_wrong_range_of_seeds_is_refused(seeds: str) -> None:
-    done = subprocess.run(
+def test_an_invalid_range_of_seeds_is_rejected(seeds: str) -> None:
+    completed = subprocess.run(
         [sys.executable, "-m", "plankroute", "testbed", "soak", "--seeds", seeds],
         check=False,
         capture_output=True,
         text=True,
         timeout=30,
     )
-    assert done.returncode == 2
-    assert "is no range A:B" in done.stderr
+    assert completed.returncode == 2
+    assert "is no range A:B" in completed.stderr
