--- a/plankroute/cli/testbed_commands.py
+++ b/plankroute/cli/testbed_commands.py
@@ -173,7 +173,7 @@
 ) -> None:
     """Start all controllers of a site at once, and count calls and health checks."""
     from plankroute.testbed import cold_start_report
-    from plankroute.testbed.cold_start import Case, down_until, run_case
+    from plankroute.testbed.cold_start import ColdStartCase, down_until, run_case
 
     ways = ["peers" if peers else "alone"]
     if today:
@@ -181,14 +181,16 @@
     rows = []
     for way in ways:
         show_progress(f"{way}: {controllers} controllers ...")
-        case = Case(way, controllers, hosts, down_until(outage, rate), seed, with_hosts=True)
+        case = ColdStartCase(
+            way, controllers, hosts, down_until(outage, rate), seed, with_hosts=True
+        )
         rows.append(asyncio.run(run_case(case)))
     click.echo(cold_start_report.table(rows))
     if json_path:
         write_json(json_path, rows)
     if report_path:
         report_path.write_text(cold_start_report.page(rows))
-    if any(result.last_s is None for result in rows if result.way != "today"):
+    if any(result.last_s is None for result in rows if result.variant != "today"):
         sys.exit(EXIT_FAILED)
 
 
@@ -251,10 +253,10 @@
     """Measure the cost of a controller restart with and without prior knowledge."""
     from plankroute.testbed import warm_restart as restart
     from plankroute.testbed import warm_restart_report as report
-    from plankroute.testbed.traffic import Mix
+    from plankroute.testbed.traffic import TrafficSettings
 
     chosen_ways = tuple(ways.split(","))
-    reject_unknown(list(chosen_ways), {"ways": list(restart.WAYS)})
+    reject_unknown(list(chosen_ways), {"ways": list(restart.KNOWLEDGE_SOURCES)})
     rows = []
     for seed in range(1, seeds + 1):
         show_progress(f"seed {seed} of {seeds}: {warm_s + restart.COUNTING_PERIOD_S:.0f} s ...")
@@ -263,11 +265,11 @@
             failing_share=bad,
             warm_s=warm_s,
             seed=seed,
-            mix=Mix(probes_fail=probes_fail),
+            traffic_settings=TrafficSettings(probes_fail=probes_fail),
             is_killed=is_killed,
             restarts_proxies=proxies_too,
         )
-        rows.append(asyncio.run(restart.run_ways(chosen_ways, common)))
+        rows.append(asyncio.run(restart.run_each_source(chosen_ways, common)))
     summed = report.summed(rows)
     click.echo(report.table(summed))
     if json_path:
--- a/plankroute/testbed/cold_start_cases.py
+++ b/plankroute/testbed/cold_start_cases.py
@@ -9,16 +9,16 @@
 import msgspec
 
 from plankroute.testbed import cold_start_plays as plays
-from plankroute.testbed.cold_start import Case, ColdStart
-from plankroute.testbed.cold_start_faults import DiscoveryCut
+from plankroute.testbed.cold_start import ColdStart, ColdStartCase
+from plankroute.testbed.cold_start_faults import InterruptedRelay
 from plankroute.testbed.cold_start_plays import (
     CONTROLLERS,
-    LAST,
+    LAST_MEMBER,
     PARTITION_FROM_S,
     PARTITION_UNTIL_S,
-    Objections,
-    Play,
-    others,
+    CaseSteps,
+    Problems,
+    all_but,
     small_side,
     watchers,
 )
@@ -45,7 +45,7 @@
 
 
 class ColdCase(msgspec.Struct, frozen=True):
-    """A case; fields that `Case` has as well have the same meaning here.
+    """A case; fields that `ColdStartCase` has as well have the same meaning here.
 
     Attributes:
         play: Acts and checks after the controllers have started.
@@ -53,7 +53,7 @@
         absent: Controllers that are not started with the others; the play may start them later.
     """
 
-    play: Play
+    play: CaseSteps
     script: ScriptMaker = no_faults
     hosts: int = 500
     behaviour: Behaviour = Behaviour()
@@ -91,33 +91,42 @@
 def cut_a_watcher_one_way(watcher_members: list[int]) -> Script:
     """Returns a script in which nothing that one watcher sends arrives."""
     return slow_links(
-        Rule(3.0, NO_END_S, (watcher_members[0],), tuple(others(watcher_members)), cut=True),
+        Rule(3.0, NO_END_S, (watcher_members[0],), tuple(all_but(watcher_members)), cut=True),
     )
 
 
 def cut_small_side(watcher_members: list[int]) -> Script:
     """Returns a script with a partition between a small side and the other controllers."""
-    sides = tuple(small_side()), tuple(others(small_side()))
+    sides = tuple(small_side()), tuple(all_but(small_side()))
     return Script(1, partition(sides, PARTITION_FROM_S, PARTITION_UNTIL_S))
 
 
 PARTITION_CASE = "parted"
 CASES: dict[str, ColdCase] = {  # the longest first, since they start in this order
-    "watchers killed": ColdCase(plays.drained_meanwhile, kill_two_watchers, LARGE_HOSTS),
-    "watchers paused": ColdCase(plays.drained_meanwhile, pause_watchers, LARGE_HOSTS),
-    "watcher cut one way": ColdCase(plays.drained_meanwhile, cut_a_watcher_one_way, LARGE_HOSTS),
-    PARTITION_CASE: ColdCase(plays.partitioned, cut_small_side),
+    "watchers killed": ColdCase(plays.drain_while_watchers_fail, kill_two_watchers, LARGE_HOSTS),
+    "watchers paused": ColdCase(plays.drain_while_watchers_fail, pause_watchers, LARGE_HOSTS),
+    "watcher cut one way": ColdCase(
+        plays.drain_while_watchers_fail, cut_a_watcher_one_way, LARGE_HOSTS
+    ),
+    PARTITION_CASE: ColdCase(plays.partition_and_heal, cut_small_side),
     "drained ahead": ColdCase(
-        plays.drained_ahead, only_slow_links, hosts=200, with_hosts=True, known=900, padding=5000
+        plays.drain_during_list_transfer,
+        only_slow_links,
+        hosts=200,
+        with_hosts=True,
+        known=900,
+        padding=5000,
+    ),
+    "good": ColdCase(plays.drain_and_late_start, hosts=100, absent=(LAST_MEMBER,), with_hosts=True),
+    "twice": ColdCase(plays.second_power_failure),
+    "began anew": ColdCase(plays.discovery_restart),
+    "lied to": ColdCase(plays.misbehaving_watcher),
+    "changed since": ColdCase(plays.changes_only, hosts=100, with_hosts=True, known=1000),
+    "known from before": ColdCase(
+        plays.discovery_restart_while_down, hosts=100, with_hosts=True, known=5000
     ),
-    "good": ColdCase(plays.good, hosts=100, absent=(LAST,), with_hosts=True),
-    "twice": ColdCase(plays.twice),
-    "began anew": ColdCase(plays.began_anew),
-    "lied to": ColdCase(plays.lied_to),
-    "changed since": ColdCase(plays.changed_since, hosts=100, with_hosts=True, known=1000),
-    "known from before": ColdCase(plays.known_from_before, hosts=100, with_hosts=True, known=5000),
-    "all cold": ColdCase(plays.all_cold, hosts=100, with_hosts=True, load=0.8),
-    "half cold": ColdCase(plays.all_cold, hosts=100, with_hosts=True, load=0.8, cold_part=0.5),
+    "all cold": ColdCase(plays.cold_hosts, hosts=100, with_hosts=True, load=0.8),
+    "half cold": ColdCase(plays.cold_hosts, hosts=100, with_hosts=True, load=0.8, cold_part=0.5),
 }
 
 
@@ -129,28 +138,28 @@
         net: Second or third byte of its loopback addresses.
     """
     start = ColdStart(
-        Case(
-            way="peers",
-            stewards=CONTROLLERS,
+        ColdStartCase(
+            variant="peers",
+            controllers=CONTROLLERS,
             hosts=case.hosts,
             behaviour=case.behaviour,
             seed=1,
-            net=net,
+            loopback_net=net,
             limit_s=LIMIT_S,
-            own={"list_old_s": LIST_OLD_S},
+            cold_start_section={"list_old_s": LIST_OLD_S},
             script=case.script(watchers()),
             with_hosts=case.with_hosts,
-            known=case.known,
+            known_revision=case.known,
             padding=case.padding,
             load=case.load,
-            cold_part=case.cold_part,
+            cold_host_share=case.cold_part,
         )
     )
-    start.absent = case.absent
+    start.started_later = case.absent
     return start
 
 
-async def run_cold_case(name: str, net: int) -> tuple[Objections, dict[str, Any]]:
+async def run_cold_case(name: str, net: int) -> tuple[Problems, dict[str, Any]]:
     """Runs a case; its processes end also after an exception.
 
     Args:
@@ -158,24 +167,24 @@
         net: Second or third byte of its loopback addresses.
 
     Returns:
-        Objections, with up to `MAX_REPORTED_FAILURES` log lines that report an internal failure,
+        Problems, with up to `MAX_REPORTED_FAILURES` log lines that report an internal failure,
         and the figures of the start.
     """
     case = CASES[name]
     start = make_cold_start(case, net)
-    cut = DiscoveryCut(start, PARTITION_FROM_S, PARTITION_UNTIL_S)
+    cut = InterruptedRelay(start, PARTITION_FROM_S, PARTITION_UNTIL_S)
     if name == PARTITION_CASE:
-        start.detours = dict.fromkeys(small_side(), cut)
+        start.discovery_relays = dict.fromkeys(small_side(), cut)
     try:
         await start.begin()
         objections = await case.play(start)
         failures = [
             str(line)
-            for lines in start.processes.lines
+            for lines in start.processes.log_lines
             for line in lines
             if line.get("event") in FAILURE_EVENTS
         ]
-        return objections + failures[:MAX_REPORTED_FAILURES], msgspec.to_builtins(start.seen())
+        return objections + failures[:MAX_REPORTED_FAILURES], msgspec.to_builtins(start.result())
     finally:
         await start.close()
         cut.close()
--- a/plankroute/testbed/membership_scenarios.py
+++ b/plankroute/testbed/membership_scenarios.py
@@ -11,7 +11,7 @@
 from plankroute.membership.records import MemberRecord
 from plankroute.testbed import checkers
 from plankroute.testbed.faults import SECOND, Act, Rule, Step, partition, pauses
-from plankroute.testbed.links import stranger_socket
+from plankroute.testbed.links import non_member_socket
 from plankroute.testbed.plan import Plan
 from plankroute.testbed.processes import GROUP_NAME
 from plankroute.testbed.scenario import CUT_FROM_S, CUT_UNTIL_S, Scenario, ScenarioRun, make_plan
@@ -55,7 +55,7 @@
 
     def find_objections(self, run: ScenarioRun) -> list[str]:
         """Adds the shortest, the median and the longest detection time to the figures."""
-        killed_us = run.processes.at(self.at_s)
+        killed_us = run.processes.history_us(self.at_s)
         survivors = self.survivors(run)
         times_us: list[int] = []
         for victim in self.victims(run.members):
@@ -116,13 +116,13 @@
 
     def is_over(self, run: ScenarioRun) -> bool:
         """All members hold each other present after the cut."""
-        return run.agreement_delay_us(run.processes.at(CUT_UNTIL_S)) is not None
+        return run.agreement_delay_us(run.processes.history_us(CUT_UNTIL_S)) is not None
 
     def find_objections(self, run: ScenarioRun) -> list[str]:
         """Adds the members reported as failed, and the time to agreement, to the figures."""
         history = run.history
-        from_us = run.processes.at(CUT_FROM_S)
-        until_us = run.processes.at(CUT_UNTIL_S)
+        from_us = run.processes.history_us(CUT_FROM_S)
+        until_us = run.processes.history_us(CUT_UNTIL_S)
         changes = checkers.verdict_changes(history, from_us, until_us)
         objections = [
             f"verdict of (observer, subject) {pair} changed {times} times"
@@ -158,11 +158,11 @@
 
     def is_over(self, run: ScenarioRun) -> bool:
         """All members hold each other present after the heal."""
-        return run.agreement_delay_us(run.processes.at(CUT_UNTIL_S)) is not None
+        return run.agreement_delay_us(run.processes.history_us(CUT_UNTIL_S)) is not None
 
     def find_objections(self, run: ScenarioRun) -> list[str]:
         """Adds the number of failed verdicts and the time to agreement to the figures."""
-        healed_us = run.processes.at(CUT_UNTIL_S)
+        healed_us = run.processes.history_us(CUT_UNTIL_S)
         verdicts = checkers.verdicts_at(run.history, healed_us)
         objections = [
             f"{observer} reported {subject} as failed, although both are in the same part"
@@ -230,7 +230,7 @@
 
     def find_objections(self, run: ScenarioRun) -> list[str]:
         """Adds the longest time until a member reported the leave to the figures."""
-        left_us = run.processes.at(STEP_S)
+        left_us = run.processes.history_us(STEP_S)
         others = run.all_but(SUBJECT)
         times = checkers.detection_us(run.history, SUBJECT, left_us, others, "left")
         never_us = 1000 * SECOND
@@ -254,7 +254,7 @@
         """Starts the last member under another one's name."""
         last = members - 1
         plan = make_plan(members, seed, steps=[Step(STEP_S, Act.START, last)])
-        return msgspec.structs.replace(plan, absent=(last,), names={last: f"n{SUBJECT:04d}"})
+        return msgspec.structs.replace(plan, started_later=(last,), names={last: f"n{SUBJECT:04d}"})
 
     def is_over(self, run: ScenarioRun) -> bool:
         """All other members have reported the duplicate, and one process has lost the name."""
@@ -281,7 +281,7 @@
     def plan(self, members: int, seed: int, full: bool) -> Plan:
         """Starts the seed late."""
         plan = make_plan(members, seed, steps=[Step(self.seed_starts_s, Act.START, 0)])
-        return msgspec.structs.replace(plan, seeds=(0,), absent=tuple(range(members)))
+        return msgspec.structs.replace(plan, seeds=(0,), started_later=tuple(range(members)))
 
     async def run_extra_actions(self, run: ScenarioRun) -> None:
         """Starts all members except the seed."""
@@ -294,9 +294,11 @@
 
     def find_objections(self, run: ScenarioRun) -> list[str]:
         """Adds the time from the seed's start to agreement to the figures."""
-        began_us = run.processes.at(0.0)
+        began_us = run.processes.history_us(0.0)
         early = [report for report in run.history.reports_of("joined") if report.at_us < began_us]
-        run.figures["joined_after_s"] = run.agreement_delay_s(run.processes.at(self.seed_starts_s))
+        run.figures["joined_after_s"] = run.agreement_delay_s(
+            run.processes.history_us(self.seed_starts_s)
+        )
         objections = run.false_failure_objections()
         if early:
             objections.append("members joined each other without a seed")
@@ -345,12 +347,12 @@
         """Sends `NOISE_DATAGRAMS`, drawn by the seed, in small bursts from one socket."""
         rng = random.Random(run.processes.plan.script.seed)
         makers = invalid_datagram_makers(rng)
-        with stranger_socket() as stranger:
+        with non_member_socket() as stranger:
             stranger.setblocking(False)
             for number in range(NOISE_DATAGRAMS):
                 make_datagram = makers[number % len(makers)]
                 try:
-                    stranger.sendto(make_datagram(), run.processes.real[0])
+                    stranger.sendto(make_datagram(), run.processes.listen_addresses[0])
                 except BlockingIOError:
                     await asyncio.sleep(NOISE_PAUSE_S)
                 if number % NOISE_BURST == 0:
--- a/plankroute/testbed/scenario.py
+++ b/plankroute/testbed/scenario.py
@@ -126,4 +126,4 @@
 
 def make_plan(members: int, seed: int, *rules: Rule, steps: Iterable[Step] = ()) -> Plan:
     """Returns a plan with these faults; its network is set when the scenario runs."""
-    return Plan(members, Script(seed, tuple(rules), tuple(steps)), net=0)
+    return Plan(members, Script(seed, tuple(rules), tuple(steps)), loopback_net=0)
--- a/plankroute/testbed/scenarios.py
+++ b/plankroute/testbed/scenarios.py
@@ -85,7 +85,7 @@
     "killed one": Killed(last_member),
     "killed three": Killed(last_three_members),
     "killed half": Killed(last_half),
-    "lossy": Killed(last_member, Rule(loss=0.3, twice=0.1, spread_ms=20), at_s=6.0),
+    "lossy": Killed(last_member, Rule(loss=0.3, duplicate_share=0.1, jitter_ms=20), at_s=6.0),
     "slow": Killed(last_member, Rule(delay_ms=300, late_share=0.1, late_ms=2000), at_s=6.0),
     "paused": Paused(),
     "not heard": CutOff(cut_sender, may_fail=True),
@@ -113,7 +113,7 @@
         net: Second byte of the controllers' loopback addresses.
     """
     scenario = SCENARIOS[name]
-    plan = msgspec.structs.replace(scenario.plan(members, seed, full), net=net)
+    plan = msgspec.structs.replace(scenario.plan(members, seed, full), loopback_net=net)
     run = ScenarioRun(ControllerProcesses(plan))
     try:
         if not await run.processes.launch():
@@ -132,18 +132,18 @@
         failure.
     """
     processes = run.processes
-    playing = asyncio.create_task(processes.play())
+    playing = asyncio.create_task(processes.run_script())
     await scenario.run_extra_actions(run)
     await playing
     objections: list[str] = []
-    if not await processes.until(lambda: scenario.is_over(run), WAIT_LIMIT_S):
+    if not await processes.wait_until(lambda: scenario.is_over(run), WAIT_LIMIT_S):
         objections.append(f"the scenario was not over within {WAIT_LIMIT_S:.0f} s after its script")
     await asyncio.sleep(QUIET_PERIOD_S)
     processes.history.ends_us = processes.now_us()
     objections += scenario.find_objections(run)
     objections += [
         f"{member}: {line}"
-        for member, lines in enumerate(processes.lines)
+        for member, lines in enumerate(processes.log_lines)
         for line in lines
         if line.get("event") in FAILURE_EVENTS
     ]
--- a/plankroute/testbed/simulated_members.py
+++ b/plankroute/testbed/simulated_members.py
@@ -326,6 +326,6 @@
         self.sent_by_pair[member, receiver] += 1
         number = self.sent_by_pair[member, receiver]
         event = MessageReceived(address_of(member), message)
-        for delay_us in self.script.fate(self.now_us, member, receiver, number):
+        for delay_us in self.script.delivery_delays_us(self.now_us, member, receiver, number):
             due_us = self.now_us + ONE_WAY_US + delay_us
             self.schedule(due_us, partial(self.arrive, receiver, event))
--- a/plankroute/testbed/warm_restart_report.py
+++ b/plankroute/testbed/warm_restart_report.py
@@ -23,7 +23,7 @@
     count = len(outcomes)
     curves = zip(*(outcome.curve for outcome in outcomes), strict=False)
     return Outcome(
-        outcomes[0].way,
+        outcomes[0].knowledge_source,
         sum(outcome.requests for outcome in outcomes),
         sum(outcome.failures for outcome in outcomes),
         round(sum(outcome.ready_ms for outcome in outcomes) / count),
@@ -37,7 +37,7 @@
 
 def table(outcomes: list[Outcome]) -> str:
     """Formats the outcomes as a text table."""
-    base = next((one.failure_ratio() for one in outcomes if one.way == NOTHING), 0.0)
+    base = next((one.failure_ratio() for one in outcomes if one.knowledge_source == NOTHING), 0.0)
     return text_table([HEADINGS, *(table_row(outcome, base) for outcome in outcomes)])
 
 
@@ -50,7 +50,7 @@
     """
     ratio = outcome.failure_ratio()
     return (
-        outcome.way,
+        outcome.knowledge_source,
         f"{outcome.requests:.0f}",
         f"{outcome.failures:.0f}",
         f"{ratio:.2%}",
@@ -80,7 +80,7 @@
     """Returns an HTML page with the table and a curve for each outcome, all on the same scale."""
     max_share = max((max(outcome.curve, default=0.0) for outcome in outcomes), default=0.0) or 1.0
     curves = [
-        {"way": outcome.way, "points": curve_points(outcome.curve, max_share)}
+        {"way": outcome.knowledge_source, "points": curve_points(outcome.curve, max_share)}
         for outcome in outcomes
     ]
     text: str = PAGE.render(table=table(outcomes), curves=curves, max_share=f"{max_share:.0%}")
--- a/tests/warm_start/test_warm_restart_processes.py
+++ b/tests/warm_start/test_warm_restart_processes.py
@@ -12,7 +12,7 @@
 from plankroute.testbed.faults import Act, Script, Step
 from plankroute.testbed.plan import Plan
 from plankroute.testbed.processes import STREAM_PORT, ControllerProcesses
-from plankroute.testbed.warm_restart import Outcome, Trial, run_ways
+from plankroute.testbed.warm_restart import Outcome, Trial, run_each_source
 from plankroute.warm_start.codec import StoredSnapshot, decode_file, encode_file
 
 HOSTS = 20
@@ -28,15 +28,15 @@
 
     async def run() -> tuple[list[Outcome], list[Outcome]]:
         return await asyncio.gather(
-            run_ways(
+            run_each_source(
                 ("nothing", "snapshot", "peer", "wrong"),
-                Trial(net=60, warm_s=12.0, is_killed=True, restarts_proxies=True),
+                Trial(loopback_net=60, warm_s=12.0, is_killed=True, restarts_proxies=True),
             ),
-            run_ways(("snapshot", "peer"), Trial(net=64, warm_s=12.0)),
+            run_each_source(("snapshot", "peer"), Trial(loopback_net=64, warm_s=12.0)),
         )
 
     fresh, stay = asyncio.run(run())
-    return {one.way: one for one in fresh}, {one.way: one for one in stay}
+    return {one.knowledge_source: one for one in fresh}, {one.knowledge_source: one for one in stay}
 
 
 @pytest.mark.parametrize("way", ["snapshot", "peer"])
@@ -94,16 +94,16 @@
         return any(
             line.get("event") == event
             and all(line.get(key) == value for key, value in details.items())
-            for line in self.processes.lines[member]
+            for line in self.processes.log_lines[member]
         )
 
     async def wait_until(self, holds: Callable[[], bool]) -> None:
-        is_met = await self.processes.until(holds, 60.0)
-        assert is_met, [list(lines)[-8:] for lines in self.processes.lines]
+        is_met = await self.processes.wait_until(holds, 60.0)
+        assert is_met, [list(lines)[-8:] for lines in self.processes.log_lines]
 
     async def start(self, members: Sequence[int]) -> None:
         for member in members:
-            self.processes.lines[member].clear()
+            self.processes.log_lines[member].clear()
             await self.processes.start(member)
         await self.wait_until(
             lambda: all(self.has_logged(member, "listening") for member in members)
@@ -111,7 +111,7 @@
 
     async def report_requests(self, member: int) -> None:
         """Sends request counts to a controller in which one host fails all requests."""
-        address = self.processes.real[member][0], STREAM_PORT
+        address = self.processes.listen_addresses[member][0], STREAM_PORT
         _, self.collector = await asyncio.open_connection(*address)
         self.collector.write(b"agent locality=a\r\n")
         for host in range(HOSTS):
@@ -124,7 +124,7 @@
 
     async def end(self, members: Sequence[int], act: Act = Act.LEAVE) -> None:
         for member in members:
-            await self.processes.do(Step(0.0, act, member))
+            await self.processes.run_step(Step(0.0, act, member))
         for member in members:
             await asyncio.wait_for(self.processes.running[member].wait(), 30.0)
 
