--- a/tests/net/test_connection_limits.py
+++ b/tests/net/test_connection_limits.py
@@ -4,7 +4,7 @@
 from dataclasses import replace
 
 import pytest
-from support.service_stage import HELLO, Client, RunningService, run_scenario
+from support.service_harness import HELLO, Client, RunningService, run_scenario
 
 from plankroute.net.proxies import connection_table
 
--- a/tests/net/test_core_runner.py
+++ b/tests/net/test_core_runner.py
@@ -6,7 +6,7 @@
 import pytest
 from support.controller_model import SECOND, entry, full, start_facts
 from support.endpoint_lists import directory_of, host_json, list_json
-from support.service_stage import HELLO, RunningService, run_scenario
+from support.service_harness import HELLO, RunningService, run_scenario
 
 from plankroute.controller.controller import Controller, TimerToken
 from plankroute.controller.message_builder import MessageBuilder
--- a/tests/net/test_health_checker.py
+++ b/tests/net/test_health_checker.py
@@ -8,7 +8,7 @@
 import pytest
 from support.controller_model import READY, start_facts
 from support.faulty_discovery import drip
-from support.service_stage import RunningService, run_scenario
+from support.service_harness import RunningService, run_scenario
 
 from plankroute.events import events
 from plankroute.events.events import HealthCheckOutcome
--- a/tests/net/test_process_configuration.py
+++ b/tests/net/test_process_configuration.py
@@ -7,7 +7,7 @@
 
 import orjson
 import pytest
-from support.service_stage import (
+from support.service_harness import (
     HELLO,
     FakeDiscovery,
     RunningService,
--- a/tests/net/test_process_signals.py
+++ b/tests/net/test_process_signals.py
@@ -12,7 +12,7 @@
 from contextlib import contextmanager, suppress
 from pathlib import Path
 
-from support.service_stage import HELLO, ask, config, free_port, process
+from support.service_harness import HELLO, ask, config, free_port, process
 
 RETURNED = HELLO.replace("cold=1", "cold=0")
 
--- a/tests/net/test_process_start_and_end.py
+++ b/tests/net/test_process_start_and_end.py
@@ -10,7 +10,7 @@
 from pathlib import Path
 
 import pytest
-from support.service_stage import ask, config, free_port, process
+from support.service_harness import ask, config, free_port, process
 
 
 @pytest.mark.parametrize(
--- a/tests/net/test_sessions.py
+++ b/tests/net/test_sessions.py
@@ -4,7 +4,7 @@
 
 import pytest
 from support.faulty_discovery import DRAINED
-from support.service_stage import HELLO, Client, RunningService, run_scenario
+from support.service_harness import HELLO, Client, RunningService, run_scenario
 
 from plankroute.events import events
 from plankroute.net.proxies.connection import Connection
--- a/tests/net/test_watch.py
+++ b/tests/net/test_watch.py
@@ -9,7 +9,7 @@
 import orjson
 import pytest
 from support.faulty_discovery import DRAINED, FAULTS, FaultyDiscovery, run_with_faulty_discovery
-from support.service_stage import HELLO, RunningService, config, listing, run_scenario
+from support.service_harness import HELLO, RunningService, config, listing, run_scenario
 
 from plankroute.net.discovery import watch as watch_module
 
--- a/tests/support/faulty_discovery.py
+++ b/tests/support/faulty_discovery.py
@@ -6,7 +6,7 @@
 
 import orjson
 
-from support.service_stage import FakeDiscovery, RunningService, listing, run_scenario
+from support.service_harness import FakeDiscovery, RunningService, listing, run_scenario
 
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
