--- a/tests/policy/test_admission_limits.py
+++ b/tests/policy/test_admission_limits.py
@@ -16,7 +16,7 @@
     bench = ready_bench(admission_unit=unit)
     bench.levels.clear()
     for _ in range(6):
-        bench.give(*[events.ProxyRequestStats(p, 0, 20, 0, SECOND) for p in range(4)])
+        bench.deliver(*[events.ProxyRequestStats(p, 0, 20, 0, SECOND) for p in range(4)])
         feed(bench, 1, time_ms=lambda host: 900.0)
     if unit is AdmissionUnit.NONE:
         assert not bench.levels
@@ -36,6 +36,6 @@
 ) -> None:
     bench = ready_bench(admission_unit=AdmissionUnit.RATE)
     for _ in range(20):
-        bench.give(*[events.ProxyRequestStats(p, 0, 12, 0, SECOND) for p in range(4)])
+        bench.deliver(*[events.ProxyRequestStats(p, 0, 12, 0, SECOND) for p in range(4)])
         feed(bench, 1, time_ms=lambda host: latency_ms, failed=lambda host: failed)
     assert bench.levels[-1].limit >= least * 0.6
--- a/tests/policy/test_flow_control.py
+++ b/tests/policy/test_flow_control.py
@@ -27,7 +27,7 @@
     bench.rate = 0.0
     feed(bench, 20, time_ms=lambda host: random.Random(host + bench.now).uniform(50, 900))
     assert bench.most_waiting <= 400
-    assert commands.SetRoute(0, 100, 0.0) in bench.give(changes(entry(100, DRAINING)))
+    assert commands.SetRoute(0, 100, 0.0) in bench.deliver(changes(entry(100, DRAINING)))
 
 
 @pytest.mark.parametrize("grace_s", [2, 4, 30])
@@ -41,8 +41,8 @@
     """
     facts = start_facts(proxy_count=30, drain_grace_us=grace_s * SECOND)
     bench = Bench(facts)
-    bench.give(full(*[entry(100 + i, zone=i % 3) for i in range(12)]))
-    bench.give(*[events.ProxyJoined(p, p % 3, 10.0, False) for p in range(30)])
+    bench.deliver(full(*[entry(100 + i, zone=i % 3) for i in range(12)]))
+    bench.deliver(*[events.ProxyJoined(p, p % 3, 10.0, False) for p in range(30)])
     bench.pass_time(SECOND // 2)
     assert not bench.bound  # first weights are not decided yet
     bench.pass_time(min(grace_s, 7) * SECOND - SECOND // 2)
@@ -56,8 +56,8 @@
             one_way_delay_us=0, max_one_way_delay_us=0, drain_grace_us=3 * SECOND, proxy_count=9
         )
     )
-    bench.give(full(*[entry(100 + i, zone=i % 3) for i in range(500)]))
-    bench.give(*[events.ProxyJoined(p, p % 3, 10.0, True) for p in range(9)])
+    bench.deliver(full(*[entry(100 + i, zone=i % 3) for i in range(500)]))
+    bench.deliver(*[events.ProxyJoined(p, p % 3, 10.0, True) for p in range(9)])
     bench.pass_time(8 * SECOND)
     assert len(bench.bound) == 9 and bench.most_waiting <= 2 * 520
 
@@ -69,11 +69,11 @@
         host = rng.randrange(100, 150)
         match rng.randrange(3):
             case 0:
-                bench.give(
+                bench.deliver(
                     changes(*[entry(host + i, GONE, (host + i - 100) % 3) for i in range(10)])
                 )
             case 1:
-                bench.give(
+                bench.deliver(
                     changes(
                         *[
                             entry(host + i, READY, (host + i - 100) % 3, started_us=bench.now)
@@ -83,8 +83,8 @@
                 )
             case _:
                 rejoining = rng.sample(range(100), 50)
-                bench.give(*[events.ProxyLeft(p) for p in rejoining])
-                bench.give(*[events.ProxyJoined(p, p % 3, 1.0, False) for p in rejoining])
+                bench.deliver(*[events.ProxyLeft(p) for p in rejoining])
+                bench.deliver(*[events.ProxyJoined(p, p % 3, 1.0, False) for p in rejoining])
         feed(bench, 2, time_ms=lambda _: math.exp(rng.gauss(5.5, 1.0)))
     bench.pass_time(10 * SECOND)
     assert len(bench.bound) == 100
@@ -101,14 +101,16 @@
         health_checks_allowed=False,
     )
     bench = Bench(facts, controller=Controller(facts, 3))
-    bench.give(full(*[entry(100 + n, zone=n % 3) for n in range(60)]))
-    bench.give(*[events.ProxyJoined(p, p % 3, 10.0 / (1 + p), True) for p in range(40)])
+    bench.deliver(full(*[entry(100 + n, zone=n % 3) for n in range(60)]))
+    bench.deliver(*[events.ProxyJoined(p, p % 3, 10.0 / (1 + p), True) for p in range(40)])
     drained = []
     for turn in range(14):
         if turn in (2, 4):
             drained += range(100 + 9 * (turn // 2 - 1), 109 + 9 * (turn // 2 - 1))
-            bench.give(changes(*[entry(host, DRAINING, zone=(host - 100) % 3) for host in drained]))
-        bench.give(
+            bench.deliver(
+                changes(*[entry(host, DRAINING, zone=(host - 100) % 3) for host in drained])
+            )
+        bench.deliver(
             *[
                 events.HostRequestStats(
                     host, 0, 40, 0, 200_000 * (1 + (host + turn) % 7), SECOND, None
@@ -130,8 +132,8 @@
         max_unbound_us=60 * SECOND,
     )
     bench = Bench(facts)
-    bench.give(full(*[entry(100 + i, zone=i % 3) for i in range(60)]))
-    bench.give(*[events.ProxyJoined(p, p % 3, 5.0, True) for p in range(100)])
+    bench.deliver(full(*[entry(100 + i, zone=i % 3) for i in range(60)]))
+    bench.deliver(*[events.ProxyJoined(p, p % 3, 5.0, True) for p in range(100)])
     bench.pass_time(8 * SECOND)
     publisher = bench.controller.publisher
     # As if a message had just been written and its lines were still queued.
--- a/tests/policy/test_host_drains.py
+++ b/tests/policy/test_host_drains.py
@@ -24,11 +24,11 @@
     bench, _ = large_bench(3)
     bench.rate = bench.facts.channel_lines_per_s
     bench.pass_time(8 * SECOND)
-    bench.give(changes(*[entry(100 + i, GONE, i % 3) for i in range(12)]))
+    bench.deliver(changes(*[entry(100 + i, GONE, i % 3) for i in range(12)]))
     bench.pass_time(4 * SECOND)
     for proxy in range(20):
         bench.log.clear()
-        bench.give(events.ProxyLeft(proxy), events.ProxyJoined(proxy, proxy % 3, 1.0, False))
+        bench.deliver(events.ProxyLeft(proxy), events.ProxyJoined(proxy, proxy % 3, 1.0, False))
         bench.pass_time(SECOND // 2)
         assert (proxy, 0) in bench.bound and not [
             o for o in bench.log if isinstance(o, commands.WithdrawHost)
@@ -39,10 +39,10 @@
     bench, _ = large_bench(3)
     bench.pass_time(8 * SECOND)
     removed = range(100, 112)
-    bench.give(changes(*[entry(host, GONE, (host - 100) % 3) for host in removed]))
+    bench.deliver(changes(*[entry(host, GONE, (host - 100) % 3) for host in removed]))
     bench.pass_time(4 * SECOND)
     bench.controller.publisher.flow.grace_slack_us = 2 * SECOND  # binding all proxies takes 3 s
-    bench.give(
+    bench.deliver(
         *[events.ProxyLeft(p) for p in range(100)],
         *[events.ProxyJoined(p, p % 3, 1.0, False) for p in range(100)],
     )
@@ -57,7 +57,7 @@
 ) -> None:
     monkeypatch.setattr(Drains, "withdraw", lambda self, host, room: 0)
     bench = ready_bench()
-    bench.give(changes(entry(100, DRAINING)))
+    bench.deliver(changes(entry(100, DRAINING)))
     with pytest.raises(AssertionError, match="drained"):
         bench.pass_time(2 * SECOND)
 
@@ -74,13 +74,13 @@
 
 
 def drain(bench: Bench, hosts: range) -> None:
-    bench.give(changes(*[entry(host, DRAINING, zone=(host - 100) % 3) for host in hosts]))
+    bench.deliver(changes(*[entry(host, DRAINING, zone=(host - 100) % 3) for host in hosts]))
 
 
 def join_from_other_controller(bench: Bench) -> None:
     """Lets forty proxies join within a second, as after the end of another controller."""
     for first in (10, 30):
-        bench.give(
+        bench.deliver(
             *[
                 events.ProxyJoined(proxy, proxy % 3, 10.0, False)
                 for proxy in range(first, first + 20)
@@ -97,7 +97,7 @@
     older, newer = range(150, 180), range(100, 120)
     facts = drain_facts(drain_grace_s=14)
     bench = Bench(facts, controller=Controller(facts, 3))
-    bench.give(full(*[entry(100 + n, zone=n % 3) for n in range(120)]))
+    bench.deliver(full(*[entry(100 + n, zone=n % 3) for n in range(120)]))
     drain(bench, older)
     bench.pass_time(2 * SECOND)
     drain(bench, newer)
@@ -128,8 +128,8 @@
     """
     facts = drain_facts()
     bench = Bench(facts, controller=Controller(facts, 3))
-    bench.give(full(*[entry(100 + n, zone=n % 3) for n in range(120)]))
-    bench.give(*[events.ProxyJoined(p, p % 3, 10.0, True) for p in range(4)])
+    bench.deliver(full(*[entry(100 + n, zone=n % 3) for n in range(120)]))
+    bench.deliver(*[events.ProxyJoined(p, p % 3, 10.0, True) for p in range(4)])
     bench.pass_time(5 * SECOND)
     drain(bench, older)
     bench.pass_time(2 * SECOND)
@@ -154,14 +154,14 @@
         health_checks_allowed=False,
     )
     bench = Bench(facts, controller=Controller(facts, 3))
-    bench.give(full(*[entry(100 + n, zone=n % 3) for n in range(60)]))
+    bench.deliver(full(*[entry(100 + n, zone=n % 3) for n in range(60)]))
     zone = range(100, 160, 3)
-    bench.give(changes(*[entry(host, GONE) for host in zone]))
+    bench.deliver(changes(*[entry(host, GONE) for host in zone]))
     publisher = bench.controller.publisher
     # The proxies wait for the first weights and are notified of withdrawals meanwhile.
-    bench.give(*[events.ProxyJoined(p, p % 3, 10.0, False) for p in range(100)])
+    bench.deliver(*[events.ProxyJoined(p, p % 3, 10.0, False) for p in range(100)])
     bench.pass_time(3 * SECOND)
     assert publisher.unbound and publisher.withdrawn
-    bench.give(changes(*[entry(host) for host in zone]))
+    bench.deliver(changes(*[entry(host) for host in zone]))
     bench.pass_time(12 * SECOND)  # the bench fails if the queue exceeds the backlog cap
     assert not publisher.withdrawn
--- a/tests/policy/test_interim_tables.py
+++ b/tests/policy/test_interim_tables.py
@@ -37,12 +37,12 @@
             }
         )
     )
-    bench.give(full(*[entry(host, zone=host % 3) for host in HOSTS]))
-    bench.give(*[events.ProxyJoined(proxy, proxy % 3, 10.0, True) for proxy in range(4)])
+    bench.deliver(full(*[entry(host, zone=host % 3) for host in HOSTS]))
+    bench.deliver(*[events.ProxyJoined(proxy, proxy % 3, 10.0, True) for proxy in range(4)])
     bench.pass_time(5 * SECOND)
-    bench.give(changes(*[entry(host, DRAINING, host % 3) for host in HOSTS[:50]]))
+    bench.deliver(changes(*[entry(host, DRAINING, host % 3) for host in HOSTS[:50]]))
     bench.pass_time(SECOND)
-    bench.give(
+    bench.deliver(
         *[events.ProxyJoined(proxy, proxy % 3, 5.0 + proxy % 4, False) for proxy in JOINING_PROXIES]
     )
     bench.pass_time(SECOND // 5)
@@ -71,7 +71,7 @@
     bench = bench_on_interim_tables()
     publisher = bench.controller.publisher
     drained = min(hosts_in(bench, used_tables(publisher)[0]))
-    bench.give(
+    bench.deliver(
         changes(entry(drained, DRAINING, drained % 3), entry(999, zone=0, started_us=bench.now))
     )
     bench.pass_time(2 * SECOND)
@@ -86,7 +86,7 @@
     bench = bench_on_interim_tables()
     table = used_tables(bench.controller.publisher)[0]
     drained = hosts_in(bench, table)
-    bench.give(changes(*[entry(host, DRAINING, host % 3) for host in drained]))
+    bench.deliver(changes(*[entry(host, DRAINING, host % 3) for host in drained]))
     bench.pass_time(SECOND)
     assert len(hosts_in(bench, table) - drained) >= len(drained) // 2
 
@@ -106,7 +106,7 @@
     bench = bench_on_interim_tables()
     table = used_tables(bench.controller.publisher)[0]
     host = min(hosts_in(bench, table))
-    bench.give(changes(entry(host, zone=host % 3, started_us=bench.now)))
+    bench.deliver(changes(entry(host, zone=host % 3, started_us=bench.now)))
     bench.pass_time(SECOND // 2)
     usual = max(bench.lines[table.number].values())
     assert bench.lines[table.number].get(host, 0.0) <= usual / 2
@@ -135,7 +135,7 @@
 def test_a_proxy_that_leaves_is_on_no_interim_table() -> None:
     bench = bench_on_interim_tables()
     publisher = bench.controller.publisher
-    bench.give(*[events.ProxyLeft(proxy) for proxy in JOINING_PROXIES])
+    bench.deliver(*[events.ProxyLeft(proxy) for proxy in JOINING_PROXIES])
     assert not publisher.interim and not used_tables(publisher)
     assert not probes(bench.log)
     assert all(abs(table.rate) < 1e-6 for table in publisher.interim_tables)
@@ -171,7 +171,7 @@
     bench = bench_on_interim_tables()
     tables = bench.controller.publisher.interim_binder.tables
     table = used_tables(bench.controller.publisher)[0]
-    bench.give(changes(*[entry(900 + n, zone=n % 3, started_us=bench.now) for n in range(20)]))
+    bench.deliver(changes(*[entry(900 + n, zone=n % 3, started_us=bench.now) for n in range(20)]))
     bench.pass_time(2 * SECOND)
     slots = dict.fromkeys(table.published, 10)
     cold = {host for host in table.published if tables._is_cold(host)}
--- a/tests/policy/test_joins_during_release.py
+++ b/tests/policy/test_joins_during_release.py
@@ -78,7 +78,7 @@
         new = range(self.next_new, self.next_new + BATCH)
         self.next_new += BATCH
         started_us = self.fleet.now
-        self.fleet.give(
+        self.fleet.deliver(
             changes(*drained, *removed, *[host_entry(host, started_us) for host in new])
         )
 
@@ -100,7 +100,7 @@
     """Guards against drained hosts in old tables while withdrawals and binds delay each other."""
     rng = random.Random(seed)
     fleet = build_fleet(site, pace, seed)
-    fleet.give(full(*[host_entry(host) for host in range(HOSTS)]))
+    fleet.deliver(full(*[host_entry(host) for host in range(HOSTS)]))
     own = range(PROXIES // CONTROLLERS)
     fleet.join(own, range(HOSTS))
     fleet.pass_time(int(8 * SECOND / pace))
--- a/tests/policy/test_outlier_detection.py
+++ b/tests/policy/test_outlier_detection.py
@@ -27,11 +27,11 @@
     bench.log.clear()
     feed(bench, 2, skip=(100,))
     assert probes(bench.log) == {100}
-    bench.give(events.HealthCheckResult(100, HealthCheckOutcome.TIMED_OUT, 500_000, None))
+    bench.deliver(events.HealthCheckResult(100, HealthCheckOutcome.TIMED_OUT, 500_000, None))
     bench.pass_time(SECOND // 4)
     assert 100 not in bench.lines[0]
     for _ in range(4):
-        bench.give(events.HealthCheckResult(100, HealthCheckOutcome.ANSWERED, 20_000, None))
+        bench.deliver(events.HealthCheckResult(100, HealthCheckOutcome.ANSWERED, 20_000, None))
     bench.pass_time(1_100_000)
     assert 0 < bench.lines[0][100] <= bench.lines[0][101] / 2
 
@@ -40,13 +40,13 @@
     bench = ready_bench(hosts=9)
     feed(bench, 6)
     for host in bench.hosts:
-        bench.give(
+        bench.deliver(
             events.HostRequestStats(host, 0, 9, 9 if host == 100 else 0, 200_000.0, SECOND, None)
         )
     bad = events.HealthCheckResult(100, HealthCheckOutcome.ERROR, 1000, None)
-    assert probes(bench.give(bad)) == {100} and not bench.controller.host_table.ejected[0]
-    assert not probes(bench.give(bad)) and bench.controller.host_table.ejected[0]
-    assert not probes(bench.give(replace(bad, host=101)))  # host 101 is not suspected
+    assert probes(bench.deliver(bad)) == {100} and not bench.controller.host_table.ejected[0]
+    assert not probes(bench.deliver(bad)) and bench.controller.host_table.ejected[0]
+    assert not probes(bench.deliver(replace(bad, host=101)))  # host 101 is not suspected
 
 
 def test_half_of_the_hosts_may_be_ejected_but_no_more_than_three_quarters(
@@ -55,7 +55,7 @@
     bench = ready_bench(hosts=12)
     feed(bench, 3)
     for _ in range(4):
-        bench.give(
+        bench.deliver(
             *[
                 events.HealthCheckResult(host, HealthCheckOutcome.TIMED_OUT, 500_000, None)
                 for host in range(100, 106)
@@ -67,7 +67,7 @@
     monkeypatch.setattr(HostHealth, "is_suspect", lambda self, reference_ratio: True)
     for ejected_count, is_ejected in ((9, False), (8, True)):
         ejected[:] = [True] * ejected_count + [False] * (12 - ejected_count)
-        bench.give(
+        bench.deliver(
             *[events.HealthCheckResult(109, HealthCheckOutcome.TIMED_OUT, 500_000, None)] * 2
         )
         assert ejected[9] is is_ejected
@@ -77,12 +77,14 @@
     """Guards against a network partition that only shows in decayed sums, seconds later."""
     bench = ready_bench(hosts=12, proxies=12)
     feed(bench, 3)
-    assert not probes(bench.give(events.ProxyLeft(0)))  # a single disconnect is no mass disconnect
+    assert not probes(
+        bench.deliver(events.ProxyLeft(0))
+    )  # a single disconnect is no mass disconnect
     bench.pass_time(2 * SECOND)
-    checked = probes(bench.give(*[events.ProxyLeft(p) for p in range(1, 8)]))
+    checked = probes(bench.deliver(*[events.ProxyLeft(p) for p in range(1, 8)]))
     assert checked == set(range(100, 112))
     near = {host for host in checked if bench.hosts[host].zone == 0}
-    bench.give(
+    bench.deliver(
         *[
             events.HealthCheckResult(
                 host,
@@ -104,7 +106,7 @@
     for _ in range(3):
         feed(bench, 1, failed=lambda host: 8 if host in far else 0)
         checked = probes(bench.log[-40:])
-        bench.give(
+        bench.deliver(
             *[
                 events.HealthCheckResult(host, HealthCheckOutcome.UNREACHABLE, 1000, None)
                 for host in checked
@@ -117,11 +119,11 @@
 def test_an_outdated_health_check_of_another_controller_is_ignored() -> None:
     bench = ready_bench()
     previous_rates = list(bench.controller.host_table.health_check_rate)
-    bench.give(
+    bench.deliver(
         events.HealthCheckResult(100, HealthCheckOutcome.ANSWERED, 1000, None, age_us=60 * SECOND)
     )
     assert bench.controller.host_table.health_check_rate == previous_rates
-    bench.give(
+    bench.deliver(
         events.HealthCheckResult(100, HealthCheckOutcome.ANSWERED, 1000, None, age_us=SECOND)
     )
     assert bench.controller.host_table.health_check_rate != previous_rates
--- a/tests/policy/test_policy_rules.py
+++ b/tests/policy/test_policy_rules.py
@@ -19,7 +19,7 @@
 
 def test_a_failed_endpoint_list_is_polled_again() -> None:
     bench = Bench(start_facts(must_subscribe=True))
-    bench.give(events.HostList(ListKind.FAILED, ()))
+    bench.deliver(events.HostList(ListKind.FAILED, ()))
     bench.log.clear()
     bench.pass_time(3 * SECOND)
     assert commands.SubscribeHostList(True) in bench.log
@@ -77,8 +77,8 @@
     """Checks that membership events change no command, so that no rule depends on them."""
 
     class BenchWithMembership(Bench):
-        def give(self, *batch: events.Event) -> list[commands.Command]:
-            return super().give(*membership_events(kind, random.Random(self.now)), *batch)
+        def deliver(self, *batch: events.Event) -> list[commands.Command]:
+            return super().deliver(*membership_events(kind, random.Random(self.now)), *batch)
 
     logs = []
     for bench in (
--- a/tests/policy/test_slot_changes.py
+++ b/tests/policy/test_slot_changes.py
@@ -40,7 +40,7 @@
     try:
         bench.pass_time(SECOND // 2)
         calls_before = len(calls)
-        bench.give(changes(entry(100, DRAINING, zone=0, kind=0)))
+        bench.deliver(changes(entry(100, DRAINING, zone=0, kind=0)))
         assert calls_before == 0 < len(calls) and 100 not in bench.lines[0]
         assert publisher.target.current() == [
             original(publisher.tables[0], bench.controller.host_table, publisher.withdrawn)
@@ -51,23 +51,25 @@
 
 def test_a_zone_left_with_ejected_and_cold_hosts_uses_the_ejected_ones() -> None:
     bench = Bench(start_facts(request_classes=(product(stays_in_zone=True),)))
-    bench.give(full(*[entry(100 + i) for i in range(3)]), events.ProxyJoined(0, 0, 10.0, True))
+    bench.deliver(full(*[entry(100 + i) for i in range(3)]), events.ProxyJoined(0, 0, 10.0, True))
     bench.pass_time(2 * SECOND)
     bench.controller.host_table.ejected[0] = True
-    bench.give(changes(entry(101, DRAINING), entry(102, GONE), entry(103, started_us=bench.now)))
+    bench.deliver(changes(entry(101, DRAINING), entry(102, GONE), entry(103, started_us=bench.now)))
     bench.pass_time(SECOND // 2)
     assert 100 in bench.picks(0, 0)
-    bench.give(changes(entry(100, GONE), entry(103, GONE)))  # no host is left, which must not fail
+    bench.deliver(
+        changes(entry(100, GONE), entry(103, GONE))
+    )  # no host is left, which must not fail
 
 
 def test_no_tables_are_written_for_sliced_keys_but_hosts_are_withdrawn() -> None:
     bench = Bench(start_facts(slices=4, slices_exclusive=True))
-    bench.give(
+    bench.deliver(
         full(entry(1), entry(2)),
         events.ProxyJoined(0, 0, 1.0, True),
         events.SliceAssignment(0, True),
     )
-    bench.give(changes(entry(1, DRAINING)))
+    bench.deliver(changes(entry(1, DRAINING)))
     assert not bench.lines and not bench.bound and bench.withdrawn == {1}
 
 
--- a/tests/policy/test_subsetting.py
+++ b/tests/policy/test_subsetting.py
@@ -33,8 +33,8 @@
             health_checks_allowed=False,
         )
         bench = Bench(facts, controller=Controller(facts, rank))
-        bench.give(full(*[entry(100 + i, zone=i % 3, kind=i % 2) for i in range(hosts)]))
-        bench.give(*[events.ProxyJoined(p, p % 3, 10.0, True) for p in range(joined)])
+        bench.deliver(full(*[entry(100 + i, zone=i % 3, kind=i % 2) for i in range(hosts)]))
+        bench.deliver(*[events.ProxyJoined(p, p % 3, 10.0, True) for p in range(joined)])
         bench.pass_time(SECOND)
         benches.append(bench)
     return benches
@@ -48,7 +48,7 @@
     assert all({host % 3 for host in hosts} == {0, 1, 2} for hosts in held)
     bench = benches[0]
     before, hosts = set(bench.lines[0]), sorted(bench.lines[0])
-    bench.give(changes(entry(hosts[0], GONE, zone=(hosts[0] - 100) % 3)))
+    bench.deliver(changes(entry(hosts[0], GONE, zone=(hosts[0] - 100) % 3)))
     bench.pass_time(2 * SECOND)
     after = set(bench.lines[0])
     # Only the ends of the arc have moved.
@@ -64,7 +64,7 @@
     lone_controller = controllers_with_subsets(4, 200, 60)[0]
     before = set(lone_controller.lines[0])
     assert len(before) == 50
-    lone_controller.give(*[events.ProxyJoined(p, p % 3, 10.0, False) for p in range(60, 240)])
+    lone_controller.deliver(*[events.ProxyJoined(p, p % 3, 10.0, False) for p in range(60, 240)])
     lone_controller.pass_time(2 * SECOND)
     assert set(lone_controller.lines[0]) == before
     small = controllers_with_subsets(4, 20, 60)
@@ -87,8 +87,8 @@
     for grace_s in (12, 3):
         facts = replace(shared_facts, drain_grace_us=grace_s * SECOND)
         bench = Bench(facts, controller=Controller(facts, 1))
-        bench.give(full(*[entry(100 + n, zone=n % 3) for n in range(200)]))
-        bench.give(*[events.ProxyJoined(p, p % 3, 10.0, True) for p in range(60)])
+        bench.deliver(full(*[entry(100 + n, zone=n % 3) for n in range(200)]))
+        bench.deliver(*[events.ProxyJoined(p, p % 3, 10.0, True) for p in range(60)])
         bench.pass_time(4 * SECOND)
         sizes[grace_s] = len(bench.lines[0])
         assert len(bench.bound) == 60
@@ -112,8 +112,8 @@
                 max_unbound_us=60 * SECOND,
             )
             bench = Bench(facts, controller=Controller(facts, rank))
-            bench.give(full(*[entry(100 + n, zone=n % 3) for n in range(200)]))
-            bench.give(*[events.ProxyJoined(p, p % 3, 10.0, True) for p in range(4)])
+            bench.deliver(full(*[entry(100 + n, zone=n % 3) for n in range(200)]))
+            bench.deliver(*[events.ProxyJoined(p, p % 3, 10.0, True) for p in range(4)])
             bench.pass_time(SECOND)
             held += bench.lines[0]
         sizes[count] = {held.count(host) for host in range(100, 300)}
@@ -149,10 +149,10 @@
     )
     bench = Bench(facts, controller=Controller(facts, 1))
     started_us = bench.now - SECOND
-    bench.give(
+    bench.deliver(
         full(*[entry(100 + n, zone=n % 3, started_us=started_us * (n % 2)) for n in range(200)])
     )
-    bench.give(*[events.ProxyJoined(p, p % 3, 10.0, True) for p in range(60)])
+    bench.deliver(*[events.ProxyJoined(p, p % 3, 10.0, True) for p in range(60)])
     bench.pass_time(SECOND)
     assert 40 <= len(bench.lines[0]) <= 60
 
--- a/tests/policy/test_weight_controller.py
+++ b/tests/policy/test_weight_controller.py
@@ -48,7 +48,7 @@
     """Guards against statistics that wait for up to a turn."""
     bench = ready_bench()
     feed(bench, 4)
-    bench.give(
+    bench.deliver(
         *[events.HostRequestStats(host, 0, 8, 0, 200_000.0, SECOND, None) for host in bench.hosts]
     )
     assert all(bench.controller.host_table.heard_since_turn)
@@ -58,13 +58,13 @@
 
 def test_load_from_other_controllers_is_included_in_fill() -> None:
     bench = Bench(start_facts(request_classes=(product(), product(stays_in_zone=True))))
-    bench.give(
+    bench.deliver(
         full(*[entry(100 + i, zone=i % 3) for i in range(9)]), events.ProxyJoined(0, 1, 10.0, True)
     )
     # This controller's proxy brings few requests to zone 0, whose hosts have three times as many
     # requests in flight as the others.
     for _ in range(8):
-        bench.give(
+        bench.deliver(
             *[
                 events.HostRequestStats(
                     h,
@@ -96,11 +96,11 @@
 
 def test_hosts_open_to_fewer_request_classes_are_not_starved() -> None:
     bench = Bench(start_facts(request_classes=(product(), product(zones=(0, 1)))))
-    bench.give(full(*[entry(100 + i, zone=i % 3) for i in range(6)]))
-    bench.give(events.ProxyJoined(0, 0, 10.0, True))
+    bench.deliver(full(*[entry(100 + i, zone=i % 3) for i in range(6)]))
+    bench.deliver(events.ProxyJoined(0, 0, 10.0, True))
     # Zone 2 gets a third of the attempts, with longer latency, and has fewer requests in flight.
     for _ in range(10):
-        bench.give(
+        bench.deliver(
             *[
                 events.HostRequestStats(
                     h,
--- a/tests/support/controller_bench.py
+++ b/tests/support/controller_bench.py
@@ -22,9 +22,11 @@
 
 def ready_bench(hosts: int = 6, proxies: int = 4, **facts: object) -> Bench:
     bench = Bench(start_facts(**facts))
-    bench.give(full(*[entry(100 + i, zone=i % 3, kind=i % 2) for i in range(hosts)]))
-    asked = probes(bench.give(*[events.ProxyJoined(p, p % 3, 10.0, True) for p in range(proxies)]))
-    bench.give(
+    bench.deliver(full(*[entry(100 + i, zone=i % 3, kind=i % 2) for i in range(hosts)]))
+    asked = probes(
+        bench.deliver(*[events.ProxyJoined(p, p % 3, 10.0, True) for p in range(proxies)])
+    )
+    bench.deliver(
         *[
             events.HealthCheckResult(host, HealthCheckOutcome.ANSWERED, 10_000, None)
             for host in asked
@@ -44,7 +46,7 @@
     in_flight: float = 2.0,
 ) -> None:
     for _ in range(turns):
-        bench.give(
+        bench.deliver(
             *[
                 events.HostRequestStats(
                     host,
@@ -77,8 +79,8 @@
         penalty_rates=PenaltyRates(channel_line=order),
     )
     bench = Bench(facts, speed=rng.choice([1.0, 0.7]))
-    bench.give(full(*[entry(100 + i, zone=i % 3) for i in range(60)]))
-    bench.give(*[events.ProxyJoined(p, p % 3, rng.uniform(1, 9), True) for p in range(100)])
+    bench.deliver(full(*[entry(100 + i, zone=i % 3) for i in range(60)]))
+    bench.deliver(*[events.ProxyJoined(p, p % 3, rng.uniform(1, 9), True) for p in range(100)])
     return bench, rng
 
 
@@ -101,31 +103,37 @@
 def generated_day(bench: Bench, rng: random.Random, steps: int) -> None:
     """Hosts come, drain, go and restart; proxies join and leave; reports get lost."""
     zones = {100 + i: rng.randrange(3) for i in range(rng.randint(1, 9))}
-    bench.give(events.HostList(ListKind.CACHED, tuple(entry(h, zone=z) for h, z in zones.items())))
+    bench.deliver(
+        events.HostList(ListKind.CACHED, tuple(entry(h, zone=z) for h, z in zones.items()))
+    )
     for _ in range(steps):
         host, proxy = rng.choice(list(zones)), rng.randrange(bench.facts.proxy_count)
         match rng.randrange(9):
             case 0:
-                bench.give(changes(entry(host, rng.choice([DRAINING, GONE]), zones[host])))
+                bench.deliver(changes(entry(host, rng.choice([DRAINING, GONE]), zones[host])))
             case 1:
-                bench.give(changes(entry(host, READY, zones[host], started_us=bench.now)))
+                bench.deliver(changes(entry(host, READY, zones[host], started_us=bench.now)))
             case 2:
                 zones.setdefault(host + 10, rng.randrange(3))
-                bench.give(changes(entry(host + 10, READY, zones[host + 10], started_us=bench.now)))
+                bench.deliver(
+                    changes(entry(host + 10, READY, zones[host + 10], started_us=bench.now))
+                )
             case 3:
-                bench.give(
+                bench.deliver(
                     *[
                         events.ProxyJoined(p, p % 3, 1.0, False)
                         for p in range(bench.facts.proxy_count)
                     ]
                 )
             case 4:
-                bench.give(events.ProxyJoined(proxy, proxy % 3, 1.0, True), events.ProxyLeft(proxy))
+                bench.deliver(
+                    events.ProxyJoined(proxy, proxy % 3, 1.0, True), events.ProxyLeft(proxy)
+                )
             case 5:
                 kept = rng.sample(list(zones), rng.randrange(len(zones) + 1))
-                bench.give(full(*[entry(h, READY, zones[h]) for h in kept]))
+                bench.deliver(full(*[entry(h, READY, zones[h]) for h in kept]))
             case 6:
-                bench.give(*odd_notes(rng))
+                bench.deliver(*odd_notes(rng))
             case _:
                 feed(
                     bench,
@@ -134,7 +142,7 @@
                     failed=lambda _: rng.choice([0, 0, 0, 8]),
                     in_flight=rng.uniform(0, 20),
                 )
-                bench.give(
+                bench.deliver(
                     *[
                         events.HealthCheckResult(
                             h, rng.choice(list(HealthCheckOutcome)), 1000, None
--- a/tests/support/controller_model.py
+++ b/tests/support/controller_model.py
@@ -156,7 +156,7 @@
         self._timers: list[RunningTimer] = []
         self._channel = ChannelModel(facts.message_window_us)
 
-    def give(self, *batch: events.Event) -> list[commands.Command]:
+    def deliver(self, *batch: events.Event) -> list[commands.Command]:
         """Delivers a batch, applies the commands and checks the rules; returns the commands."""
         for event in batch:
             self._observe(event)
@@ -175,7 +175,7 @@
             self._timers = [timer for timer in self._timers if timer.due_us > self.now]
             expired = [events.TimerExpired(timer.token) for timer in due]
             acknowledged = self._channel.carry(self.rate * step / SECOND)
-            self.give(*expired, *acknowledged)
+            self.deliver(*expired, *acknowledged)
 
     @property
     def most_waiting(self) -> float:
--- a/tests/support/fleet_model.py
+++ b/tests/support/fleet_model.py
@@ -106,9 +106,9 @@
                 served_us=[self.now for _ in self._classes],
             )
             batch.append(events.ProxyJoined(proxy, proxy % self.facts.zones, 10.0, False))
-        self.give(*batch)
+        self.deliver(*batch)
 
-    def give(self, *batch: events.Event) -> None:
+    def deliver(self, *batch: events.Event) -> None:
         """Delivers a batch of events and puts the messages that follow into the channel."""
         for event in batch:
             self._builder.observe(event)
@@ -131,7 +131,7 @@
             due = [token for at, token in self._timers if at <= self.now]
             self._timers = [timer for timer in self._timers if timer[0] > self.now]
             self._carry(self.facts.channel_lines_per_s * self.pace * STEP_US / SECOND)
-            self.give(*map(events.TimerExpired, due), *self._arrivals())
+            self.deliver(*map(events.TimerExpired, due), *self._arrivals())
             self._check_rules()
 
     def _observe_list(self, listed: events.HostList) -> None:
--- a/tests/warm_start/test_prior_knowledge_policy.py
+++ b/tests/warm_start/test_prior_knowledge_policy.py
@@ -43,10 +43,10 @@
 def started(*known: events.HostPriorKnowledge, hosts: int = 10, fresh: bool = True) -> Bench:
     """A controller that got list and prior knowledge, then proxies, then health check results."""
     bench = Bench(start_facts())
-    bench.give(listed_hosts(hosts), *known)
-    checked = probes(bench.give(*joining_proxies(fresh)))
+    bench.deliver(listed_hosts(hosts), *known)
+    checked = probes(bench.deliver(*joining_proxies(fresh)))
     unhealthy = {host.host for host in known if host.ejected}
-    bench.give(
+    bench.deliver(
         *[
             health_check(
                 host,
@@ -66,7 +66,7 @@
     assert 103 in probes(bench.log)
     for _ in range(12):  # after recovery, successive good health checks readmit it gradually
         bench.pass_time(SECOND)
-        bench.give(health_check(103, HealthCheckOutcome.ANSWERED))
+        bench.deliver(health_check(103, HealthCheckOutcome.ANSWERED))
     assert bench.lines[0][103] > 0
 
 
@@ -82,15 +82,15 @@
 def test_wrong_knowledge_leaves_the_first_weights_as_without_knowledge() -> None:
     """Guards against an outdated file that takes failing hosts for healthy ones and vice versa."""
     without_knowledge = Bench(start_facts())
-    without_knowledge.give(listed_hosts())
+    without_knowledge.deliver(listed_hosts())
     with_wrong_knowledge = Bench(start_facts())
-    with_wrong_knowledge.give(
+    with_wrong_knowledge.deliver(
         listed_hosts(),
         *[prior_knowledge(100 + i, i < 2, 1.4 if i > 7 else 1.0) for i in range(10)],
     )
     for bench in (without_knowledge, with_wrong_knowledge):
-        bench.give(*joining_proxies(fresh=True))
-        bench.give(
+        bench.deliver(*joining_proxies(fresh=True))
+        bench.deliver(
             *[
                 health_check(
                     100 + i, HealthCheckOutcome.ERROR if i > 7 else HealthCheckOutcome.ANSWERED
@@ -112,13 +112,13 @@
 def test_with_published_tables_prior_knowledge_may_only_lower_a_weight() -> None:
     """Guards against requests to an avoided host that wrong knowledge records as healthy."""
     bench = Bench(start_facts())
-    bench.give(
+    bench.deliver(
         listed_hosts(),
         prior_knowledge(109, False, 1.4),
         prior_knowledge(101, False, 0.3),
     )
-    bench.give(*joining_proxies(fresh=False))
-    bench.give(
+    bench.deliver(*joining_proxies(fresh=False))
+    bench.deliver(
         *[
             events.HostRequestStats(100 + i, 0, 0 if i == 9 else 30, 0, 20_000.0, SECOND, None)
             for i in range(10)
@@ -134,14 +134,14 @@
     bench = ready_bench()
     feed(bench, 3)
     before = dict(bench.lines[0])
-    bench.give(prior_knowledge(101, True, 0.05))
+    bench.deliver(prior_knowledge(101, True, 0.05))
     assert bench.lines[0] == before
     assert not any(bench.controller.host_table.ejected)
 
 
 def test_a_restart_of_a_host_discards_its_prior_knowledge() -> None:
     bench = started(prior_knowledge(103, True))
-    bench.give(changes(entry(103, READY, zone=0, started_us=bench.now)))
+    bench.deliver(changes(entry(103, READY, zone=0, started_us=bench.now)))
     host_table = bench.controller.host_table
     assert not host_table.ejected[host_table.index_of[103]]
     assert not bench.controller.policy.prior.weights
@@ -167,10 +167,10 @@
     """The bench asserts the rules at each step, with random knowledge in each batch of events."""
 
     class BenchWithRandomKnowledge(Bench):
-        def give(self, *batch: events.Event) -> list[Command]:
+        def deliver(self, *batch: events.Event) -> list[Command]:
             rng = random.Random(self.now + seed)
             known = [random_knowledge(rng) for _ in range(6)]
-            return super().give(*known, *batch)
+            return super().deliver(*known, *batch)
 
     bench = BenchWithRandomKnowledge(start_facts(health_checks_allowed=seed % 2 == 0))
     generated_day(bench, random.Random(seed), 40)
