--- a/tests/policy/test_first_weights.py
+++ b/tests/policy/test_first_weights.py
@@ -42,7 +42,7 @@
         bench.rate = 0.0
         bench.pass_time(SECOND // 2)
     # The first binds include the weights.
-    assert bench.bound and bench.lines[0][101] > 2 * bench.lines[0][100]
+    assert bench.bound and bench.tables[0][101] > 2 * bench.tables[0][100]
     bench.rate = bench.facts.channel_lines_per_s
     bench.pass_time(SECOND)
     assert len(bench.bound) == 30
@@ -68,7 +68,7 @@
         ]
     )
     bench.pass_time(SECOND // 10)
-    lines = bench.lines[0]
+    lines = bench.tables[0]
     assert (
         bench.bound
         and (lines[102] > 1.5 * lines[101]) is bool(checked)
@@ -89,7 +89,7 @@
     bench.pass_time(SECOND // 10)
     assert not bench.bound
     bench.pass_time(SECOND // 4)
-    assert bench.bound and 0 < bench.lines[0][100] < bench.lines[0][101]
+    assert bench.bound and 0 < bench.tables[0][100] < bench.tables[0][101]
 
 
 def test_a_restarted_controller_without_reports_in_time_uses_health_checks() -> None:
@@ -105,7 +105,7 @@
         ]
     )
     bench.pass_time(2 * SECOND)
-    assert checked == set(range(100, 106)) and bench.lines[0][100] > 2 * bench.lines[0][101]
+    assert checked == set(range(100, 106)) and bench.tables[0][100] > 2 * bench.tables[0][101]
 
 
 def test_first_weights_use_the_health_checks_that_were_answered_in_time() -> None:
@@ -125,7 +125,7 @@
         ]
     )
     bench.pass_time(SECOND // 2)
-    lines = bench.lines[0]
+    lines = bench.tables[0]
     assert len(lines) == 20 and max(lines.values()) <= 2 * min(lines.values())
 
 
@@ -135,7 +135,7 @@
     bench.deliver(changes(entry(100, DRAINING)))  # withdrawn although binds wait
     assert commands.WithdrawHost(100, True) in bench.log
     bench.pass_time(7 * SECOND)
-    assert bench.bound and bench.lines[0][101] > 0
+    assert bench.bound and bench.tables[0][101] > 0
 
 
 def test_first_tables_of_many_controllers_do_not_favour_the_same_few_hosts() -> None:
@@ -162,7 +162,7 @@
             ]
         )
         bench.pass_time(SECOND)
-        lines = bench.lines[0]
+        lines = bench.tables[0]
         for host, weight in lines.items():
             total[host] += weight / sum(lines.values())
     mean = sum(total.values()) / len(total)
--- a/tests/policy/test_flow_control.py
+++ b/tests/policy/test_flow_control.py
@@ -141,6 +141,6 @@
     publisher.channel.charge([0], 1, LineKind.SLOT)
     bench.controller.host_table.ejected[0] = True
     bench.pass_time(SECOND // 2)
-    assert 100 in bench.lines[0]
+    assert 100 in bench.tables[0]
     bench.pass_time(SECOND)
-    assert 100 not in bench.lines[0]
+    assert 100 not in bench.tables[0]
--- a/tests/policy/test_interim_tables.py
+++ b/tests/policy/test_interim_tables.py
@@ -55,7 +55,7 @@
 
 
 def hosts_in(bench: Bench, table: InterimTable) -> set[int]:
-    return set(bench.lines[table.number])
+    return set(bench.tables[table.number])
 
 
 def test_each_ready_host_is_in_one_interim_table_and_the_load_of_all_is_even() -> None:
@@ -77,7 +77,7 @@
     bench.pass_time(2 * SECOND)
     holders = [table for table in used_tables(publisher) if 999 in hosts_in(bench, table)]
     assert len(holders) == 1
-    assert bench.lines[holders[0].number][999] < max(bench.lines[holders[0].number].values())
+    assert bench.tables[holders[0].number][999] < max(bench.tables[holders[0].number].values())
     assert not any(drained in hosts_in(bench, table) for table in publisher.interim_tables)
 
 
@@ -108,8 +108,8 @@
     host = min(hosts_in(bench, table))
     bench.deliver(changes(entry(host, zone=host % 3, started_us=bench.now)))
     bench.pass_time(SECOND // 2)
-    usual = max(bench.lines[table.number].values())
-    assert bench.lines[table.number].get(host, 0.0) <= usual / 2
+    usual = max(bench.tables[table.number].values())
+    assert bench.tables[table.number].get(host, 0.0) <= usual / 2
 
 
 @pytest.mark.parametrize("unit", [AdmissionUnit.SHARE, AdmissionUnit.RATE])
--- a/tests/policy/test_outlier_detection.py
+++ b/tests/policy/test_outlier_detection.py
@@ -18,7 +18,7 @@
     feed(bench, 4)
     bench.log.clear()
     bench.pass_time(10 * SECOND)
-    assert not probes(bench.log) and len(bench.lines[0]) == 6
+    assert not probes(bench.log) and len(bench.tables[0]) == 6
 
 
 def test_a_silent_host_is_checked_ejected_and_readmitted_with_a_low_weight() -> None:
@@ -29,11 +29,11 @@
     assert probes(bench.log) == {100}
     bench.deliver(events.HealthCheckResult(100, HealthCheckOutcome.TIMED_OUT, 500_000, None))
     bench.pass_time(SECOND // 4)
-    assert 100 not in bench.lines[0]
+    assert 100 not in bench.tables[0]
     for _ in range(4):
         bench.deliver(events.HealthCheckResult(100, HealthCheckOutcome.ANSWERED, 20_000, None))
     bench.pass_time(1_100_000)
-    assert 0 < bench.lines[0][100] <= bench.lines[0][101] / 2
+    assert 0 < bench.tables[0][100] <= bench.tables[0][101] / 2
 
 
 def test_a_suspected_host_is_checked_again_at_once_until_it_is_ejected() -> None:
@@ -62,7 +62,7 @@
             ]
         )
         feed(bench, 1, skip=tuple(range(100, 106)))
-    assert bench.lines[0].keys() == set(range(106, 112))
+    assert bench.tables[0].keys() == set(range(106, 112))
     ejected = bench.controller.host_table.ejected
     monkeypatch.setattr(HostHealth, "is_suspect", lambda self, reference_ratio: True)
     for ejected_count, is_ejected in ((9, False), (8, True)):
@@ -96,7 +96,7 @@
         ]
     )
     bench.pass_time(SECOND // 5)
-    assert bench.lines[0].keys() == near
+    assert bench.tables[0].keys() == near
 
 
 def test_two_zones_that_fail_all_requests_are_ejected_and_the_third_zone_stays() -> None:
@@ -113,7 +113,7 @@
             ]
         )
     bench.pass_time(SECOND)
-    assert bench.lines[0].keys() == bench.hosts.keys() - far
+    assert bench.tables[0].keys() == bench.hosts.keys() - far
 
 
 def test_an_outdated_health_check_of_another_controller_is_ignored() -> None:
--- a/tests/policy/test_slot_changes.py
+++ b/tests/policy/test_slot_changes.py
@@ -19,7 +19,7 @@
 
 def test_one_shared_table_binds_each_proxy_once_and_sends_only_changes() -> None:
     bench = ready_bench()
-    assert len(bench.lines) == 1 and len({table for table in bench.bound.values()}) == 1
+    assert len(bench.tables) == 1 and len({table for table in bench.bound.values()}) == 1
     bench.log.clear()
     bench.pass_time(5 * SECOND)
     assert not [
@@ -41,7 +41,7 @@
         bench.pass_time(SECOND // 2)
         calls_before = len(calls)
         bench.deliver(changes(entry(100, DRAINING, zone=0, kind=0)))
-        assert calls_before == 0 < len(calls) and 100 not in bench.lines[0]
+        assert calls_before == 0 < len(calls) and 100 not in bench.tables[0]
         assert publisher.target.current() == [
             original(publisher.tables[0], bench.controller.host_table, publisher.withdrawn)
         ]
@@ -70,7 +70,7 @@
         events.SliceAssignment(0, True),
     )
     bench.deliver(changes(entry(1, DRAINING)))
-    assert not bench.lines and not bench.bound and bench.withdrawn == {1}
+    assert not bench.tables and not bench.bound and bench.withdrawn == {1}
 
 
 def test_a_constrained_channel_writes_the_largest_changes_and_bounds_the_weights() -> None:
@@ -91,9 +91,9 @@
 def test_a_wrong_slot_is_corrected_although_lines_are_expensive() -> None:
     bench, _ = large_bench(7, order=0.5)
     bench.pass_time(8 * SECOND)
-    before = bench.lines[0][100]
+    before = bench.tables[0][100]
     feed(bench, 25, time_ms=lambda host: 2000.0 if host == 100 else 200.0)
-    assert bench.lines[0][100] < before / 2
+    assert bench.tables[0][100] < before / 2
 
 
 @pytest.mark.parametrize("latency_ms, written", [(100.0, False), (500.0, True)])
--- a/tests/policy/test_subsetting.py
+++ b/tests/policy/test_subsetting.py
@@ -43,14 +43,14 @@
 def test_if_binds_take_too_long_each_host_is_in_the_tables_of_equally_many_controllers() -> None:
     """Guards against proxies that wait for binds all day and use tables that nobody updates."""
     benches = controllers_with_subsets(4, 200, 60)
-    held = [set(bench.lines[0]) for bench in benches]
+    held = [set(bench.tables[0]) for bench in benches]
     assert set().union(*held) == set(range(100, 300)) and sum(map(len, held)) <= 204
     assert all({host % 3 for host in hosts} == {0, 1, 2} for hosts in held)
     bench = benches[0]
-    before, hosts = set(bench.lines[0]), sorted(bench.lines[0])
+    before, hosts = set(bench.tables[0]), sorted(bench.tables[0])
     bench.deliver(changes(entry(hosts[0], GONE, zone=(hosts[0] - 100) % 3)))
     bench.pass_time(2 * SECOND)
-    after = set(bench.lines[0])
+    after = set(bench.tables[0])
     # Only the ends of the arc have moved.
     assert hosts[0] in before - after and len(before ^ after) <= 4
 
@@ -62,13 +62,13 @@
     proxies wait to be bound.
     """
     lone_controller = controllers_with_subsets(4, 200, 60)[0]
-    before = set(lone_controller.lines[0])
+    before = set(lone_controller.tables[0])
     assert len(before) == 50
     lone_controller.deliver(*[events.ProxyJoined(p, p % 3, 10.0, False) for p in range(60, 240)])
     lone_controller.pass_time(2 * SECOND)
-    assert set(lone_controller.lines[0]) == before
+    assert set(lone_controller.tables[0]) == before
     small = controllers_with_subsets(4, 20, 60)
-    assert all(len(bench.lines[0]) == 20 for bench in small)
+    assert all(len(bench.tables[0]) == 20 for bench in small)
 
 
 def test_a_subset_is_as_large_as_can_be_bound_in_time() -> None:
@@ -90,7 +90,7 @@
         bench.deliver(full(*[entry(100 + n, zone=n % 3) for n in range(200)]))
         bench.deliver(*[events.ProxyJoined(p, p % 3, 10.0, True) for p in range(60)])
         bench.pass_time(4 * SECOND)
-        sizes[grace_s] = len(bench.lines[0])
+        sizes[grace_s] = len(bench.tables[0])
         assert len(bench.bound) == 60
     assert sizes == {12: 100, 3: 50}  # of 200 hosts; binding 60 proxies may take 3 s and 1.3 s
 
@@ -115,7 +115,7 @@
             bench.deliver(full(*[entry(100 + n, zone=n % 3) for n in range(200)]))
             bench.deliver(*[events.ProxyJoined(p, p % 3, 10.0, True) for p in range(4)])
             bench.pass_time(SECOND)
-            held += bench.lines[0]
+            held += bench.tables[0]
         sizes[count] = {held.count(host) for host in range(100, 300)}
     assert sizes == {5: {3}, 2: {2}}  # two use no subsets: either may be left with all proxies
 
@@ -123,7 +123,7 @@
 def test_hosts_outside_the_subset_are_not_suspected_when_they_have_no_statistics() -> None:
     bench, *_ = controllers_with_subsets(4, 200, 60)
     bench.log.clear()
-    own_hosts = set(bench.lines[0])
+    own_hosts = set(bench.tables[0])
     feed(bench, 8, skip=tuple(set(bench.hosts) - own_hosts))
     host_table = bench.controller.host_table
     assert host_table.outside_subset and not any(
@@ -154,14 +154,14 @@
     )
     bench.deliver(*[events.ProxyJoined(p, p % 3, 10.0, True) for p in range(60)])
     bench.pass_time(SECOND)
-    assert 40 <= len(bench.lines[0]) <= 60
+    assert 40 <= len(bench.tables[0]) <= 60
 
 
 def test_hosts_that_leave_a_moved_subset_are_not_removed_urgently() -> None:
     """Guards against tables with few hosts: old hosts were removed before new ones were added."""
     bench = controllers_with_subsets(4, 200, 60)[0]
     host_table, publisher = bench.controller.host_table, bench.controller.publisher
-    before = set(bench.lines[0])
+    before = set(bench.tables[0])
     publisher.subsetting.start = 0.1
     publisher.target.invalidate()  # as if warm hosts had been added and removed
     removals = [
--- a/tests/policy/test_weight_controller.py
+++ b/tests/policy/test_weight_controller.py
@@ -16,10 +16,10 @@
 
 def test_weight_moves_from_slow_hosts_to_fast_ones() -> None:
     bench = ready_bench()
-    before = dict(bench.lines[0])
+    before = dict(bench.tables[0])
     feed(bench, 12, time_ms=lambda host: 600.0 if host == 100 else 200.0)
-    assert bench.lines[0][100] < before[100] / 2
-    assert sum(bench.lines[0].values()) == pytest.approx(sum(before.values()), abs=3)
+    assert bench.tables[0][100] < before[100] / 2
+    assert sum(bench.tables[0].values()) == pytest.approx(sum(before.values()), abs=3)
 
 
 def test_a_turn_without_new_statistics_leaves_the_control_error_unchanged() -> None:
@@ -79,19 +79,19 @@
             ]
         )
         bench.pass_time(SECOND)
-    assert bench.lines[0][100] < bench.lines[0][101]
+    assert bench.tables[0][100] < bench.tables[0][101]
 
 
 def test_a_host_that_fails_fast_gains_no_weight() -> None:
     bench = ready_bench()
-    before = bench.lines[0][101]
+    before = bench.tables[0][101]
     feed(
         bench,
         8,
         time_ms=lambda host: 20.0 if host == 101 else 200.0,
         failed=lambda host: 4 if host == 101 else 0,
     )
-    assert bench.lines[0][101] < before / 2
+    assert bench.tables[0][101] < before / 2
 
 
 def test_hosts_open_to_fewer_request_classes_are_not_starved() -> None:
@@ -115,7 +115,7 @@
             ]
         )
         bench.pass_time(SECOND)
-    assert bench.lines[0][102] > bench.lines[0][100]
+    assert bench.tables[0][102] > bench.tables[0][100]
 
 
 def test_a_stalled_host_that_is_silent_does_not_count_as_idle() -> None:
--- a/tests/support/controller_model.py
+++ b/tests/support/controller_model.py
@@ -143,7 +143,7 @@
         self.controller = controller or Controller(facts, 7)
         self.now = 100 * SECOND
         self.hosts: dict[int, events.HostEntry] = {}
-        self.lines: dict[int, dict[int, float]] = {}
+        self.tables: dict[int, dict[int, float]] = {}
         self.levels: list[commands.SetAdmissionLimit] = []
         self.withdrawn: set[int] = set()
         self.bound: dict[tuple[int, int], int] = {}
@@ -184,7 +184,7 @@
 
     def picks(self, proxy: int, place: int) -> dict[int, float]:
         """Weights of the hosts that a proxy may send a request class (by index) to."""
-        routes = self.lines.get(self.bound.get((proxy, place), NO_TABLE), {})
+        routes = self.tables.get(self.bound.get((proxy, place), NO_TABLE), {})
         return {host: weight for host, weight in routes.items() if host not in self.withdrawn}
 
     # Events
@@ -260,7 +260,7 @@
     def _set_route(self, command: commands.SetRoute) -> None:
         assert command.host in self.hosts
         assert command.weight >= 0
-        routes = self.lines.setdefault(command.table, {})
+        routes = self.tables.setdefault(command.table, {})
         routes[command.host] = command.weight
         if not command.weight:
             del routes[command.host]
@@ -288,7 +288,7 @@
             return set(), 0  # it left meanwhile: nothing happens
         for place in command.request_classes or self._request_classes:
             self.bound[command.proxy, place] = command.table
-        return {command.proxy}, 1 + len(self.lines.get(command.table, {}))
+        return {command.proxy}, 1 + len(self.tables.get(command.table, {}))
 
     def _users(self, table: int | None) -> set[int]:
         return {proxy for (proxy, _), number in self.bound.items() if number == table}
--- a/tests/warm_start/test_prior_knowledge_policy.py
+++ b/tests/warm_start/test_prior_knowledge_policy.py
@@ -61,13 +61,13 @@
 
 def test_an_unhealthy_host_starts_ejected_and_checked_and_a_healthy_one_near_its_weight() -> None:
     bench = started(*[prior_knowledge(100 + i, i == 3, 1.3 if i < 3 else 0.8) for i in range(10)])
-    lines = bench.lines[0]
+    lines = bench.tables[0]
     assert 103 not in lines and lines[100] > 1.4 * lines[105]
     assert 103 in probes(bench.log)
     for _ in range(12):  # after recovery, successive good health checks readmit it gradually
         bench.pass_time(SECOND)
         bench.deliver(health_check(103, HealthCheckOutcome.ANSWERED))
-    assert bench.lines[0][103] > 0
+    assert bench.tables[0][103] > 0
 
 
 def test_knowledge_that_is_a_day_old_has_hardly_any_effect() -> None:
@@ -75,7 +75,7 @@
     bench = started(
         *[prior_knowledge(100 + i, i == 3, 0.1 if i < 5 else 1.4, old) for i in range(10)]
     )
-    lines = bench.lines[0]
+    lines = bench.tables[0]
     assert max(lines.values()) - min(lines.values()) <= 1 and 103 in lines
 
 
@@ -99,13 +99,13 @@
             ]
         )
         bench.pass_time(SECOND // 2)
-    assert with_wrong_knowledge.lines[0] == pytest.approx(without_knowledge.lines[0], rel=0.05)
+    assert with_wrong_knowledge.tables[0] == pytest.approx(without_knowledge.tables[0], rel=0.05)
     assert not with_wrong_knowledge.controller.policy.prior.weights
 
 
 def test_knowledge_that_all_hosts_are_unhealthy_ejects_at_most_a_third() -> None:
     bench = started(*[prior_knowledge(100 + i, True) for i in range(10)])
-    assert len(bench.lines[0]) >= 6
+    assert len(bench.tables[0]) >= 6
     assert sum(bench.controller.host_table.ejected) <= 3
 
 
@@ -125,7 +125,7 @@
         ]
     )
     bench.pass_time(SECOND)
-    lines = bench.lines[0]
+    lines = bench.tables[0]
     assert lines[109] < lines[100] / 2
     assert lines[101] < lines[100] / 2
 
@@ -133,9 +133,9 @@
 def test_own_observations_override_prior_knowledge() -> None:
     bench = ready_bench()
     feed(bench, 3)
-    before = dict(bench.lines[0])
+    before = dict(bench.tables[0])
     bench.deliver(prior_knowledge(101, True, 0.05))
-    assert bench.lines[0] == before
+    assert bench.tables[0] == before
     assert not any(bench.controller.host_table.ejected)
 
 
