--- a/tests/policy/test_interim_tables.py
+++ b/tests/policy/test_interim_tables.py
@@ -118,7 +118,7 @@
     publisher = bench.controller.publisher
     publisher.handle(commands.SetAdmissionLimit(0, (0,), 0.5, commands.RetryPolicy.IF_NOT_EXECUTED))
     bench.pass_time(2 * SECOND)
-    limited = {limit.table for limit in bench.levels if limit.limit == 0.5}
+    limited = {limit.table for limit in bench.admission_limits if limit.limit == 0.5}
     assert limited >= {0, *(table.number for table in used_tables(publisher))}
 
 
--- a/tests/support/controller_model.py
+++ b/tests/support/controller_model.py
@@ -144,7 +144,7 @@
         self.now = 100 * SECOND
         self.hosts: dict[int, events.HostEntry] = {}
         self.tables: dict[int, dict[int, float]] = {}
-        self.levels: list[commands.SetAdmissionLimit] = []
+        self.admission_limits: list[commands.SetAdmissionLimit] = []
         self.withdrawn: set[int] = set()
         self.bound: dict[tuple[int, int], int] = {}
         self.log: list[commands.Command] = []
@@ -246,7 +246,7 @@
             case commands.SetAdmissionLimit():
                 assert command.limit >= 0
                 assert command.retry <= commands.RetryPolicy.IF_NOT_EXECUTED
-                self.levels.append(command)
+                self.admission_limits.append(command)
                 return self._users(command.table), 1
             case commands.BindProxy():
                 return self._bind(command)
