--- a/tests/policy/test_first_weights.py
+++ b/tests/policy/test_first_weights.py
@@ -133,7 +133,7 @@
     bench = Bench(start_facts())
     bench.deliver(full(entry(100), entry(101)), events.ProxyJoined(0, 0, 1.0, False))
     bench.deliver(changes(entry(100, DRAINING)))  # withdrawn although binds wait
-    assert commands.WithdrawHost(100, True) in bench.log
+    assert commands.WithdrawHost(100, True) in bench.command_log
     bench.pass_time(7 * SECOND)
     assert bench.bound and bench.tables[0][101] > 0
 
--- a/tests/policy/test_host_drains.py
+++ b/tests/policy/test_host_drains.py
@@ -27,11 +27,11 @@
     bench.deliver(changes(*[entry(100 + i, GONE, i % 3) for i in range(12)]))
     bench.pass_time(4 * SECOND)
     for proxy in range(20):
-        bench.log.clear()
+        bench.command_log.clear()
         bench.deliver(events.ProxyLeft(proxy), events.ProxyJoined(proxy, proxy % 3, 1.0, False))
         bench.pass_time(SECOND // 2)
         assert (proxy, 0) in bench.bound and not [
-            o for o in bench.log if isinstance(o, commands.WithdrawHost)
+            o for o in bench.command_log if isinstance(o, commands.WithdrawHost)
         ]
 
 
@@ -102,11 +102,11 @@
     bench.pass_time(2 * SECOND)
     drain(bench, newer)
     bench.pass_time(SECOND // 5)
-    bench.log.clear()
+    bench.command_log.clear()
     join_from_other_controller(bench)
     withdrawn = [
         command.host
-        for command in bench.log
+        for command in bench.command_log
         if isinstance(command, commands.WithdrawHost) and command.withdrawn
     ]
     assert set(withdrawn[:20]) == set(newer)
--- a/tests/policy/test_outlier_detection.py
+++ b/tests/policy/test_outlier_detection.py
@@ -16,17 +16,17 @@
 def test_no_host_is_ejected_when_reports_of_all_hosts_are_late() -> None:
     bench = ready_bench()
     feed(bench, 4)
-    bench.log.clear()
+    bench.command_log.clear()
     bench.pass_time(10 * SECOND)
-    assert not probes(bench.log) and len(bench.tables[0]) == 6
+    assert not probes(bench.command_log) and len(bench.tables[0]) == 6
 
 
 def test_a_silent_host_is_checked_ejected_and_readmitted_with_a_low_weight() -> None:
     bench = ready_bench(hosts=9)
     feed(bench, 4)
-    bench.log.clear()
+    bench.command_log.clear()
     feed(bench, 2, skip=(100,))
-    assert probes(bench.log) == {100}
+    assert probes(bench.command_log) == {100}
     bench.deliver(events.HealthCheckResult(100, HealthCheckOutcome.TIMED_OUT, 500_000, None))
     bench.pass_time(SECOND // 4)
     assert 100 not in bench.tables[0]
@@ -105,7 +105,7 @@
     feed(bench, 3)
     for _ in range(3):
         feed(bench, 1, failed=lambda host: 8 if host in far else 0)
-        checked = probes(bench.log[-40:])
+        checked = probes(bench.command_log[-40:])
         bench.deliver(
             *[
                 events.HealthCheckResult(host, HealthCheckOutcome.UNREACHABLE, 1000, None)
--- a/tests/policy/test_policy_rules.py
+++ b/tests/policy/test_policy_rules.py
@@ -20,16 +20,16 @@
 def test_a_failed_endpoint_list_is_polled_again() -> None:
     bench = Bench(start_facts(must_subscribe=True))
     bench.deliver(events.HostList(ListKind.FAILED, ()))
-    bench.log.clear()
+    bench.command_log.clear()
     bench.pass_time(3 * SECOND)
-    assert commands.SubscribeHostList(True) in bench.log
+    assert commands.SubscribeHostList(True) in bench.command_log
 
 
 def test_the_same_events_give_the_same_commands() -> None:
     logs = [Bench(start_facts(), controller=Controller(start_facts(), 5)) for _ in range(2)]
     for bench in logs:
         generated_day(bench, random.Random(3), 60)
-    assert logs[0].log == logs[1].log
+    assert logs[0].command_log == logs[1].command_log
 
 
 @pytest.mark.parametrize("seed", range(12))
@@ -86,5 +86,5 @@
         BenchWithMembership(start_facts(controller_count=3)),
     ):
         generated_day(bench, random.Random(seed), 40)
-        logs.append(bench.log)
+        logs.append(bench.command_log)
     assert logs[0] == logs[1] and logs[0]
--- a/tests/policy/test_slot_changes.py
+++ b/tests/policy/test_slot_changes.py
@@ -20,11 +20,11 @@
 def test_one_shared_table_binds_each_proxy_once_and_sends_only_changes() -> None:
     bench = ready_bench()
     assert len(bench.tables) == 1 and len({table for table in bench.bound.values()}) == 1
-    bench.log.clear()
+    bench.command_log.clear()
     bench.pass_time(5 * SECOND)
     assert not [
         command
-        for command in bench.log
+        for command in bench.command_log
         if isinstance(command, (commands.SetRoute, commands.BindProxy))
     ]
 
@@ -76,9 +76,11 @@
 def test_a_constrained_channel_writes_the_largest_changes_and_bounds_the_weights() -> None:
     bench, _ = large_bench(7)
     bench.pass_time(8 * SECOND)
-    bench.log.clear()
+    bench.command_log.clear()
     feed(bench, 1, time_ms=lambda host: 2000.0 if host == 100 else 200.0 + host)
-    lines = [command.host for command in bench.log if isinstance(command, commands.SetRoute)]
+    lines = [
+        command.host for command in bench.command_log if isinstance(command, commands.SetRoute)
+    ]
     assert lines[0] == 100 and len(lines) < 30
     bench.rate, host_table = 0.0, bench.controller.host_table
     feed(bench, 12, time_ms=lambda host: 2000.0 if host == 101 else 200.0)
@@ -104,8 +106,8 @@
     bench, _ = large_bench(7, order=0.02)
     bench.pass_time(8 * SECOND)
     feed(bench, 6, time_ms=lambda _: latency_ms)
-    bench.log.clear()
+    bench.command_log.clear()
     weights = bench.controller.host_table.weight
     weights[:] = [weight * (1.1 if index % 2 else 0.9) for index, weight in enumerate(weights)]
     bench.pass_time(SECOND)
-    assert any(isinstance(command, commands.SetRoute) for command in bench.log) is written
+    assert any(isinstance(command, commands.SetRoute) for command in bench.command_log) is written
--- a/tests/policy/test_subsetting.py
+++ b/tests/policy/test_subsetting.py
@@ -122,7 +122,7 @@
 
 def test_hosts_outside_the_subset_are_not_suspected_when_they_have_no_statistics() -> None:
     bench, *_ = controllers_with_subsets(4, 200, 60)
-    bench.log.clear()
+    bench.command_log.clear()
     own_hosts = set(bench.tables[0])
     feed(bench, 8, skip=tuple(set(bench.hosts) - own_hosts))
     host_table = bench.controller.host_table
--- a/tests/support/controller_model.py
+++ b/tests/support/controller_model.py
@@ -147,7 +147,7 @@
         self.admission_limits: list[commands.SetAdmissionLimit] = []
         self.withdrawn: set[int] = set()
         self.bound: dict[tuple[int, int], int] = {}
-        self.log: list[commands.Command] = []
+        self.command_log: list[commands.Command] = []
         self._request_classes = range(len(facts.request_classes))
         self._unready_since: dict[int, int] = {}  # by host: since when the controller knows
         self._zone_of_proxy: dict[int, int] = {}  # joined proxies
@@ -161,7 +161,7 @@
         for event in batch:
             self._observe(event)
         out = self.controller.deliver(self.now, list(batch))
-        self.log += out
+        self.command_log += out
         self._apply(out)
         self._check_rules()
         return out
--- a/tests/warm_start/test_prior_knowledge_policy.py
+++ b/tests/warm_start/test_prior_knowledge_policy.py
@@ -63,7 +63,7 @@
     bench = started(*[prior_knowledge(100 + i, i == 3, 1.3 if i < 3 else 0.8) for i in range(10)])
     lines = bench.tables[0]
     assert 103 not in lines and lines[100] > 1.4 * lines[105]
-    assert 103 in probes(bench.log)
+    assert 103 in probes(bench.command_log)
     for _ in range(12):  # after recovery, successive good health checks readmit it gradually
         bench.pass_time(SECOND)
         bench.deliver(health_check(103, HealthCheckOutcome.ANSWERED))
