--- a/tests/policy/test_first_weights.py
+++ b/tests/policy/test_first_weights.py
@@ -39,11 +39,11 @@
         # As if the channel were busy with withdrawals.
         bench.controller.publisher.flow.round_trip_lines = 100.0
         bench.deliver(changes(entry(host, DRAINING)))
-        bench.rate = 0.0
+        bench.channel_lines_per_s = 0.0
         bench.pass_time(SECOND // 2)
     # The first binds include the weights.
     assert bench.bound and bench.tables[0][101] > 2 * bench.tables[0][100]
-    bench.rate = bench.facts.channel_lines_per_s
+    bench.channel_lines_per_s = bench.facts.channel_lines_per_s
     bench.pass_time(SECOND)
     assert len(bench.bound) == 30
     new_bench = ready_bench(proxies=2)
--- a/tests/policy/test_flow_control.py
+++ b/tests/policy/test_flow_control.py
@@ -24,7 +24,7 @@
 
 def test_deferrable_lines_wait_for_acknowledgements_but_drains_do_not() -> None:
     bench = ready_bench(backlog_cap_lines=400)
-    bench.rate = 0.0
+    bench.channel_lines_per_s = 0.0
     feed(bench, 20, time_ms=lambda host: random.Random(host + bench.now).uniform(50, 900))
     assert bench.most_waiting <= 400
     assert commands.SetRoute(0, 100, 0.0) in bench.deliver(changes(entry(100, DRAINING)))
--- a/tests/policy/test_host_drains.py
+++ b/tests/policy/test_host_drains.py
@@ -22,7 +22,7 @@
 def test_a_joining_proxy_is_bound_and_no_withdrawal_is_repeated() -> None:
     """Guards against withdrawals that are repeated whenever a proxy joins, and so delay drains."""
     bench, _ = large_bench(3)
-    bench.rate = bench.facts.channel_lines_per_s
+    bench.channel_lines_per_s = bench.facts.channel_lines_per_s
     bench.pass_time(8 * SECOND)
     bench.deliver(changes(*[entry(100 + i, GONE, i % 3) for i in range(12)]))
     bench.pass_time(4 * SECOND)
--- a/tests/policy/test_slot_changes.py
+++ b/tests/policy/test_slot_changes.py
@@ -82,7 +82,7 @@
         command.host for command in bench.command_log if isinstance(command, commands.SetRoute)
     ]
     assert lines[0] == 100 and len(lines) < 30
-    bench.rate, host_table = 0.0, bench.controller.host_table
+    bench.channel_lines_per_s, host_table = 0.0, bench.controller.host_table
     feed(bench, 12, time_ms=lambda host: 2000.0 if host == 101 else 200.0)
     assert (
         host_table.channel_constrained
--- a/tests/support/controller_model.py
+++ b/tests/support/controller_model.py
@@ -139,7 +139,7 @@
             controller: One to use instead.
         """
         self.facts = facts
-        self.rate = facts.channel_lines_per_s * speed
+        self.channel_lines_per_s = facts.channel_lines_per_s * speed
         self.controller = controller or Controller(facts, 7)
         self.now = 100 * SECOND
         self.hosts: dict[int, events.HostEntry] = {}
@@ -174,7 +174,7 @@
             due = [timer for timer in self._timers if timer.due_us <= self.now]
             self._timers = [timer for timer in self._timers if timer.due_us > self.now]
             expired = [events.TimerExpired(timer.token) for timer in due]
-            acknowledged = self._channel.carry(self.rate * step / SECOND)
+            acknowledged = self._channel.carry(self.channel_lines_per_s * step / SECOND)
             self.deliver(*expired, *acknowledged)
 
     @property
