--- a/tests/policy/test_host_drains.py
+++ b/tests/policy/test_host_drains.py
@@ -48,7 +48,7 @@
     )
     bench.pass_time(SECOND)
     for proxy in range(100):
-        hosts = bench.picks(proxy, 0)
+        hosts = bench.usable_weights(proxy, 0)
         assert hosts and not hosts.keys() & set(removed)
 
 
@@ -139,7 +139,7 @@
     publisher = bench.controller.publisher
     assert not publisher.unbound and publisher.interim
     for proxy in range(10, 50):
-        hosts = bench.picks(proxy, 0)
+        hosts = bench.usable_weights(proxy, 0)
         assert hosts and not hosts.keys() & {*older, *newer}
 
 
--- a/tests/policy/test_host_warmup.py
+++ b/tests/policy/test_host_warmup.py
@@ -44,9 +44,9 @@
     bench.deliver(changes(entry(200, started_us=bench.now), entry(201, started_us=bench.now)))
     bench.deliver(changes(*[entry(100 + i, GONE, zone=i % 3, kind=i % 2) for i in range(12)]))
     bench.pass_time(2 * SECOND)
-    assert not bench.picks(0, 0)
+    assert not bench.usable_weights(0, 0)
     bench.pass_time(15 * SECOND)
-    assert set(bench.picks(0, 0)) == {200, 201}
+    assert set(bench.usable_weights(0, 0)) == {200, 201}
 
 
 def test_many_cold_hosts_get_slots_in_an_overload_where_a_single_one_does_not() -> None:
@@ -87,4 +87,4 @@
     bench.deliver(changes(entry(100)))
     bench.deliver(changes(entry(103, GONE)))
     bench.pass_time(SECOND)
-    assert set(bench.picks(0, 0)) == {100}
+    assert set(bench.usable_weights(0, 0)) == {100}
--- a/tests/policy/test_slot_changes.py
+++ b/tests/policy/test_slot_changes.py
@@ -56,7 +56,7 @@
     bench.controller.host_table.ejected[0] = True
     bench.deliver(changes(entry(101, DRAINING), entry(102, GONE), entry(103, started_us=bench.now)))
     bench.pass_time(SECOND // 2)
-    assert 100 in bench.picks(0, 0)
+    assert 100 in bench.usable_weights(0, 0)
     bench.deliver(
         changes(entry(100, GONE), entry(103, GONE))
     )  # no host is left, which must not fail
--- a/tests/support/controller_model.py
+++ b/tests/support/controller_model.py
@@ -182,7 +182,7 @@
         """The most lines that ever waited in the channel."""
         return self._channel.most_waiting
 
-    def picks(self, proxy: int, place: int) -> dict[int, float]:
+    def usable_weights(self, proxy: int, place: int) -> dict[int, float]:
         """Weights of the hosts that a proxy may send a request class (by index) to."""
         routes = self.tables.get(self.bound.get((proxy, place), NO_TABLE), {})
         return {host: weight for host, weight in routes.items() if host not in self.withdrawn}
@@ -278,7 +278,7 @@
         """Whether the proxy is on unknown tables, or may send to the host by its tables."""
         is_bound = any((proxy, place) in self.bound for place in self._request_classes)
         return not is_bound or any(
-            host in self.picks(proxy, place) for place in self._request_classes
+            host in self.usable_weights(proxy, place) for place in self._request_classes
         )
 
     def _bind(self, command: commands.BindProxy) -> tuple[set[int], int]:
@@ -312,21 +312,21 @@
 
     def _check_drained_hosts(self, proxy: int, place: int) -> None:
         grace_us = self.facts.drain_grace_us / 2
-        for host in self.picks(proxy, place):
+        for host in self.usable_weights(proxy, place):
             if host in self._unready_since:
                 known_since = max(self._unready_since[host], self._joined_at[proxy])
                 assert self.now - known_since <= grace_us, "a drained host is still picked"
 
     def _check_allowed_hosts(self, proxy: int, place: int) -> None:
         zone = self._zone_of_proxy[proxy]
-        for host in self.picks(proxy, place):
+        for host in self.usable_weights(proxy, place):
             assert self._may_serve(host, place, zone), "a request class where it may not go"
 
     def _check_endpoints_left(self, proxy: int, place: int) -> None:
         key = (proxy, place)
         zone = self._zone_of_proxy[proxy]
         could_serve = self._warm_hosts(place, zone)
-        if self.picks(proxy, place) or not could_serve or key not in self.bound:
+        if self.usable_weights(proxy, place) or not could_serve or key not in self.bound:
             self._endpoints_seen_at[key] = self.now
         last_seen = max(self._joined_at[proxy], self._endpoints_seen_at[key])
         limit_us = self.facts.max_unbound_us / 2
--- a/tests/support/fleet_model.py
+++ b/tests/support/fleet_model.py
@@ -49,7 +49,7 @@
             else:
                 self.withdrawn.discard(host)
 
-    def picks(self, request_class: int) -> set[int]:
+    def usable_hosts(self, request_class: int) -> set[int]:
         return self.routes[request_class].keys() - self.withdrawn
 
 
@@ -183,15 +183,15 @@
         )
         for number, proxy in self.proxies.items():
             for request_class in self._classes:
-                picks = proxy.picks(request_class)
-                self._check_drains(number, proxy, picks)
-                if picks or not has_warm_host:
+                usable_hosts = proxy.usable_hosts(request_class)
+                self._check_drains(number, proxy, usable_hosts)
+                if usable_hosts or not has_warm_host:
                     proxy.served_us[request_class] = self.now
                 unserved_us = self.now - proxy.served_us[request_class]
                 assert unserved_us <= self.facts.max_unbound_us / self.pace, f"{number}: no host"
 
-    def _check_drains(self, number: int, proxy: ModelProxy, picks: set[int]) -> None:
-        for host in picks & self._removed_us.keys():
+    def _check_drains(self, number: int, proxy: ModelProxy, usable_hosts: set[int]) -> None:
+        for host in usable_hosts & self._removed_us.keys():
             used_us = self.now - max(self._removed_us[host], proxy.joined_us)
             self.longest_use_us = max(self.longest_use_us, used_us)
             assert used_us <= self.facts.drain_grace_us / self.pace, (
