--- a/tests/policy/test_flow_control.py
+++ b/tests/policy/test_flow_control.py
@@ -26,7 +26,7 @@
     bench = ready_bench(backlog_cap_lines=400)
     bench.channel_lines_per_s = 0.0
     feed(bench, 20, time_ms=lambda host: random.Random(host + bench.now).uniform(50, 900))
-    assert bench.most_waiting <= 400
+    assert bench.peak_queued_lines <= 400
     assert commands.SetRoute(0, 100, 0.0) in bench.deliver(changes(entry(100, DRAINING)))
 
 
@@ -59,7 +59,7 @@
     bench.deliver(full(*[entry(100 + i, zone=i % 3) for i in range(500)]))
     bench.deliver(*[events.ProxyJoined(p, p % 3, 10.0, True) for p in range(9)])
     bench.pass_time(8 * SECOND)
-    assert len(bench.bound) == 9 and bench.most_waiting <= 2 * 520
+    assert len(bench.bound) == 9 and bench.peak_queued_lines <= 2 * 520
 
 
 @pytest.mark.parametrize("seed", range(3))
--- a/tests/support/channel_model.py
+++ b/tests/support/channel_model.py
@@ -37,7 +37,7 @@
 
     def __init__(self, message_window_us: int) -> None:
         """Starts empty; `message_window_us` is how long messages count as written of late."""
-        self.most_waiting = 0.0
+        self.peak_queued_lines = 0.0
         self._message_window_us = message_window_us
         self._queue: list[QueuedMessage] = []
         self._sent: list[SentMessage] = []
@@ -58,7 +58,7 @@
         self._sent = [sent for sent in self._sent if sent.at_us > window_start]
         self._sent += [SentMessage(now, proxy) for proxy in lines_to]
         waiting = sum(message.lines_left for message in self._queue)
-        self.most_waiting = max(self.most_waiting, waiting)
+        self.peak_queued_lines = max(self.peak_queued_lines, waiting)
 
     def carry(self, capacity: float) -> list[events.Event]:
         """Lets so many lines leave; returns the acknowledgements of messages that left whole."""
--- a/tests/support/controller_model.py
+++ b/tests/support/controller_model.py
@@ -178,9 +178,9 @@
             self.deliver(*expired, *acknowledged)
 
     @property
-    def most_waiting(self) -> float:
+    def peak_queued_lines(self) -> float:
         """The most lines that ever waited in the channel."""
-        return self._channel.most_waiting
+        return self._channel.peak_queued_lines
 
     def usable_weights(self, proxy: int, place: int) -> dict[int, float]:
         """Weights of the hosts that a proxy may send a request class (by index) to."""
@@ -297,7 +297,9 @@
 
     def _check_rules(self) -> None:
         """Stricter than the rules: commands must settle in half of the time that they allow."""
-        assert self.most_waiting <= self.facts.backlog_cap_lines, "the queue grew past its limit"
+        assert self.peak_queued_lines <= self.facts.backlog_cap_lines, (
+            "the queue grew past its limit"
+        )
         for proxy in self._zone_of_proxy:
             self._check_message_limit(proxy)
             for place in self._request_classes:
