--- a/tests/policy/test_flow_control.py
+++ b/tests/policy/test_flow_control.py
@@ -4,7 +4,7 @@
 import random
 
 import pytest
-from support.controller_bench import feed, large_bench, ready_bench
+from support.controller_bench import large_bench, ready_bench, report_requests
 from support.controller_model import (
     DRAINING,
     GONE,
@@ -25,7 +25,9 @@
 def test_deferrable_lines_wait_for_acknowledgements_but_drains_do_not() -> None:
     bench = ready_bench(backlog_cap_lines=400)
     bench.channel_lines_per_s = 0.0
-    feed(bench, 20, time_ms=lambda host: random.Random(host + bench.now).uniform(50, 900))
+    report_requests(
+        bench, 20, time_ms=lambda host: random.Random(host + bench.now).uniform(50, 900)
+    )
     assert bench.peak_queued_lines <= 400
     assert commands.SetRoute(0, 100, 0.0) in bench.deliver(changes(entry(100, DRAINING)))
 
@@ -85,7 +87,7 @@
                 rejoining = rng.sample(range(100), 50)
                 bench.deliver(*[events.ProxyLeft(p) for p in rejoining])
                 bench.deliver(*[events.ProxyJoined(p, p % 3, 1.0, False) for p in rejoining])
-        feed(bench, 2, time_ms=lambda _: math.exp(rng.gauss(5.5, 1.0)))
+        report_requests(bench, 2, time_ms=lambda _: math.exp(rng.gauss(5.5, 1.0)))
     bench.pass_time(10 * SECOND)
     assert len(bench.bound) == 100
 
--- a/tests/policy/test_outlier_detection.py
+++ b/tests/policy/test_outlier_detection.py
@@ -3,7 +3,7 @@
 from dataclasses import replace
 
 import pytest
-from support.controller_bench import feed, probes, ready_bench
+from support.controller_bench import probes, ready_bench, report_requests
 from support.controller_model import (
     SECOND,
 )
@@ -15,7 +15,7 @@
 
 def test_no_host_is_ejected_when_reports_of_all_hosts_are_late() -> None:
     bench = ready_bench()
-    feed(bench, 4)
+    report_requests(bench, 4)
     bench.command_log.clear()
     bench.pass_time(10 * SECOND)
     assert not probes(bench.command_log) and len(bench.tables[0]) == 6
@@ -23,9 +23,9 @@
 
 def test_a_silent_host_is_checked_ejected_and_readmitted_with_a_low_weight() -> None:
     bench = ready_bench(hosts=9)
-    feed(bench, 4)
+    report_requests(bench, 4)
     bench.command_log.clear()
-    feed(bench, 2, skip=(100,))
+    report_requests(bench, 2, skip=(100,))
     assert probes(bench.command_log) == {100}
     bench.deliver(events.HealthCheckResult(100, HealthCheckOutcome.TIMED_OUT, 500_000, None))
     bench.pass_time(SECOND // 4)
@@ -38,7 +38,7 @@
 
 def test_a_suspected_host_is_checked_again_at_once_until_it_is_ejected() -> None:
     bench = ready_bench(hosts=9)
-    feed(bench, 6)
+    report_requests(bench, 6)
     for host in bench.hosts:
         bench.deliver(
             events.HostRequestStats(host, 0, 9, 9 if host == 100 else 0, 200_000.0, SECOND, None)
@@ -53,7 +53,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     bench = ready_bench(hosts=12)
-    feed(bench, 3)
+    report_requests(bench, 3)
     for _ in range(4):
         bench.deliver(
             *[
@@ -61,7 +61,7 @@
                 for host in range(100, 106)
             ]
         )
-        feed(bench, 1, skip=tuple(range(100, 106)))
+        report_requests(bench, 1, skip=tuple(range(100, 106)))
     assert bench.tables[0].keys() == set(range(106, 112))
     ejected = bench.controller.host_table.ejected
     monkeypatch.setattr(HostHealth, "is_suspect", lambda self, reference_ratio: True)
@@ -76,7 +76,7 @@
 def test_a_mass_disconnect_checks_all_hosts_and_ejects_unreachable_ones_at_once() -> None:
     """Guards against a network partition that only shows in decayed sums, seconds later."""
     bench = ready_bench(hosts=12, proxies=12)
-    feed(bench, 3)
+    report_requests(bench, 3)
     assert not probes(
         bench.deliver(events.ProxyLeft(0))
     )  # a single disconnect is no mass disconnect
@@ -102,9 +102,9 @@
 def test_two_zones_that_fail_all_requests_are_ejected_and_the_third_zone_stays() -> None:
     bench = ready_bench(hosts=12)
     far = {host for host, entry in bench.hosts.items() if entry.zone}
-    feed(bench, 3)
+    report_requests(bench, 3)
     for _ in range(3):
-        feed(bench, 1, failed=lambda host: 8 if host in far else 0)
+        report_requests(bench, 1, failed=lambda host: 8 if host in far else 0)
         checked = probes(bench.command_log[-40:])
         bench.deliver(
             *[
--- a/tests/policy/test_slot_changes.py
+++ b/tests/policy/test_slot_changes.py
@@ -1,7 +1,7 @@
 """Slots are computed when an input changes, and written if they are worth their lines."""
 
 import pytest
-from support.controller_bench import feed, large_bench, ready_bench
+from support.controller_bench import large_bench, ready_bench, report_requests
 from support.controller_model import (
     DRAINING,
     GONE,
@@ -32,7 +32,7 @@
 def test_slots_are_recomputed_only_when_an_input_has_changed() -> None:
     """Guards against recomputing unchanged slots, which took a tenth of a core at 500 hosts."""
     bench = ready_bench()
-    feed(bench, 3)
+    report_requests(bench, 3)
     publisher, calls = bench.controller.publisher, []
     table = type(publisher.tables[0])
     original = table.slots
@@ -77,13 +77,13 @@
     bench, _ = large_bench(7)
     bench.pass_time(8 * SECOND)
     bench.command_log.clear()
-    feed(bench, 1, time_ms=lambda host: 2000.0 if host == 100 else 200.0 + host)
+    report_requests(bench, 1, time_ms=lambda host: 2000.0 if host == 100 else 200.0 + host)
     lines = [
         command.host for command in bench.command_log if isinstance(command, commands.SetRoute)
     ]
     assert lines[0] == 100 and len(lines) < 30
     bench.channel_lines_per_s, host_table = 0.0, bench.controller.host_table
-    feed(bench, 12, time_ms=lambda host: 2000.0 if host == 101 else 200.0)
+    report_requests(bench, 12, time_ms=lambda host: 2000.0 if host == 101 else 200.0)
     assert (
         host_table.channel_constrained
         and host_table.weight[1] >= host_table.effective_weight[1] / 2
@@ -94,7 +94,7 @@
     bench, _ = large_bench(7, order=0.5)
     bench.pass_time(8 * SECOND)
     before = bench.tables[0][100]
-    feed(bench, 25, time_ms=lambda host: 2000.0 if host == 100 else 200.0)
+    report_requests(bench, 25, time_ms=lambda host: 2000.0 if host == 100 else 200.0)
     assert bench.tables[0][100] < before / 2
 
 
@@ -105,7 +105,7 @@
     """Guards against a channel that is always busy with changes of hardly any benefit."""
     bench, _ = large_bench(7, order=0.02)
     bench.pass_time(8 * SECOND)
-    feed(bench, 6, time_ms=lambda _: latency_ms)
+    report_requests(bench, 6, time_ms=lambda _: latency_ms)
     bench.command_log.clear()
     weights = bench.controller.host_table.weight
     weights[:] = [weight * (1.1 if index % 2 else 0.9) for index, weight in enumerate(weights)]
--- a/tests/policy/test_subsetting.py
+++ b/tests/policy/test_subsetting.py
@@ -3,7 +3,7 @@
 from dataclasses import replace
 
 import pytest
-from support.controller_bench import feed
+from support.controller_bench import report_requests
 from support.controller_model import (
     GONE,
     SECOND,
@@ -124,7 +124,7 @@
     bench, *_ = controllers_with_subsets(4, 200, 60)
     bench.command_log.clear()
     own_hosts = set(bench.tables[0])
-    feed(bench, 8, skip=tuple(set(bench.hosts) - own_hosts))
+    report_requests(bench, 8, skip=tuple(set(bench.hosts) - own_hosts))
     host_table = bench.controller.host_table
     assert host_table.outside_subset and not any(
         bench.controller.hosts[i].health.is_silent() for i in host_table.outside_subset
--- a/tests/policy/test_weight_controller.py
+++ b/tests/policy/test_weight_controller.py
@@ -1,7 +1,7 @@
 """Weight controller: the weights of hosts follow their fill."""
 
 import pytest
-from support.controller_bench import feed, ready_bench
+from support.controller_bench import ready_bench, report_requests
 from support.controller_model import (
     SECOND,
     Bench,
@@ -17,7 +17,7 @@
 def test_weight_moves_from_slow_hosts_to_fast_ones() -> None:
     bench = ready_bench()
     before = dict(bench.tables[0])
-    feed(bench, 12, time_ms=lambda host: 600.0 if host == 100 else 200.0)
+    report_requests(bench, 12, time_ms=lambda host: 600.0 if host == 100 else 200.0)
     assert bench.tables[0][100] < before[100] / 2
     assert sum(bench.tables[0].values()) == pytest.approx(sum(before.values()), abs=3)
 
@@ -25,7 +25,7 @@
 def test_a_turn_without_new_statistics_leaves_the_control_error_unchanged() -> None:
     """Guards against a derivative that is computed from stale statistics."""
     bench = ready_bench()
-    feed(bench, 4, time_ms=lambda host: 400.0 if host == 100 else 200.0)
+    report_requests(bench, 4, time_ms=lambda host: 400.0 if host == 100 else 200.0)
     host_table = bench.controller.host_table
     assert not any(host_table.heard_since_turn)
     errors = list(host_table.error)
@@ -35,7 +35,7 @@
 
 def test_a_controller_without_statistics_keeps_its_weights() -> None:
     bench = ready_bench()
-    feed(bench, 2, time_ms=lambda host: 900.0 if host == 100 else 200.0)
+    report_requests(bench, 2, time_ms=lambda host: 900.0 if host == 100 else 200.0)
     bench.pass_time(2 * SECOND)  # its changed slots are written
     host_table = bench.controller.host_table
     host_table.integral[:] = [0.0] * len(host_table.integral)
@@ -47,7 +47,7 @@
 def test_turns_run_shortly_after_a_round_of_statistics() -> None:
     """Guards against statistics that wait for up to a turn."""
     bench = ready_bench()
-    feed(bench, 4)
+    report_requests(bench, 4)
     bench.deliver(
         *[events.HostRequestStats(host, 0, 8, 0, 200_000.0, SECOND, None) for host in bench.hosts]
     )
@@ -85,7 +85,7 @@
 def test_a_host_that_fails_fast_gains_no_weight() -> None:
     bench = ready_bench()
     before = bench.tables[0][101]
-    feed(
+    report_requests(
         bench,
         8,
         time_ms=lambda host: 20.0 if host == 101 else 200.0,
@@ -121,9 +121,9 @@
 def test_a_stalled_host_that_is_silent_does_not_count_as_idle() -> None:
     """Guards against a host that answers no request, so has no statistics, but keeps its weight."""
     bench = ready_bench(hosts=9)
-    feed(bench, 6)
-    feed(bench, 1, time_ms=lambda host: 9000.0 if host == 100 else 200.0)
+    report_requests(bench, 6)
+    report_requests(bench, 1, time_ms=lambda host: 9000.0 if host == 100 else 200.0)
     host_table, before = bench.controller.host_table, bench.controller.host_table.weight[0]
     host_table.integral[0] = 0.0
-    feed(bench, 1, skip=(100,))
+    report_requests(bench, 1, skip=(100,))
     assert host_table.weight[0] < 0.9 * before
--- a/tests/support/controller_bench.py
+++ b/tests/support/controller_bench.py
@@ -36,7 +36,7 @@
     return bench
 
 
-def feed(
+def report_requests(
     bench: Bench,
     turns: int,
     time_ms: Callable[[int], float] = lambda host: 200.0,
@@ -135,7 +135,7 @@
             case 6:
                 bench.deliver(*odd_notes(rng))
             case _:
-                feed(
+                report_requests(
                     bench,
                     rng.randint(1, 3),
                     time_ms=lambda _: math.exp(rng.gauss(5.5, 1.0)),
--- a/tests/warm_start/test_prior_knowledge_policy.py
+++ b/tests/warm_start/test_prior_knowledge_policy.py
@@ -3,7 +3,7 @@
 import random
 
 import pytest
-from support.controller_bench import feed, generated_day, probes, ready_bench
+from support.controller_bench import generated_day, probes, ready_bench, report_requests
 from support.controller_model import READY, SECOND, Bench, changes, entry, full, start_facts
 
 from plankroute.events import events
@@ -132,7 +132,7 @@
 
 def test_own_observations_override_prior_knowledge() -> None:
     bench = ready_bench()
-    feed(bench, 3)
+    report_requests(bench, 3)
     before = dict(bench.tables[0])
     bench.deliver(prior_knowledge(101, True, 0.05))
     assert bench.tables[0] == before
@@ -179,7 +179,7 @@
 def test_only_own_observations_are_passed_on() -> None:
     bench = started(prior_knowledge(103, True), prior_knowledge(104, False, 0.5))
     assert not list(bench.controller.prior_knowledge())
-    feed(bench, 3, failed=lambda host: 8 if host == 105 else 0, skip=(103,))
+    report_requests(bench, 3, failed=lambda host: 8 if host == 105 else 0, skip=(103,))
     observed = {host.host: host for host in bench.controller.prior_knowledge()}
     assert 103 not in observed
     assert observed[105].failed > 3
