--- a/tests/policy/test_first_weights.py
+++ b/tests/policy/test_first_weights.py
@@ -4,7 +4,7 @@
 import random
 
 import pytest
-from support.controller_bench import probes, ready_bench
+from support.controller_bench import checked_hosts, ready_bench
 from support.controller_model import (
     DRAINING,
     SECOND,
@@ -57,7 +57,7 @@
     """Guards against equal weights until the first statistics, seconds after the first requests."""
     bench = Bench(start_facts(health_checks_allowed=health_checks_allowed))
     bench.deliver(full(*[entry(100 + i, kind=i % 2, weight=weight * (1 + i)) for i in range(6)]))
-    checked = probes(bench.deliver(events.ProxyJoined(0, 0, 10.0, True)))
+    checked = checked_hosts(bench.deliver(events.ProxyJoined(0, 0, 10.0, True)))
     assert checked == (bench.hosts.keys() if health_checks_allowed and not weight else set())
     # Host 100 appears to answer at once.
     took_us = {host: 10_000 + host % 2 * 15_000 for host in checked} | {100: 1}
@@ -79,7 +79,7 @@
 def test_a_first_health_check_without_an_answer_does_not_delay_binds_for_long() -> None:
     bench = Bench(start_facts())
     bench.deliver(full(*[entry(100 + i) for i in range(6)]))
-    checked = probes(bench.deliver(events.ProxyJoined(0, 0, 10.0, True)))
+    checked = checked_hosts(bench.deliver(events.ProxyJoined(0, 0, 10.0, True)))
     bench.deliver(
         *[
             events.HealthCheckResult(host, HealthCheckOutcome.ANSWERED, 10_000, None)
@@ -96,7 +96,7 @@
     """Guards against equal weights after a restart if the drain grace is too short for reports."""
     bench = Bench(start_facts(drain_grace_us=2 * SECOND))
     bench.deliver(full(*[entry(100 + i, kind=i % 2) for i in range(6)]))
-    checked = probes(bench.deliver(events.ProxyJoined(0, 0, 10.0, False)))
+    checked = checked_hosts(bench.deliver(events.ProxyJoined(0, 0, 10.0, False)))
     took_us = {host: 10_000 + host % 2 * 20_000 for host in checked}
     bench.deliver(
         *[
--- a/tests/policy/test_interim_tables.py
+++ b/tests/policy/test_interim_tables.py
@@ -1,7 +1,7 @@
 """Interim tables divide all hosts, and follow hosts that leave, are added or warm up."""
 
 import pytest
-from support.controller_bench import probes
+from support.controller_bench import checked_hosts
 from support.controller_model import (
     DRAINING,
     SECOND,
@@ -137,7 +137,7 @@
     publisher = bench.controller.publisher
     bench.deliver(*[events.ProxyLeft(proxy) for proxy in JOINING_PROXIES])
     assert not publisher.interim and not used_tables(publisher)
-    assert not probes(bench.command_log)
+    assert not checked_hosts(bench.command_log)
     assert all(abs(table.rate) < 1e-6 for table in publisher.interim_tables)
 
 
--- a/tests/policy/test_outlier_detection.py
+++ b/tests/policy/test_outlier_detection.py
@@ -3,7 +3,7 @@
 from dataclasses import replace
 
 import pytest
-from support.controller_bench import probes, ready_bench, report_requests
+from support.controller_bench import checked_hosts, ready_bench, report_requests
 from support.controller_model import (
     SECOND,
 )
@@ -18,7 +18,7 @@
     report_requests(bench, 4)
     bench.command_log.clear()
     bench.pass_time(10 * SECOND)
-    assert not probes(bench.command_log) and len(bench.tables[0]) == 6
+    assert not checked_hosts(bench.command_log) and len(bench.tables[0]) == 6
 
 
 def test_a_silent_host_is_checked_ejected_and_readmitted_with_a_low_weight() -> None:
@@ -26,7 +26,7 @@
     report_requests(bench, 4)
     bench.command_log.clear()
     report_requests(bench, 2, skip=(100,))
-    assert probes(bench.command_log) == {100}
+    assert checked_hosts(bench.command_log) == {100}
     bench.deliver(events.HealthCheckResult(100, HealthCheckOutcome.TIMED_OUT, 500_000, None))
     bench.pass_time(SECOND // 4)
     assert 100 not in bench.tables[0]
@@ -44,9 +44,9 @@
             events.HostRequestStats(host, 0, 9, 9 if host == 100 else 0, 200_000.0, SECOND, None)
         )
     bad = events.HealthCheckResult(100, HealthCheckOutcome.ERROR, 1000, None)
-    assert probes(bench.deliver(bad)) == {100} and not bench.controller.host_table.ejected[0]
-    assert not probes(bench.deliver(bad)) and bench.controller.host_table.ejected[0]
-    assert not probes(bench.deliver(replace(bad, host=101)))  # host 101 is not suspected
+    assert checked_hosts(bench.deliver(bad)) == {100} and not bench.controller.host_table.ejected[0]
+    assert not checked_hosts(bench.deliver(bad)) and bench.controller.host_table.ejected[0]
+    assert not checked_hosts(bench.deliver(replace(bad, host=101)))  # host 101 is not suspected
 
 
 def test_half_of_the_hosts_may_be_ejected_but_no_more_than_three_quarters(
@@ -77,11 +77,11 @@
     """Guards against a network partition that only shows in decayed sums, seconds later."""
     bench = ready_bench(hosts=12, proxies=12)
     report_requests(bench, 3)
-    assert not probes(
+    assert not checked_hosts(
         bench.deliver(events.ProxyLeft(0))
     )  # a single disconnect is no mass disconnect
     bench.pass_time(2 * SECOND)
-    checked = probes(bench.deliver(*[events.ProxyLeft(p) for p in range(1, 8)]))
+    checked = checked_hosts(bench.deliver(*[events.ProxyLeft(p) for p in range(1, 8)]))
     assert checked == set(range(100, 112))
     near = {host for host in checked if bench.hosts[host].zone == 0}
     bench.deliver(
@@ -105,7 +105,7 @@
     report_requests(bench, 3)
     for _ in range(3):
         report_requests(bench, 1, failed=lambda host: 8 if host in far else 0)
-        checked = probes(bench.command_log[-40:])
+        checked = checked_hosts(bench.command_log[-40:])
         bench.deliver(
             *[
                 events.HealthCheckResult(host, HealthCheckOutcome.UNREACHABLE, 1000, None)
--- a/tests/support/controller_bench.py
+++ b/tests/support/controller_bench.py
@@ -23,7 +23,7 @@
 def ready_bench(hosts: int = 6, proxies: int = 4, **facts: object) -> Bench:
     bench = Bench(start_facts(**facts))
     bench.deliver(full(*[entry(100 + i, zone=i % 3, kind=i % 2) for i in range(hosts)]))
-    asked = probes(
+    asked = checked_hosts(
         bench.deliver(*[events.ProxyJoined(p, p % 3, 10.0, True) for p in range(proxies)])
     )
     bench.deliver(
@@ -64,7 +64,7 @@
         bench.pass_time(SECOND)
 
 
-def probes(out: list[commands.Command]) -> set[int]:
+def checked_hosts(out: list[commands.Command]) -> set[int]:
     return {order.host for order in out if isinstance(order, commands.CheckHealth)}
 
 
--- a/tests/warm_start/test_prior_knowledge_policy.py
+++ b/tests/warm_start/test_prior_knowledge_policy.py
@@ -3,7 +3,7 @@
 import random
 
 import pytest
-from support.controller_bench import generated_day, probes, ready_bench, report_requests
+from support.controller_bench import checked_hosts, generated_day, ready_bench, report_requests
 from support.controller_model import READY, SECOND, Bench, changes, entry, full, start_facts
 
 from plankroute.events import events
@@ -44,7 +44,7 @@
     """A controller that got list and prior knowledge, then proxies, then health check results."""
     bench = Bench(start_facts())
     bench.deliver(listed_hosts(hosts), *known)
-    checked = probes(bench.deliver(*joining_proxies(fresh)))
+    checked = checked_hosts(bench.deliver(*joining_proxies(fresh)))
     unhealthy = {host.host for host in known if host.ejected}
     bench.deliver(
         *[
@@ -63,7 +63,7 @@
     bench = started(*[prior_knowledge(100 + i, i == 3, 1.3 if i < 3 else 0.8) for i in range(10)])
     lines = bench.tables[0]
     assert 103 not in lines and lines[100] > 1.4 * lines[105]
-    assert 103 in probes(bench.command_log)
+    assert 103 in checked_hosts(bench.command_log)
     for _ in range(12):  # after recovery, successive good health checks readmit it gradually
         bench.pass_time(SECOND)
         bench.deliver(health_check(103, HealthCheckOutcome.ANSWERED))
