--- a/tests/policy/test_policy_rules.py
+++ b/tests/policy/test_policy_rules.py
@@ -3,7 +3,7 @@
 import random
 
 import pytest
-from support.controller_bench import generated_day
+from support.controller_bench import run_random_events
 from support.controller_model import (
     SECOND,
     Bench,
@@ -28,7 +28,7 @@
 def test_the_same_events_give_the_same_commands() -> None:
     logs = [Bench(start_facts(), controller=Controller(start_facts(), 5)) for _ in range(2)]
     for bench in logs:
-        generated_day(bench, random.Random(3), 60)
+        run_random_events(bench, random.Random(3), 60)
     assert logs[0].command_log == logs[1].command_log
 
 
@@ -49,7 +49,7 @@
         health_checks_allowed=rng.random() < 0.7,
         max_messages_per_window=rng.choice([0, 12]),
     )
-    generated_day(Bench(facts, speed=rng.choice([1.0, 0.4])), rng, 50)
+    run_random_events(Bench(facts, speed=rng.choice([1.0, 0.4])), rng, 50)
 
 
 def membership_events(kind: str, rng: random.Random) -> list[events.Event]:
@@ -85,6 +85,6 @@
         Bench(start_facts(controller_count=3)),
         BenchWithMembership(start_facts(controller_count=3)),
     ):
-        generated_day(bench, random.Random(seed), 40)
+        run_random_events(bench, random.Random(seed), 40)
         logs.append(bench.command_log)
     assert logs[0] == logs[1] and logs[0]
--- a/tests/support/controller_bench.py
+++ b/tests/support/controller_bench.py
@@ -100,7 +100,7 @@
     ]
 
 
-def generated_day(bench: Bench, rng: random.Random, steps: int) -> None:
+def run_random_events(bench: Bench, rng: random.Random, steps: int) -> None:
     """Hosts come, drain, go and restart; proxies join and leave; reports get lost."""
     zones = {100 + i: rng.randrange(3) for i in range(rng.randint(1, 9))}
     bench.deliver(
--- a/tests/warm_start/test_prior_knowledge_policy.py
+++ b/tests/warm_start/test_prior_knowledge_policy.py
@@ -3,7 +3,7 @@
 import random
 
 import pytest
-from support.controller_bench import checked_hosts, generated_day, ready_bench, report_requests
+from support.controller_bench import checked_hosts, ready_bench, report_requests, run_random_events
 from support.controller_model import READY, SECOND, Bench, changes, entry, full, start_facts
 
 from plankroute.events import events
@@ -173,7 +173,7 @@
             return super().deliver(*known, *batch)
 
     bench = BenchWithRandomKnowledge(start_facts(health_checks_allowed=seed % 2 == 0))
-    generated_day(bench, random.Random(seed), 40)
+    run_random_events(bench, random.Random(seed), 40)
 
 
 def test_only_own_observations_are_passed_on() -> None:
