--- a/tests/policy/test_slot_changes.py
+++ b/tests/policy/test_slot_changes.py
@@ -91,7 +91,7 @@
 
 
 def test_a_wrong_slot_is_corrected_although_lines_are_expensive() -> None:
-    bench, _ = large_bench(7, order=0.5)
+    bench, _ = large_bench(7, channel_line_penalty=0.5)
     bench.pass_time(8 * SECOND)
     before = bench.tables[0][100]
     report_requests(bench, 25, time_ms=lambda host: 2000.0 if host == 100 else 200.0)
@@ -103,7 +103,7 @@
     latency_ms: float, written: bool
 ) -> None:
     """Guards against a channel that is always busy with changes of hardly any benefit."""
-    bench, _ = large_bench(7, order=0.02)
+    bench, _ = large_bench(7, channel_line_penalty=0.02)
     bench.pass_time(8 * SECOND)
     report_requests(bench, 6, time_ms=lambda _: latency_ms)
     bench.command_log.clear()
--- a/tests/support/controller_bench.py
+++ b/tests/support/controller_bench.py
@@ -65,10 +65,10 @@
 
 
 def checked_hosts(out: list[commands.Command]) -> set[int]:
-    return {order.host for order in out if isinstance(order, commands.CheckHealth)}
+    return {command.host for command in out if isinstance(command, commands.CheckHealth)}
 
 
-def large_bench(seed: int, order: float = 0.02) -> tuple[Bench, random.Random]:
+def large_bench(seed: int, channel_line_penalty: float = 0.02) -> tuple[Bench, random.Random]:
     """All proxies on one steward, whose channel may be slow: every bind is half a hundred lines."""
     rng = random.Random(seed)
     facts = start_facts(
@@ -76,7 +76,7 @@
         backlog_cap_lines=4000,
         drain_grace_us=7 * SECOND,
         max_unbound_us=12 * SECOND,
-        penalty_rates=PenaltyRates(channel_line=order),
+        penalty_rates=PenaltyRates(channel_line=channel_line_penalty),
     )
     bench = Bench(facts, speed=rng.choice([1.0, 0.7]))
     bench.deliver(full(*[entry(100 + i, zone=i % 3) for i in range(60)]))
