--- a/tests/policy/test_host_warmup.py
+++ b/tests/policy/test_host_warmup.py
@@ -6,7 +6,7 @@
     SECOND,
     changes,
     entry,
-    product,
+    request_class_facts,
 )
 
 
@@ -83,7 +83,7 @@
 
 
 def test_a_warm_host_that_is_readmitted_keeps_its_slots_in_an_overload() -> None:
-    bench = ready_bench(hosts=4, request_classes=(product(stays_in_zone=True),))
+    bench = ready_bench(hosts=4, request_classes=(request_class_facts(stays_in_zone=True),))
     report_requests(bench, 6, failed=lambda host: 8)
     bench.controller.hosts[0].ramp.readmission_share = 0.25
     bench.deliver(changes(entry(100)))
--- a/tests/policy/test_joins_during_release.py
+++ b/tests/policy/test_joins_during_release.py
@@ -11,7 +11,7 @@
     changes,
     entry,
     full,
-    product,
+    request_class_facts,
     start_facts,
 )
 from support.fleet_model import FleetModel
@@ -26,11 +26,13 @@
 OLD_TABLE_SIZE = 100  # number of hosts in the tables that joining proxies hold
 
 
-PLAIN_CLASSES = (product(), product(), product())
+PLAIN_CLASSES = (request_class_facts(), request_class_facts(), request_class_facts())
 SITE_FACTS: dict[str, dict[str, Any]] = {
     "one table": {"request_classes": PLAIN_CLASSES},
     "with limits": {"request_classes": PLAIN_CLASSES, "admission_unit": AdmissionUnit.SHARE},
-    "two tables": {"request_classes": (product(), product(stays_in_zone=True))},
+    "two tables": {
+        "request_classes": (request_class_facts(), request_class_facts(stays_in_zone=True))
+    },
 }
 
 
--- a/tests/policy/test_policy_rules.py
+++ b/tests/policy/test_policy_rules.py
@@ -7,7 +7,7 @@
 from support.controller_model import (
     SECOND,
     Bench,
-    product,
+    request_class_facts,
     start_facts,
 )
 
@@ -37,9 +37,9 @@
     rng = random.Random(seed)
     request_classes = rng.choice(
         [
-            (product(),),
-            (product(), product(zones=(0, 1))),
-            (product(stays_in_zone=True), product(machine_types=(0,))),
+            (request_class_facts(),),
+            (request_class_facts(), request_class_facts(zones=(0, 1))),
+            (request_class_facts(stays_in_zone=True), request_class_facts(machine_types=(0,))),
         ]
     )
     facts = start_facts(
--- a/tests/policy/test_slot_changes.py
+++ b/tests/policy/test_slot_changes.py
@@ -10,7 +10,7 @@
     changes,
     entry,
     full,
-    product,
+    request_class_facts,
     start_facts,
 )
 
@@ -50,7 +50,7 @@
 
 
 def test_a_zone_left_with_ejected_and_cold_hosts_uses_the_ejected_ones() -> None:
-    bench = Bench(start_facts(request_classes=(product(stays_in_zone=True),)))
+    bench = Bench(start_facts(request_classes=(request_class_facts(stays_in_zone=True),)))
     bench.deliver(full(*[entry(100 + i) for i in range(3)]), events.ProxyJoined(0, 0, 10.0, True))
     bench.pass_time(2 * SECOND)
     bench.controller.host_table.ejected[0] = True
--- a/tests/policy/test_weight_controller.py
+++ b/tests/policy/test_weight_controller.py
@@ -7,7 +7,7 @@
     Bench,
     entry,
     full,
-    product,
+    request_class_facts,
     start_facts,
 )
 
@@ -57,7 +57,11 @@
 
 
 def test_load_from_other_controllers_is_included_in_fill() -> None:
-    bench = Bench(start_facts(request_classes=(product(), product(stays_in_zone=True))))
+    bench = Bench(
+        start_facts(
+            request_classes=(request_class_facts(), request_class_facts(stays_in_zone=True))
+        )
+    )
     bench.deliver(
         full(*[entry(100 + i, zone=i % 3) for i in range(9)]), events.ProxyJoined(0, 1, 10.0, True)
     )
@@ -95,7 +99,9 @@
 
 
 def test_hosts_open_to_fewer_request_classes_are_not_starved() -> None:
-    bench = Bench(start_facts(request_classes=(product(), product(zones=(0, 1)))))
+    bench = Bench(
+        start_facts(request_classes=(request_class_facts(), request_class_facts(zones=(0, 1))))
+    )
     bench.deliver(full(*[entry(100 + i, zone=i % 3) for i in range(6)]))
     bench.deliver(events.ProxyJoined(0, 0, 10.0, True))
     # Zone 2 gets a third of the attempts, with longer latency, and has fewer requests in flight.
--- a/tests/support/controller_model.py
+++ b/tests/support/controller_model.py
@@ -26,7 +26,7 @@
 NO_TABLE = -1
 
 
-def product(**changes: Any) -> RequestClassFacts:  # noqa: ANN401 - fields of all types
+def request_class_facts(**changes: Any) -> RequestClassFacts:  # noqa: ANN401 - fields of all types
     """A plain request class with some fields changed."""
     plain = RequestClassFacts(
         latency_objective_us=SECOND,
@@ -43,7 +43,7 @@
 def start_facts(**changes: Any) -> StartFacts:  # noqa: ANN401 - fields of all types
     """Facts of a small site with some fields changed."""
     plain = StartFacts(
-        request_classes=(product(),),
+        request_classes=(request_class_facts(),),
         zones=3,
         own_zone=0,
         controller_rank=0,
