--- a/tests/controller/test_message_builder.py
+++ b/tests/controller/test_message_builder.py
@@ -3,7 +3,7 @@
 import random
 
 import pytest
-from support.controller_model import DRAINING, entry, full
+from support.controller_model import DRAINING, entry, full_list
 
 from plankroute.controller.message_builder import MessageBuilder
 from plankroute.controller.messages import Message, TableUpdate
@@ -226,7 +226,7 @@
         if roll < 0.1 and len(drained) < 6:
             drained.append(rng.randrange(8))
             for side in sides:
-                side.message_builder.observe(full(entry(drained[-1], DRAINING)))
+                side.message_builder.observe(full_list(entry(drained[-1], DRAINING)))
         elif roll < 0.3:
             if number in side_of:
                 side_of[number].leave(number)
--- a/tests/net/test_core_runner.py
+++ b/tests/net/test_core_runner.py
@@ -4,7 +4,7 @@
 
 import orjson
 import pytest
-from support.controller_model import SECOND, entry, full, start_facts
+from support.controller_model import SECOND, entry, full_list, start_facts
 from support.endpoint_lists import directory_of, host_json, list_json
 from support.service_harness import HELLO, RunningService, run_scenario
 
@@ -29,7 +29,7 @@
             telemetry,
             min_batch_interval_us=0,
         )
-        runner.submit(full(entry(100)))
+        runner.submit(full_list(entry(100)))
         runner.flush()
         tokens = sorted(token for _, _, token in runner.timers.heap)
         assert tokens == [TimerToken.TURN, TimerToken.PUBLISHER_CHECK]
--- a/tests/policy/test_first_weights.py
+++ b/tests/policy/test_first_weights.py
@@ -11,7 +11,7 @@
     Bench,
     changes,
     entry,
-    full,
+    full_list,
     start_facts,
 )
 
@@ -24,7 +24,9 @@
     """Guards against equal weights after a restart, although attempts show the weights in use."""
     bench = Bench(start_facts(proxy_count=30, drain_grace_us=7 * SECOND))
     bench.deliver(
-        full(*[entry(100 + i, zone=i % 3, kind=i % 2) for i in range(12)], entry(200), entry(201))
+        full_list(
+            *[entry(100 + i, zone=i % 3, kind=i % 2) for i in range(12)], entry(200), entry(201)
+        )
     )
     bench.deliver(*[events.ProxyJoined(p, p % 3, 10.0, False) for p in range(30)])
     for host in (200, 201):
@@ -56,7 +58,9 @@
 ) -> None:
     """Guards against equal weights until the first statistics, seconds after the first requests."""
     bench = Bench(start_facts(health_checks_allowed=health_checks_allowed))
-    bench.deliver(full(*[entry(100 + i, kind=i % 2, weight=weight * (1 + i)) for i in range(6)]))
+    bench.deliver(
+        full_list(*[entry(100 + i, kind=i % 2, weight=weight * (1 + i)) for i in range(6)])
+    )
     checked = checked_hosts(bench.deliver(events.ProxyJoined(0, 0, 10.0, True)))
     assert checked == (bench.hosts.keys() if health_checks_allowed and not weight else set())
     # Host 100 appears to answer at once.
@@ -78,7 +82,7 @@
 
 def test_a_first_health_check_without_an_answer_does_not_delay_binds_for_long() -> None:
     bench = Bench(start_facts())
-    bench.deliver(full(*[entry(100 + i) for i in range(6)]))
+    bench.deliver(full_list(*[entry(100 + i) for i in range(6)]))
     checked = checked_hosts(bench.deliver(events.ProxyJoined(0, 0, 10.0, True)))
     bench.deliver(
         *[
@@ -95,7 +99,7 @@
 def test_a_restarted_controller_without_reports_in_time_uses_health_checks() -> None:
     """Guards against equal weights after a restart if the drain grace is too short for reports."""
     bench = Bench(start_facts(drain_grace_us=2 * SECOND))
-    bench.deliver(full(*[entry(100 + i, kind=i % 2) for i in range(6)]))
+    bench.deliver(full_list(*[entry(100 + i, kind=i % 2) for i in range(6)]))
     checked = checked_hosts(bench.deliver(events.ProxyJoined(0, 0, 10.0, False)))
     took_us = {host: 10_000 + host % 2 * 20_000 for host in checked}
     bench.deliver(
@@ -115,7 +119,7 @@
     when binds can wait no longer.
     """
     bench = Bench(start_facts())
-    bench.deliver(full(*[entry(100 + i, kind=i % 2) for i in range(20)]))
+    bench.deliver(full_list(*[entry(100 + i, kind=i % 2) for i in range(20)]))
     bench.deliver(events.ProxyJoined(0, 0, 10.0, True))
     took_us = {host: 10_000 for host in range(100, 120) if host % 2 == 0 or host < 108} | {100: 1}
     bench.deliver(
@@ -131,7 +135,7 @@
 
 def test_a_controller_with_too_few_reports_to_take_weights_over_does_not_wait_forever() -> None:
     bench = Bench(start_facts())
-    bench.deliver(full(entry(100), entry(101)), events.ProxyJoined(0, 0, 1.0, False))
+    bench.deliver(full_list(entry(100), entry(101)), events.ProxyJoined(0, 0, 1.0, False))
     bench.deliver(changes(entry(100, DRAINING)))  # withdrawn although binds wait
     assert commands.WithdrawHost(100, True) in bench.command_log
     bench.pass_time(7 * SECOND)
@@ -150,7 +154,9 @@
             start_facts(controller_count=20),
             controller=Controller(start_facts(controller_count=20), seed),
         )
-        bench.deliver(full(*[entry(host, zone=host % 3, started_us=bench.now) for host in total]))
+        bench.deliver(
+            full_list(*[entry(host, zone=host % 3, started_us=bench.now) for host in total])
+        )
         bench.deliver(*[events.ProxyJoined(p, p % 3, 10.0, True) for p in range(4)])
         bench.deliver(
             *[
--- a/tests/policy/test_flow_control.py
+++ b/tests/policy/test_flow_control.py
@@ -13,7 +13,7 @@
     Bench,
     changes,
     entry,
-    full,
+    full_list,
     start_facts,
 )
 
@@ -43,7 +43,7 @@
     """
     facts = start_facts(proxy_count=30, drain_grace_us=grace_s * SECOND)
     bench = Bench(facts)
-    bench.deliver(full(*[entry(100 + i, zone=i % 3) for i in range(12)]))
+    bench.deliver(full_list(*[entry(100 + i, zone=i % 3) for i in range(12)]))
     bench.deliver(*[events.ProxyJoined(p, p % 3, 10.0, False) for p in range(30)])
     bench.pass_time(SECOND // 2)
     assert not bench.bound  # first weights are not decided yet
@@ -58,7 +58,7 @@
             one_way_delay_us=0, max_one_way_delay_us=0, drain_grace_us=3 * SECOND, proxy_count=9
         )
     )
-    bench.deliver(full(*[entry(100 + i, zone=i % 3) for i in range(500)]))
+    bench.deliver(full_list(*[entry(100 + i, zone=i % 3) for i in range(500)]))
     bench.deliver(*[events.ProxyJoined(p, p % 3, 10.0, True) for p in range(9)])
     bench.pass_time(8 * SECOND)
     assert len(bench.bound) == 9 and bench.peak_queued_lines <= 2 * 520
@@ -103,7 +103,7 @@
         health_checks_allowed=False,
     )
     bench = Bench(facts, controller=Controller(facts, 3))
-    bench.deliver(full(*[entry(100 + n, zone=n % 3) for n in range(60)]))
+    bench.deliver(full_list(*[entry(100 + n, zone=n % 3) for n in range(60)]))
     bench.deliver(*[events.ProxyJoined(p, p % 3, 10.0 / (1 + p), True) for p in range(40)])
     drained = []
     for turn in range(14):
@@ -134,7 +134,7 @@
         max_unbound_us=60 * SECOND,
     )
     bench = Bench(facts)
-    bench.deliver(full(*[entry(100 + i, zone=i % 3) for i in range(60)]))
+    bench.deliver(full_list(*[entry(100 + i, zone=i % 3) for i in range(60)]))
     bench.deliver(*[events.ProxyJoined(p, p % 3, 5.0, True) for p in range(100)])
     bench.pass_time(8 * SECOND)
     publisher = bench.controller.publisher
--- a/tests/policy/test_host_drains.py
+++ b/tests/policy/test_host_drains.py
@@ -9,7 +9,7 @@
     Bench,
     changes,
     entry,
-    full,
+    full_list,
     start_facts,
 )
 
@@ -97,7 +97,7 @@
     older, newer = range(150, 180), range(100, 120)
     facts = drain_facts(drain_grace_s=14)
     bench = Bench(facts, controller=Controller(facts, 3))
-    bench.deliver(full(*[entry(100 + n, zone=n % 3) for n in range(120)]))
+    bench.deliver(full_list(*[entry(100 + n, zone=n % 3) for n in range(120)]))
     drain(bench, older)
     bench.pass_time(2 * SECOND)
     drain(bench, newer)
@@ -128,7 +128,7 @@
     """
     facts = drain_facts()
     bench = Bench(facts, controller=Controller(facts, 3))
-    bench.deliver(full(*[entry(100 + n, zone=n % 3) for n in range(120)]))
+    bench.deliver(full_list(*[entry(100 + n, zone=n % 3) for n in range(120)]))
     bench.deliver(*[events.ProxyJoined(p, p % 3, 10.0, True) for p in range(4)])
     bench.pass_time(5 * SECOND)
     drain(bench, older)
@@ -154,7 +154,7 @@
         health_checks_allowed=False,
     )
     bench = Bench(facts, controller=Controller(facts, 3))
-    bench.deliver(full(*[entry(100 + n, zone=n % 3) for n in range(60)]))
+    bench.deliver(full_list(*[entry(100 + n, zone=n % 3) for n in range(60)]))
     zone = range(100, 160, 3)
     bench.deliver(changes(*[entry(host, GONE) for host in zone]))
     publisher = bench.controller.publisher
--- a/tests/policy/test_interim_tables.py
+++ b/tests/policy/test_interim_tables.py
@@ -8,7 +8,7 @@
     Bench,
     changes,
     entry,
-    full,
+    full_list,
     start_facts,
 )
 
@@ -37,7 +37,7 @@
             }
         )
     )
-    bench.deliver(full(*[entry(host, zone=host % 3) for host in HOSTS]))
+    bench.deliver(full_list(*[entry(host, zone=host % 3) for host in HOSTS]))
     bench.deliver(*[events.ProxyJoined(proxy, proxy % 3, 10.0, True) for proxy in range(4)])
     bench.pass_time(5 * SECOND)
     bench.deliver(changes(*[entry(host, DRAINING, host % 3) for host in HOSTS[:50]]))
--- a/tests/policy/test_joins_during_release.py
+++ b/tests/policy/test_joins_during_release.py
@@ -10,7 +10,7 @@
     SECOND,
     changes,
     entry,
-    full,
+    full_list,
     request_class_facts,
     start_facts,
 )
@@ -102,7 +102,7 @@
     """Guards against drained hosts in old tables while withdrawals and binds delay each other."""
     rng = random.Random(seed)
     fleet = build_fleet(site, pace, seed)
-    fleet.deliver(full(*[host_entry(host) for host in range(HOSTS)]))
+    fleet.deliver(full_list(*[host_entry(host) for host in range(HOSTS)]))
     own = range(PROXIES // CONTROLLERS)
     fleet.join(own, range(HOSTS))
     fleet.pass_time(int(8 * SECOND / pace))
--- a/tests/policy/test_slot_changes.py
+++ b/tests/policy/test_slot_changes.py
@@ -9,7 +9,7 @@
     Bench,
     changes,
     entry,
-    full,
+    full_list,
     request_class_facts,
     start_facts,
 )
@@ -51,7 +51,9 @@
 
 def test_a_zone_left_with_ejected_and_cold_hosts_uses_the_ejected_ones() -> None:
     bench = Bench(start_facts(request_classes=(request_class_facts(stays_in_zone=True),)))
-    bench.deliver(full(*[entry(100 + i) for i in range(3)]), events.ProxyJoined(0, 0, 10.0, True))
+    bench.deliver(
+        full_list(*[entry(100 + i) for i in range(3)]), events.ProxyJoined(0, 0, 10.0, True)
+    )
     bench.pass_time(2 * SECOND)
     bench.controller.host_table.ejected[0] = True
     bench.deliver(changes(entry(101, DRAINING), entry(102, GONE), entry(103, started_us=bench.now)))
@@ -65,7 +67,7 @@
 def test_no_tables_are_written_for_sliced_keys_but_hosts_are_withdrawn() -> None:
     bench = Bench(start_facts(slices=4, slices_exclusive=True))
     bench.deliver(
-        full(entry(1), entry(2)),
+        full_list(entry(1), entry(2)),
         events.ProxyJoined(0, 0, 1.0, True),
         events.SliceAssignment(0, True),
     )
--- a/tests/policy/test_subsetting.py
+++ b/tests/policy/test_subsetting.py
@@ -10,7 +10,7 @@
     Bench,
     changes,
     entry,
-    full,
+    full_list,
     start_facts,
 )
 
@@ -33,7 +33,7 @@
             health_checks_allowed=False,
         )
         bench = Bench(facts, controller=Controller(facts, rank))
-        bench.deliver(full(*[entry(100 + i, zone=i % 3, kind=i % 2) for i in range(hosts)]))
+        bench.deliver(full_list(*[entry(100 + i, zone=i % 3, kind=i % 2) for i in range(hosts)]))
         bench.deliver(*[events.ProxyJoined(p, p % 3, 10.0, True) for p in range(joined)])
         bench.pass_time(SECOND)
         benches.append(bench)
@@ -87,7 +87,7 @@
     for grace_s in (12, 3):
         facts = replace(shared_facts, drain_grace_us=grace_s * SECOND)
         bench = Bench(facts, controller=Controller(facts, 1))
-        bench.deliver(full(*[entry(100 + n, zone=n % 3) for n in range(200)]))
+        bench.deliver(full_list(*[entry(100 + n, zone=n % 3) for n in range(200)]))
         bench.deliver(*[events.ProxyJoined(p, p % 3, 10.0, True) for p in range(60)])
         bench.pass_time(4 * SECOND)
         sizes[grace_s] = len(bench.tables[0])
@@ -112,7 +112,7 @@
                 max_unbound_us=60 * SECOND,
             )
             bench = Bench(facts, controller=Controller(facts, rank))
-            bench.deliver(full(*[entry(100 + n, zone=n % 3) for n in range(200)]))
+            bench.deliver(full_list(*[entry(100 + n, zone=n % 3) for n in range(200)]))
             bench.deliver(*[events.ProxyJoined(p, p % 3, 10.0, True) for p in range(4)])
             bench.pass_time(SECOND)
             held += bench.tables[0]
@@ -150,7 +150,9 @@
     bench = Bench(facts, controller=Controller(facts, 1))
     started_us = bench.now - SECOND
     bench.deliver(
-        full(*[entry(100 + n, zone=n % 3, started_us=started_us * (n % 2)) for n in range(200)])
+        full_list(
+            *[entry(100 + n, zone=n % 3, started_us=started_us * (n % 2)) for n in range(200)]
+        )
     )
     bench.deliver(*[events.ProxyJoined(p, p % 3, 10.0, True) for p in range(60)])
     bench.pass_time(SECOND)
--- a/tests/policy/test_weight_controller.py
+++ b/tests/policy/test_weight_controller.py
@@ -6,7 +6,7 @@
     SECOND,
     Bench,
     entry,
-    full,
+    full_list,
     request_class_facts,
     start_facts,
 )
@@ -63,7 +63,8 @@
         )
     )
     bench.deliver(
-        full(*[entry(100 + i, zone=i % 3) for i in range(9)]), events.ProxyJoined(0, 1, 10.0, True)
+        full_list(*[entry(100 + i, zone=i % 3) for i in range(9)]),
+        events.ProxyJoined(0, 1, 10.0, True),
     )
     # This controller's proxy brings few requests to zone 0, whose hosts have three times as many
     # requests in flight as the others.
@@ -102,7 +103,7 @@
     bench = Bench(
         start_facts(request_classes=(request_class_facts(), request_class_facts(zones=(0, 1))))
     )
-    bench.deliver(full(*[entry(100 + i, zone=i % 3) for i in range(6)]))
+    bench.deliver(full_list(*[entry(100 + i, zone=i % 3) for i in range(6)]))
     bench.deliver(events.ProxyJoined(0, 0, 10.0, True))
     # Zone 2 gets a third of the attempts, with longer latency, and has fewer requests in flight.
     for _ in range(10):
--- a/tests/support/controller_bench.py
+++ b/tests/support/controller_bench.py
@@ -15,14 +15,14 @@
     Bench,
     changes,
     entry,
-    full,
+    full_list,
     start_facts,
 )
 
 
 def ready_bench(hosts: int = 6, proxies: int = 4, **facts: object) -> Bench:
     bench = Bench(start_facts(**facts))
-    bench.deliver(full(*[entry(100 + i, zone=i % 3, kind=i % 2) for i in range(hosts)]))
+    bench.deliver(full_list(*[entry(100 + i, zone=i % 3, kind=i % 2) for i in range(hosts)]))
     asked = checked_hosts(
         bench.deliver(*[events.ProxyJoined(p, p % 3, 10.0, True) for p in range(proxies)])
     )
@@ -79,7 +79,7 @@
         penalty_rates=PenaltyRates(channel_line=channel_line_penalty),
     )
     bench = Bench(facts, speed=rng.choice([1.0, 0.7]))
-    bench.deliver(full(*[entry(100 + i, zone=i % 3) for i in range(60)]))
+    bench.deliver(full_list(*[entry(100 + i, zone=i % 3) for i in range(60)]))
     bench.deliver(*[events.ProxyJoined(p, p % 3, rng.uniform(1, 9), True) for p in range(100)])
     return bench, rng
 
@@ -131,7 +131,7 @@
                 )
             case 5:
                 kept = rng.sample(list(zones), rng.randrange(len(zones) + 1))
-                bench.deliver(full(*[entry(h, READY, zones[h]) for h in kept]))
+                bench.deliver(full_list(*[entry(h, READY, zones[h]) for h in kept]))
             case 6:
                 bench.deliver(*odd_notes(rng))
             case _:
--- a/tests/support/controller_model.py
+++ b/tests/support/controller_model.py
@@ -92,7 +92,7 @@
     return events.HostEntry(host, state, zone, kind, 0, weight, started_us)
 
 
-def full(*entries: events.HostEntry) -> events.HostList:
+def full_list(*entries: events.HostEntry) -> events.HostList:
     """A whole host list."""
     return events.HostList(ListKind.FULL, entries)
 
--- a/tests/warm_start/test_prior_knowledge_policy.py
+++ b/tests/warm_start/test_prior_knowledge_policy.py
@@ -4,7 +4,7 @@
 
 import pytest
 from support.controller_bench import checked_hosts, ready_bench, report_requests, run_random_events
-from support.controller_model import READY, SECOND, Bench, changes, entry, full, start_facts
+from support.controller_model import READY, SECOND, Bench, changes, entry, full_list, start_facts
 
 from plankroute.events import events
 from plankroute.events.commands import Command
@@ -29,7 +29,7 @@
 
 def listed_hosts(count: int = 10) -> events.HostList:
     """Hosts 100, 101, ... over three zones."""
-    return full(*[entry(100 + place, zone=place % 3) for place in range(count)])
+    return full_list(*[entry(100 + place, zone=place % 3) for place in range(count)])
 
 
 def health_check(host: int, outcome: HealthCheckOutcome) -> events.HealthCheckResult:
