--- a/tests/policy/test_first_weights.py
+++ b/tests/policy/test_first_weights.py
@@ -9,9 +9,9 @@
     DRAINING,
     SECOND,
     Bench,
-    changes,
     entry,
     full_list,
+    host_changes,
     start_facts,
 )
 
@@ -40,7 +40,7 @@
         bench.pass_time(SECOND // 2)
         # As if the channel were busy with withdrawals.
         bench.controller.publisher.flow.round_trip_lines = 100.0
-        bench.deliver(changes(entry(host, DRAINING)))
+        bench.deliver(host_changes(entry(host, DRAINING)))
         bench.channel_lines_per_s = 0.0
         bench.pass_time(SECOND // 2)
     # The first binds include the weights.
@@ -136,7 +136,7 @@
 def test_a_controller_with_too_few_reports_to_take_weights_over_does_not_wait_forever() -> None:
     bench = Bench(start_facts())
     bench.deliver(full_list(entry(100), entry(101)), events.ProxyJoined(0, 0, 1.0, False))
-    bench.deliver(changes(entry(100, DRAINING)))  # withdrawn although binds wait
+    bench.deliver(host_changes(entry(100, DRAINING)))  # withdrawn although binds wait
     assert commands.WithdrawHost(100, True) in bench.command_log
     bench.pass_time(7 * SECOND)
     assert bench.bound and bench.tables[0][101] > 0
--- a/tests/policy/test_flow_control.py
+++ b/tests/policy/test_flow_control.py
@@ -11,9 +11,9 @@
     READY,
     SECOND,
     Bench,
-    changes,
     entry,
     full_list,
+    host_changes,
     start_facts,
 )
 
@@ -29,7 +29,7 @@
         bench, 20, time_ms=lambda host: random.Random(host + bench.now).uniform(50, 900)
     )
     assert bench.peak_queued_lines <= 400
-    assert commands.SetRoute(0, 100, 0.0) in bench.deliver(changes(entry(100, DRAINING)))
+    assert commands.SetRoute(0, 100, 0.0) in bench.deliver(host_changes(entry(100, DRAINING)))
 
 
 @pytest.mark.parametrize("grace_s", [2, 4, 30])
@@ -72,11 +72,11 @@
         match rng.randrange(3):
             case 0:
                 bench.deliver(
-                    changes(*[entry(host + i, GONE, (host + i - 100) % 3) for i in range(10)])
+                    host_changes(*[entry(host + i, GONE, (host + i - 100) % 3) for i in range(10)])
                 )
             case 1:
                 bench.deliver(
-                    changes(
+                    host_changes(
                         *[
                             entry(host + i, READY, (host + i - 100) % 3, started_us=bench.now)
                             for i in range(10)
@@ -110,7 +110,7 @@
         if turn in (2, 4):
             drained += range(100 + 9 * (turn // 2 - 1), 109 + 9 * (turn // 2 - 1))
             bench.deliver(
-                changes(*[entry(host, DRAINING, zone=(host - 100) % 3) for host in drained])
+                host_changes(*[entry(host, DRAINING, zone=(host - 100) % 3) for host in drained])
             )
         bench.deliver(
             *[
--- a/tests/policy/test_host_drains.py
+++ b/tests/policy/test_host_drains.py
@@ -7,9 +7,9 @@
     GONE,
     SECOND,
     Bench,
-    changes,
     entry,
     full_list,
+    host_changes,
     start_facts,
 )
 
@@ -24,7 +24,7 @@
     bench, _ = large_bench(3)
     bench.channel_lines_per_s = bench.facts.channel_lines_per_s
     bench.pass_time(8 * SECOND)
-    bench.deliver(changes(*[entry(100 + i, GONE, i % 3) for i in range(12)]))
+    bench.deliver(host_changes(*[entry(100 + i, GONE, i % 3) for i in range(12)]))
     bench.pass_time(4 * SECOND)
     for proxy in range(20):
         bench.command_log.clear()
@@ -39,7 +39,7 @@
     bench, _ = large_bench(3)
     bench.pass_time(8 * SECOND)
     removed = range(100, 112)
-    bench.deliver(changes(*[entry(host, GONE, (host - 100) % 3) for host in removed]))
+    bench.deliver(host_changes(*[entry(host, GONE, (host - 100) % 3) for host in removed]))
     bench.pass_time(4 * SECOND)
     bench.controller.publisher.flow.grace_slack_us = 2 * SECOND  # binding all proxies takes 3 s
     bench.deliver(
@@ -57,7 +57,7 @@
 ) -> None:
     monkeypatch.setattr(Drains, "withdraw", lambda self, host, room: 0)
     bench = ready_bench()
-    bench.deliver(changes(entry(100, DRAINING)))
+    bench.deliver(host_changes(entry(100, DRAINING)))
     with pytest.raises(AssertionError, match="drained"):
         bench.pass_time(2 * SECOND)
 
@@ -74,7 +74,7 @@
 
 
 def drain(bench: Bench, hosts: range) -> None:
-    bench.deliver(changes(*[entry(host, DRAINING, zone=(host - 100) % 3) for host in hosts]))
+    bench.deliver(host_changes(*[entry(host, DRAINING, zone=(host - 100) % 3) for host in hosts]))
 
 
 def join_from_other_controller(bench: Bench) -> None:
@@ -156,12 +156,12 @@
     bench = Bench(facts, controller=Controller(facts, 3))
     bench.deliver(full_list(*[entry(100 + n, zone=n % 3) for n in range(60)]))
     zone = range(100, 160, 3)
-    bench.deliver(changes(*[entry(host, GONE) for host in zone]))
+    bench.deliver(host_changes(*[entry(host, GONE) for host in zone]))
     publisher = bench.controller.publisher
     # The proxies wait for the first weights and are notified of withdrawals meanwhile.
     bench.deliver(*[events.ProxyJoined(p, p % 3, 10.0, False) for p in range(100)])
     bench.pass_time(3 * SECOND)
     assert publisher.unbound and publisher.withdrawn
-    bench.deliver(changes(*[entry(host) for host in zone]))
+    bench.deliver(host_changes(*[entry(host) for host in zone]))
     bench.pass_time(12 * SECOND)  # the bench fails if the queue exceeds the backlog cap
     assert not publisher.withdrawn
--- a/tests/policy/test_host_warmup.py
+++ b/tests/policy/test_host_warmup.py
@@ -4,8 +4,8 @@
 from support.controller_model import (
     GONE,
     SECOND,
-    changes,
     entry,
+    host_changes,
     request_class_facts,
 )
 
@@ -13,7 +13,7 @@
 def test_a_cold_host_starts_low_and_falls_while_all_hosts_are_overloaded() -> None:
     bench = ready_bench()
     report_requests(bench, 3)
-    bench.deliver(changes(entry(200, started_us=bench.now)))
+    bench.deliver(host_changes(entry(200, started_us=bench.now)))
     bench.pass_time(SECOND)
     usual = bench.tables[0][101]
     assert bench.tables[0][200] <= 0.3 * usual
@@ -33,7 +33,7 @@
         slots_before = bench.tables[0][101]
         for index in (1, 3):
             bench.controller.host_table.ejected[index] = machine_type == 1
-        bench.deliver(changes(entry(200, kind=machine_type, started_us=bench.now)))
+        bench.deliver(host_changes(entry(200, kind=machine_type, started_us=bench.now)))
         bench.pass_time(SECOND)
         assert bench.tables[0][200] <= slots_before
 
@@ -41,8 +41,8 @@
 def test_a_few_cold_hosts_do_not_replace_all_warm_hosts() -> None:
     bench = ready_bench(hosts=12)
     report_requests(bench, 3)
-    bench.deliver(changes(entry(200, started_us=bench.now), entry(201, started_us=bench.now)))
-    bench.deliver(changes(*[entry(100 + i, GONE, zone=i % 3, kind=i % 2) for i in range(12)]))
+    bench.deliver(host_changes(entry(200, started_us=bench.now), entry(201, started_us=bench.now)))
+    bench.deliver(host_changes(*[entry(100 + i, GONE, zone=i % 3, kind=i % 2) for i in range(12)]))
     bench.pass_time(2 * SECOND)
     assert not bench.usable_weights(0, 0)
     bench.pass_time(15 * SECOND)
@@ -55,7 +55,9 @@
         report_requests(bench, 6, failed=lambda host: 6)
         started_us = bench.now - 9 * SECOND
         bench.deliver(
-            changes(*[entry(200 + i, zone=i % 3, started_us=started_us) for i in range(cold_count)])
+            host_changes(
+                *[entry(200 + i, zone=i % 3, started_us=started_us) for i in range(cold_count)]
+            )
         )
         bench.pass_time(SECOND)
         assert (200 in bench.tables[0]) == has_slots
@@ -64,7 +66,7 @@
 def test_a_cold_host_keeps_its_slots_in_an_overload_with_few_attempts_per_proxy() -> None:
     bench = ready_bench(proxies=60)
     report_requests(bench, 3)
-    bench.deliver(changes(entry(200, started_us=bench.now)))
+    bench.deliver(host_changes(entry(200, started_us=bench.now)))
     report_requests(bench, 6, time_ms=lambda host: 1500.0, failed=lambda host: 3)
     assert 0 < bench.tables[0][200] < bench.tables[0][101] / 2
     report_requests(
@@ -75,9 +77,9 @@
 
 def test_a_host_that_restarts_in_place_is_cold_again() -> None:
     bench = ready_bench()
-    bench.deliver(changes(entry(100, GONE)))
+    bench.deliver(host_changes(entry(100, GONE)))
     assert 100 not in bench.tables[0]
-    bench.deliver(changes(entry(100, started_us=bench.now - SECOND)))
+    bench.deliver(host_changes(entry(100, started_us=bench.now - SECOND)))
     bench.pass_time(2 * SECOND)
     assert bench.tables[0][100] < bench.tables[0][101] / 2
 
@@ -86,7 +88,7 @@
     bench = ready_bench(hosts=4, request_classes=(request_class_facts(stays_in_zone=True),))
     report_requests(bench, 6, failed=lambda host: 8)
     bench.controller.hosts[0].ramp.readmission_share = 0.25
-    bench.deliver(changes(entry(100)))
-    bench.deliver(changes(entry(103, GONE)))
+    bench.deliver(host_changes(entry(100)))
+    bench.deliver(host_changes(entry(103, GONE)))
     bench.pass_time(SECOND)
     assert set(bench.usable_weights(0, 0)) == {100}
--- a/tests/policy/test_interim_tables.py
+++ b/tests/policy/test_interim_tables.py
@@ -6,9 +6,9 @@
     DRAINING,
     SECOND,
     Bench,
-    changes,
     entry,
     full_list,
+    host_changes,
     start_facts,
 )
 
@@ -40,7 +40,7 @@
     bench.deliver(full_list(*[entry(host, zone=host % 3) for host in HOSTS]))
     bench.deliver(*[events.ProxyJoined(proxy, proxy % 3, 10.0, True) for proxy in range(4)])
     bench.pass_time(5 * SECOND)
-    bench.deliver(changes(*[entry(host, DRAINING, host % 3) for host in HOSTS[:50]]))
+    bench.deliver(host_changes(*[entry(host, DRAINING, host % 3) for host in HOSTS[:50]]))
     bench.pass_time(SECOND)
     bench.deliver(
         *[events.ProxyJoined(proxy, proxy % 3, 5.0 + proxy % 4, False) for proxy in JOINING_PROXIES]
@@ -72,7 +72,9 @@
     publisher = bench.controller.publisher
     drained = min(hosts_in(bench, used_tables(publisher)[0]))
     bench.deliver(
-        changes(entry(drained, DRAINING, drained % 3), entry(999, zone=0, started_us=bench.now))
+        host_changes(
+            entry(drained, DRAINING, drained % 3), entry(999, zone=0, started_us=bench.now)
+        )
     )
     bench.pass_time(2 * SECOND)
     holders = [table for table in used_tables(publisher) if 999 in hosts_in(bench, table)]
@@ -86,7 +88,7 @@
     bench = bench_on_interim_tables()
     table = used_tables(bench.controller.publisher)[0]
     drained = hosts_in(bench, table)
-    bench.deliver(changes(*[entry(host, DRAINING, host % 3) for host in drained]))
+    bench.deliver(host_changes(*[entry(host, DRAINING, host % 3) for host in drained]))
     bench.pass_time(SECOND)
     assert len(hosts_in(bench, table) - drained) >= len(drained) // 2
 
@@ -106,7 +108,7 @@
     bench = bench_on_interim_tables()
     table = used_tables(bench.controller.publisher)[0]
     host = min(hosts_in(bench, table))
-    bench.deliver(changes(entry(host, zone=host % 3, started_us=bench.now)))
+    bench.deliver(host_changes(entry(host, zone=host % 3, started_us=bench.now)))
     bench.pass_time(SECOND // 2)
     usual = max(bench.tables[table.number].values())
     assert bench.tables[table.number].get(host, 0.0) <= usual / 2
@@ -171,7 +173,9 @@
     bench = bench_on_interim_tables()
     tables = bench.controller.publisher.interim_binder.tables
     table = used_tables(bench.controller.publisher)[0]
-    bench.deliver(changes(*[entry(900 + n, zone=n % 3, started_us=bench.now) for n in range(20)]))
+    bench.deliver(
+        host_changes(*[entry(900 + n, zone=n % 3, started_us=bench.now) for n in range(20)])
+    )
     bench.pass_time(2 * SECOND)
     slots = dict.fromkeys(table.published, 10)
     cold = {host for host in table.published if tables._is_cold(host)}
--- a/tests/policy/test_joins_during_release.py
+++ b/tests/policy/test_joins_during_release.py
@@ -8,9 +8,9 @@
     DRAINING,
     GONE,
     SECOND,
-    changes,
     entry,
     full_list,
+    host_changes,
     request_class_facts,
     start_facts,
 )
@@ -81,7 +81,7 @@
         self.next_new += BATCH
         started_us = self.fleet.now
         self.fleet.deliver(
-            changes(*drained, *removed, *[host_entry(host, started_us) for host in new])
+            host_changes(*drained, *removed, *[host_entry(host, started_us) for host in new])
         )
 
 
--- a/tests/policy/test_slot_changes.py
+++ b/tests/policy/test_slot_changes.py
@@ -7,9 +7,9 @@
     GONE,
     SECOND,
     Bench,
-    changes,
     entry,
     full_list,
+    host_changes,
     request_class_facts,
     start_facts,
 )
@@ -40,7 +40,7 @@
     try:
         bench.pass_time(SECOND // 2)
         calls_before = len(calls)
-        bench.deliver(changes(entry(100, DRAINING, zone=0, kind=0)))
+        bench.deliver(host_changes(entry(100, DRAINING, zone=0, kind=0)))
         assert calls_before == 0 < len(calls) and 100 not in bench.tables[0]
         assert publisher.target.current() == [
             original(publisher.tables[0], bench.controller.host_table, publisher.withdrawn)
@@ -56,11 +56,13 @@
     )
     bench.pass_time(2 * SECOND)
     bench.controller.host_table.ejected[0] = True
-    bench.deliver(changes(entry(101, DRAINING), entry(102, GONE), entry(103, started_us=bench.now)))
+    bench.deliver(
+        host_changes(entry(101, DRAINING), entry(102, GONE), entry(103, started_us=bench.now))
+    )
     bench.pass_time(SECOND // 2)
     assert 100 in bench.usable_weights(0, 0)
     bench.deliver(
-        changes(entry(100, GONE), entry(103, GONE))
+        host_changes(entry(100, GONE), entry(103, GONE))
     )  # no host is left, which must not fail
 
 
@@ -71,7 +73,7 @@
         events.ProxyJoined(0, 0, 1.0, True),
         events.SliceAssignment(0, True),
     )
-    bench.deliver(changes(entry(1, DRAINING)))
+    bench.deliver(host_changes(entry(1, DRAINING)))
     assert not bench.tables and not bench.bound and bench.withdrawn == {1}
 
 
--- a/tests/policy/test_subsetting.py
+++ b/tests/policy/test_subsetting.py
@@ -8,9 +8,9 @@
     GONE,
     SECOND,
     Bench,
-    changes,
     entry,
     full_list,
+    host_changes,
     start_facts,
 )
 
@@ -48,7 +48,7 @@
     assert all({host % 3 for host in hosts} == {0, 1, 2} for hosts in held)
     bench = benches[0]
     before, hosts = set(bench.tables[0]), sorted(bench.tables[0])
-    bench.deliver(changes(entry(hosts[0], GONE, zone=(hosts[0] - 100) % 3)))
+    bench.deliver(host_changes(entry(hosts[0], GONE, zone=(hosts[0] - 100) % 3)))
     bench.pass_time(2 * SECOND)
     after = set(bench.tables[0])
     # Only the ends of the arc have moved.
--- a/tests/support/controller_bench.py
+++ b/tests/support/controller_bench.py
@@ -13,9 +13,9 @@
     READY,
     SECOND,
     Bench,
-    changes,
     entry,
     full_list,
+    host_changes,
     start_facts,
 )
 
@@ -110,13 +110,13 @@
         host, proxy = rng.choice(list(zones)), rng.randrange(bench.facts.proxy_count)
         match rng.randrange(9):
             case 0:
-                bench.deliver(changes(entry(host, rng.choice([DRAINING, GONE]), zones[host])))
+                bench.deliver(host_changes(entry(host, rng.choice([DRAINING, GONE]), zones[host])))
             case 1:
-                bench.deliver(changes(entry(host, READY, zones[host], started_us=bench.now)))
+                bench.deliver(host_changes(entry(host, READY, zones[host], started_us=bench.now)))
             case 2:
                 zones.setdefault(host + 10, rng.randrange(3))
                 bench.deliver(
-                    changes(entry(host + 10, READY, zones[host + 10], started_us=bench.now))
+                    host_changes(entry(host + 10, READY, zones[host + 10], started_us=bench.now))
                 )
             case 3:
                 bench.deliver(
--- a/tests/support/controller_model.py
+++ b/tests/support/controller_model.py
@@ -97,7 +97,7 @@
     return events.HostList(ListKind.FULL, entries)
 
 
-def changes(*entries: events.HostEntry) -> events.HostList:
+def host_changes(*entries: events.HostEntry) -> events.HostList:
     """Changes of a host list."""
     return events.HostList(ListKind.CHANGES, entries)
 
--- a/tests/warm_start/test_prior_knowledge_policy.py
+++ b/tests/warm_start/test_prior_knowledge_policy.py
@@ -4,7 +4,15 @@
 
 import pytest
 from support.controller_bench import checked_hosts, ready_bench, report_requests, run_random_events
-from support.controller_model import READY, SECOND, Bench, changes, entry, full_list, start_facts
+from support.controller_model import (
+    READY,
+    SECOND,
+    Bench,
+    entry,
+    full_list,
+    host_changes,
+    start_facts,
+)
 
 from plankroute.events import events
 from plankroute.events.commands import Command
@@ -141,7 +149,7 @@
 
 def test_a_restart_of_a_host_discards_its_prior_knowledge() -> None:
     bench = started(prior_knowledge(103, True))
-    bench.deliver(changes(entry(103, READY, zone=0, started_us=bench.now)))
+    bench.deliver(host_changes(entry(103, READY, zone=0, started_us=bench.now)))
     host_table = bench.controller.host_table
     assert not host_table.ejected[host_table.index_of[103]]
     assert not bench.controller.policy.prior.weights
