--- a/tests/policy/test_first_weights.py
+++ b/tests/policy/test_first_weights.py
@@ -25,7 +25,9 @@
     bench = Bench(start_facts(proxy_count=30, drain_grace_us=7 * SECOND))
     bench.deliver(
         full_list(
-            *[entry(100 + i, zone=i % 3, kind=i % 2) for i in range(12)], entry(200), entry(201)
+            *[entry(100 + i, zone=i % 3, machine_type=i % 2) for i in range(12)],
+            entry(200),
+            entry(201),
         )
     )
     bench.deliver(*[events.ProxyJoined(p, p % 3, 10.0, False) for p in range(30)])
@@ -59,7 +61,7 @@
     """Guards against equal weights until the first statistics, seconds after the first requests."""
     bench = Bench(start_facts(health_checks_allowed=health_checks_allowed))
     bench.deliver(
-        full_list(*[entry(100 + i, kind=i % 2, weight=weight * (1 + i)) for i in range(6)])
+        full_list(*[entry(100 + i, machine_type=i % 2, weight=weight * (1 + i)) for i in range(6)])
     )
     checked = checked_hosts(bench.deliver(events.ProxyJoined(0, 0, 10.0, True)))
     assert checked == (bench.hosts.keys() if health_checks_allowed and not weight else set())
@@ -99,7 +101,7 @@
 def test_a_restarted_controller_without_reports_in_time_uses_health_checks() -> None:
     """Guards against equal weights after a restart if the drain grace is too short for reports."""
     bench = Bench(start_facts(drain_grace_us=2 * SECOND))
-    bench.deliver(full_list(*[entry(100 + i, kind=i % 2) for i in range(6)]))
+    bench.deliver(full_list(*[entry(100 + i, machine_type=i % 2) for i in range(6)]))
     checked = checked_hosts(bench.deliver(events.ProxyJoined(0, 0, 10.0, False)))
     took_us = {host: 10_000 + host % 2 * 20_000 for host in checked}
     bench.deliver(
@@ -119,7 +121,7 @@
     when binds can wait no longer.
     """
     bench = Bench(start_facts())
-    bench.deliver(full_list(*[entry(100 + i, kind=i % 2) for i in range(20)]))
+    bench.deliver(full_list(*[entry(100 + i, machine_type=i % 2) for i in range(20)]))
     bench.deliver(events.ProxyJoined(0, 0, 10.0, True))
     took_us = {host: 10_000 for host in range(100, 120) if host % 2 == 0 or host < 108} | {100: 1}
     bench.deliver(
--- a/tests/policy/test_host_warmup.py
+++ b/tests/policy/test_host_warmup.py
@@ -33,7 +33,7 @@
         slots_before = bench.tables[0][101]
         for index in (1, 3):
             bench.controller.host_table.ejected[index] = machine_type == 1
-        bench.deliver(host_changes(entry(200, kind=machine_type, started_us=bench.now)))
+        bench.deliver(host_changes(entry(200, machine_type=machine_type, started_us=bench.now)))
         bench.pass_time(SECOND)
         assert bench.tables[0][200] <= slots_before
 
@@ -42,7 +42,9 @@
     bench = ready_bench(hosts=12)
     report_requests(bench, 3)
     bench.deliver(host_changes(entry(200, started_us=bench.now), entry(201, started_us=bench.now)))
-    bench.deliver(host_changes(*[entry(100 + i, GONE, zone=i % 3, kind=i % 2) for i in range(12)]))
+    bench.deliver(
+        host_changes(*[entry(100 + i, GONE, zone=i % 3, machine_type=i % 2) for i in range(12)])
+    )
     bench.pass_time(2 * SECOND)
     assert not bench.usable_weights(0, 0)
     bench.pass_time(15 * SECOND)
--- a/tests/policy/test_slot_changes.py
+++ b/tests/policy/test_slot_changes.py
@@ -40,7 +40,7 @@
     try:
         bench.pass_time(SECOND // 2)
         calls_before = len(calls)
-        bench.deliver(host_changes(entry(100, DRAINING, zone=0, kind=0)))
+        bench.deliver(host_changes(entry(100, DRAINING, zone=0, machine_type=0)))
         assert calls_before == 0 < len(calls) and 100 not in bench.tables[0]
         assert publisher.target.current() == [
             original(publisher.tables[0], bench.controller.host_table, publisher.withdrawn)
--- a/tests/policy/test_subsetting.py
+++ b/tests/policy/test_subsetting.py
@@ -33,7 +33,9 @@
             health_checks_allowed=False,
         )
         bench = Bench(facts, controller=Controller(facts, rank))
-        bench.deliver(full_list(*[entry(100 + i, zone=i % 3, kind=i % 2) for i in range(hosts)]))
+        bench.deliver(
+            full_list(*[entry(100 + i, zone=i % 3, machine_type=i % 2) for i in range(hosts)])
+        )
         bench.deliver(*[events.ProxyJoined(p, p % 3, 10.0, True) for p in range(joined)])
         bench.pass_time(SECOND)
         benches.append(bench)
--- a/tests/support/controller_bench.py
+++ b/tests/support/controller_bench.py
@@ -22,7 +22,9 @@
 
 def ready_bench(hosts: int = 6, proxies: int = 4, **facts: object) -> Bench:
     bench = Bench(start_facts(**facts))
-    bench.deliver(full_list(*[entry(100 + i, zone=i % 3, kind=i % 2) for i in range(hosts)]))
+    bench.deliver(
+        full_list(*[entry(100 + i, zone=i % 3, machine_type=i % 2) for i in range(hosts)])
+    )
     asked = checked_hosts(
         bench.deliver(*[events.ProxyJoined(p, p % 3, 10.0, True) for p in range(proxies)])
     )
--- a/tests/support/controller_model.py
+++ b/tests/support/controller_model.py
@@ -84,12 +84,12 @@
     host: int,
     state: HostState = READY,
     zone: int = 0,
-    kind: int = 0,
+    machine_type: int = 0,
     weight: float = 1.0,
     started_us: int = 0,
 ) -> events.HostEntry:
     """An entry of a host list; `kind` is the machine type."""
-    return events.HostEntry(host, state, zone, kind, 0, weight, started_us)
+    return events.HostEntry(host, state, zone, machine_type, 0, weight, started_us)
 
 
 def full_list(*entries: events.HostEntry) -> events.HostList:
