--- a/tests/net/test_watch.py
+++ b/tests/net/test_watch.py
@@ -75,7 +75,7 @@
     async def scenario(running: RunningService, faulty: FaultyDiscovery) -> None:
         proxy = await running.connect(HELLO)
         await proxy.receive("replace=1")
-        await faulty.met.wait()
+        await faulty.request_received.wait()
         started = time.monotonic()
         faulty.send(await faulty.watches.get(), DRAINED)
         assert "s-1:0" in await proxy.receive("rows")
@@ -113,7 +113,7 @@
     monkeypatch.setenv("GW_CONFIG", str(path))
 
     async def scenario(running: RunningService, faulty: FaultyDiscovery) -> None:
-        await faulty.met.wait()
+        await faulty.request_received.wait()
         proxy = await running.connect(HELLO)
         await proxy.receive("replace=1")
         path.write_bytes(config(int(running.service.configuration.discovery.rpartition(":")[2])))
--- a/tests/support/faulty_discovery.py
+++ b/tests/support/faulty_discovery.py
@@ -25,7 +25,7 @@
     def __init__(self, fault: Callable[[asyncio.StreamWriter], Awaitable[None]]) -> None:
         super().__init__()
         self.fault, self.calls = fault, 0
-        self.met = asyncio.Event()
+        self.request_received = asyncio.Event()
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.calls += 1
@@ -33,7 +33,7 @@
             return await super().serve(reader, writer)
         with suppress(OSError, asyncio.IncompleteReadError, asyncio.CancelledError):
             await reader.readuntil(b"\r\n\r\n")
-            self.met.set()
+            self.request_received.set()
             await self.fault(writer)
             await reader.read()
 
