--- a/tests/net/test_health_checker.py
+++ b/tests/net/test_health_checker.py
@@ -7,7 +7,7 @@
 
 import pytest
 from support.controller_model import READY, start_facts
-from support.faulty_discovery import drip
+from support.faulty_discovery import send_repeatedly
 from support.service_harness import RunningService, run_scenario
 
 from plankroute.events import events
@@ -166,7 +166,7 @@
 ) -> None:
     async def act(running: RunningService, writer: asyncio.StreamWriter) -> None:
         began = time.monotonic()
-        await drip(writer, b"HTTP/1.1 200 OK\r\nContent-Length: 4000\r\n\r\n", b"x")
+        await send_repeatedly(writer, b"HTTP/1.1 200 OK\r\nContent-Length: 4000\r\n\r\n", b"x")
         limits = running.service.prober.limits
         assert time.monotonic() - began < limits.connect_timeout_s + limits.idle_timeout_s + 1.0
 
--- a/tests/support/faulty_discovery.py
+++ b/tests/support/faulty_discovery.py
@@ -38,7 +38,7 @@
             await reader.read()
 
 
-async def drip(writer: asyncio.StreamWriter, head: bytes, byte: bytes) -> None:
+async def send_repeatedly(writer: asyncio.StreamWriter, head: bytes, byte: bytes) -> None:
     """Sends the head and then the byte again and again, until the connection is closed."""
     writer.write(head)
     while not writer.transport.is_closing():
@@ -67,9 +67,13 @@
     "ends in a line": respond(HEAD + chunk(DRAINED[:30]), "fin"),
     "is reset in a line": respond(HEAD + chunk(DRAINED[:30]), "reset"),
     "is reset at once": respond(b"", "reset"),
-    "drips in a line": lambda writer: drip(writer, HEAD, chunk(b" ")),
-    "drips in the head": lambda writer: drip(writer, b"HTTP/1.1 200 OK\r\nX-Slow: ", b"x"),
-    "drips heads to come": lambda writer: drip(writer, b"", b"HTTP/1.1 100 Continue\r\n\r\n"),
+    "drips in a line": lambda writer: send_repeatedly(writer, HEAD, chunk(b" ")),
+    "drips in the head": lambda writer: send_repeatedly(
+        writer, b"HTTP/1.1 200 OK\r\nX-Slow: ", b"x"
+    ),
+    "drips heads to come": lambda writer: send_repeatedly(
+        writer, b"", b"HTTP/1.1 100 Continue\r\n\r\n"
+    ),
     "says 503": respond(b"HTTP/1.1 503 No\r\nContent-Length: 2\r\n\r\nno"),
     "says 503 and hangs": respond(b"HTTP/1.1 503 No\r\nContent-Length: 2\r\n\r\n"),
     "redirects": respond(
