--- a/tests/net/test_sessions.py
+++ b/tests/net/test_sessions.py
@@ -3,7 +3,7 @@
 import asyncio
 
 import pytest
-from support.faulty_discovery import DRAINED
+from support.faulty_discovery import DRAINING_HOST_LINE
 from support.service_harness import HELLO, Client, RunningService, run_scenario
 
 from plankroute.events import events
@@ -201,7 +201,7 @@
             else:
                 old.writer.transport.abort()
             await running.wait_until(lambda: not publisher.zone_of_proxy)
-        running.discovery.send(watch, DRAINED)
+        running.discovery.send(watch, DRAINING_HOST_LINE)
         await running.wait_until(lambda: running.counts["received.lists"] > lists_before)
         new = await running.connect(RETURNING_HELLO)
         first = await new.receive()
--- a/tests/net/test_watch.py
+++ b/tests/net/test_watch.py
@@ -8,7 +8,12 @@
 
 import orjson
 import pytest
-from support.faulty_discovery import DRAINED, FAULTS, FaultyDiscovery, run_with_faulty_discovery
+from support.faulty_discovery import (
+    DRAINING_HOST_LINE,
+    FAULTS,
+    FaultyDiscovery,
+    run_with_faulty_discovery,
+)
 from support.service_harness import HELLO, RunningService, config, listing, run_scenario
 
 from plankroute.net.discovery import watch as watch_module
@@ -59,7 +64,7 @@
         proxy = await running.connect(HELLO)
         await proxy.receive("replace=1")
         assert await faulty.targets.get() == "/catalog/members?watch=1&after=41"
-        faulty.send(await faulty.watches.get(), DRAINED)
+        faulty.send(await faulty.watches.get(), DRAINING_HOST_LINE)
         assert "s-1:0" in await proxy.receive("rows")
 
     run_with_faulty_discovery(fault, scenario, log)
@@ -77,7 +82,7 @@
         await proxy.receive("replace=1")
         await faulty.request_received.wait()
         started = time.monotonic()
-        faulty.send(await faulty.watches.get(), DRAINED)
+        faulty.send(await faulty.watches.get(), DRAINING_HOST_LINE)
         assert "s-1:0" in await proxy.receive("rows")
         delays_s.append(time.monotonic() - started)
 
@@ -92,7 +97,7 @@
         proxy = await running.connect(HELLO)
         await proxy.receive("replace=1")
         watch = await running.discovery.watches.get()
-        running.discovery.send(watch, DRAINED)
+        running.discovery.send(watch, DRAINING_HOST_LINE)
         await watch.drain()
         if then == "fin":
             watch.close()
@@ -124,7 +129,7 @@
         while not running.discovery.watches.empty():
             running.discovery.watches.get_nowait()
         os.kill(os.getpid(), signal.SIGHUP)
-        running.discovery.send(await running.discovery.watches.get(), DRAINED)
+        running.discovery.send(await running.discovery.watches.get(), DRAINING_HOST_LINE)
         assert "s-1:0" in await proxy.receive("rows")
         assert faulty.calls == 1
 
--- a/tests/support/faulty_discovery.py
+++ b/tests/support/faulty_discovery.py
@@ -11,7 +11,7 @@
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
 
-DRAINED = orjson.dumps(listing(43, "s-1", whole=False, state="DRAINING")) + b"\n"
+DRAINING_HOST_LINE = orjson.dumps(listing(43, "s-1", whole=False, state="DRAINING")) + b"\n"
 
 
 def chunk(text: bytes) -> bytes:
@@ -61,11 +61,11 @@
 FAULTS: dict[str, Callable[[asyncio.StreamWriter], Awaitable[None]]] = {
     "hangs after the dial": respond(b""),
     "hangs after the head": respond(HEAD),
-    "hangs in a line": respond(HEAD + chunk(DRAINED[:30])),
+    "hangs in a line": respond(HEAD + chunk(DRAINING_HOST_LINE[:30])),
     "hangs after whole lines": respond(HEAD + chunk(b"\n")),
     "ends after the head": respond(HEAD, "fin"),
-    "ends in a line": respond(HEAD + chunk(DRAINED[:30]), "fin"),
-    "is reset in a line": respond(HEAD + chunk(DRAINED[:30]), "reset"),
+    "ends in a line": respond(HEAD + chunk(DRAINING_HOST_LINE[:30]), "fin"),
+    "is reset in a line": respond(HEAD + chunk(DRAINING_HOST_LINE[:30]), "reset"),
     "is reset at once": respond(b"", "reset"),
     "drips in a line": lambda writer: send_repeatedly(writer, HEAD, chunk(b" ")),
     "drips in the head": lambda writer: send_repeatedly(
@@ -80,7 +80,7 @@
         b"HTTP/1.1 302 Found\r\nLocation: http://127.0.0.1:9/\r\nContent-Length: 0\r\n\r\n"
     ),
     "has a wrong length": respond(
-        b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n" + DRAINED[:5], "fin"
+        b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n" + DRAINING_HOST_LINE[:5], "fin"
     ),
     "has a line too long": respond(HEAD + chunk(b"x" * 9_000_000)),
     "is nonsense": respond(b"\x16\x03\x01\x02\x00\x01\r\n\r\n"),
