--- a/tests/net/test_process_configuration.py
+++ b/tests/net/test_process_configuration.py
@@ -63,9 +63,9 @@
             path.unlink()
             os.kill(os.getpid(), signal.SIGHUP)
             await running.wait_until(lambda: running.counts["dropped.configurations"] == 7)
-            assert elsewhere.targets.empty() and not old.transport.is_closing()
+            assert elsewhere.request_targets.empty() and not old.transport.is_closing()
             await reload(running, orjson.dumps(moved), "received.configurations")
-            assert await elsewhere.targets.get() == "/catalog/members?watch=1&after=41"
+            assert await elsewhere.request_targets.get() == "/catalog/members?watch=1&after=41"
             watch = await elsewhere.watches.get()
             elsewhere.send(
                 watch, orjson.dumps(listing(42, "s-1", whole=False, state="DRAINING")) + b"\n"
@@ -77,7 +77,9 @@
             assert running.service.listener.table.limits == resource_limits_for(192, 600)
             # The same again: nothing moves.
             await reload(running, orjson.dumps(moved), "received.configurations")
-            assert elsewhere.targets.empty() and running.discovery.targets.qsize() == 1
+            assert (
+                elsewhere.request_targets.empty() and running.discovery.request_targets.qsize() == 1
+            )
 
     run_scenario(scenario, log)
     lines = map(orjson.loads, log)
--- a/tests/net/test_watch.py
+++ b/tests/net/test_watch.py
@@ -23,28 +23,28 @@
     async def scenario(running: RunningService) -> None:
         proxy = await running.connect(HELLO)
         await proxy.receive("replace=1")
-        assert await running.discovery.targets.get() == "/catalog/members?watch=1&after=41"
+        assert await running.discovery.request_targets.get() == "/catalog/members?watch=1&after=41"
         watch = await running.discovery.watches.get()
         drained = orjson.dumps(listing(43, "s-1", whole=False, state="DRAINING"))
         running.discovery.send(watch, b"\n" + drained + b"\n\n")
         assert "s-1:0" in await proxy.receive("rows")
         watch.close()
-        assert await running.discovery.targets.get() == "/catalog/members?watch=1&after=43"
+        assert await running.discovery.request_targets.get() == "/catalog/members?watch=1&after=43"
         watch = await running.discovery.watches.get()
         running.discovery.send(watch, b'{"rev": 44, "all": fal\n')
         # No part of the malformed list was applied.
-        assert await running.discovery.targets.get() == "/catalog/members?watch=1&after=43"
+        assert await running.discovery.request_targets.get() == "/catalog/members?watch=1&after=43"
         watch = await running.discovery.watches.get()
         running.discovery.send(watch, orjson.dumps(listing(45, "s-1", "s-3")) + b"\n")
         assert "s-2:0" in await proxy.receive("rows")
         running.discovery.send(watch, orjson.dumps(listing(9, "s-1", whole=False)) + b"\n")
         # Discovery was reset, so the complete list is fetched.
-        assert await running.discovery.targets.get() == "/catalog/members"
+        assert await running.discovery.request_targets.get() == "/catalog/members"
         poll = await running.discovery.watches.get()
         running.discovery.send(poll, orjson.dumps(listing(9, "s-1")))
         poll.write(b"0\r\n\r\n")
         assert "s-3:0" in await proxy.receive("rows")
-        assert await running.discovery.targets.get() == "/catalog/members?watch=1&after=9"
+        assert await running.discovery.request_targets.get() == "/catalog/members?watch=1&after=9"
 
     run_scenario(scenario)
 
@@ -63,7 +63,7 @@
         )
         proxy = await running.connect(HELLO)
         await proxy.receive("replace=1")
-        assert await faulty.targets.get() == "/catalog/members?watch=1&after=41"
+        assert await faulty.request_targets.get() == "/catalog/members?watch=1&after=41"
         faulty.send(await faulty.watches.get(), DRAINING_HOST_LINE)
         assert "s-1:0" in await proxy.receive("rows")
 
@@ -104,8 +104,8 @@
         else:
             watch.transport.abort()
         assert "s-1:0" in await proxy.receive("rows")
-        assert await running.discovery.targets.get() == "/catalog/members?watch=1&after=41"
-        assert await running.discovery.targets.get() == "/catalog/members?watch=1&after=43"
+        assert await running.discovery.request_targets.get() == "/catalog/members?watch=1&after=41"
+        assert await running.discovery.request_targets.get() == "/catalog/members?watch=1&after=43"
 
     run_scenario(scenario)
 
--- a/tests/support/service_harness.py
+++ b/tests/support/service_harness.py
@@ -87,7 +87,7 @@
     """A stand-in for discovery: the test sends what its watches are to carry."""
 
     def __init__(self) -> None:
-        self.targets: asyncio.Queue[str] = asyncio.Queue()  # of the requests
+        self.request_targets: asyncio.Queue[str] = asyncio.Queue()  # of the requests
         self.watches: asyncio.Queue[asyncio.StreamWriter] = asyncio.Queue()
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -97,7 +97,7 @@
         except asyncio.CancelledError:
             return  # the test's end, which the loop would report as an error of the controller
         writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-        self.targets.put_nowait(head.split()[1].decode())
+        self.request_targets.put_nowait(head.split()[1].decode())
         self.watches.put_nowait(writer)
 
     @staticmethod
