--- a/tests/net/test_process_signals.py
+++ b/tests/net/test_process_signals.py
@@ -12,7 +12,7 @@
 from contextlib import contextmanager, suppress
 from pathlib import Path
 
-from support.service_harness import HELLO, ask, config, free_port, process
+from support.service_harness import HELLO, ask, config, controller_process, free_port
 
 RETURNED = HELLO.replace("cold=1", "cold=0")
 
@@ -116,7 +116,7 @@
 def test_a_second_sigterm_does_not_spoil_the_exit(tmp_path: Path) -> None:
     """Guards against a bad exit status because the last log lines were still being written."""
     text = config(discovery=9, listen=free_port())
-    with process(tmp_path / "config.json", text) as controller:
+    with controller_process(tmp_path / "config.json", text) as controller:
         assert controller.stderr
         fcntl.fcntl(controller.stderr, fcntl.F_SETPIPE_SZ, 4096)
         for _ in range(30):  # more than the pipe holds: the last lines are waited for
@@ -133,7 +133,9 @@
     """What a proxy received is complete lines and at most one part of a line."""
     port = free_port()
     with (
-        process(tmp_path / "config.json", config(discovery=9, listen=port)) as controller,
+        controller_process(
+            tmp_path / "config.json", config(discovery=9, listen=port)
+        ) as controller,
         socket.create_connection(("127.0.0.1", port)) as proxy,
         socket.create_connection(("127.0.0.1", port)) as half,
     ):
--- a/tests/net/test_process_start_and_end.py
+++ b/tests/net/test_process_start_and_end.py
@@ -10,7 +10,7 @@
 from pathlib import Path
 
 import pytest
-from support.service_harness import ask, config, free_port, process
+from support.service_harness import ask, config, controller_process, free_port
 
 
 @pytest.mark.parametrize(
@@ -35,7 +35,7 @@
     port = free_port()
     text = config(discovery=9, listen=port)
     with (
-        process(tmp_path / "config.json", text) as controller,
+        controller_process(tmp_path / "config.json", text) as controller,
         socket.create_connection(("127.0.0.1", port)),
     ):
         assert ask(port) == b"alive\r\n"
@@ -50,9 +50,12 @@
 def test_a_killed_controller_listens_again_at_once_at_its_address(tmp_path: Path) -> None:
     port = free_port()
     text = config(discovery=9, listen=port)
-    with process(tmp_path / "config.json", text), socket.create_connection(("127.0.0.1", port)):
+    with (
+        controller_process(tmp_path / "config.json", text),
+        socket.create_connection(("127.0.0.1", port)),
+    ):
         assert ask(port) == b"alive\r\n"
-    with process(tmp_path / "config.json", text):
+    with controller_process(tmp_path / "config.json", text):
         assert ask(port) == b"alive\r\n"
 
 
@@ -64,7 +67,7 @@
         resource.setrlimit(resource.RLIMIT_NOFILE, (24, 24))
 
     path = tmp_path / "config.json"
-    with process(path, text, preexec_fn=allow_few_descriptors) as controller:
+    with controller_process(path, text, preexec_fn=allow_few_descriptors) as controller:
         silent = [socket.create_connection(("127.0.0.1", port)) for _ in range(40)]
         while b'"loop_failed"' not in controller.stderr.readline():
             pass
--- a/tests/support/service_harness.py
+++ b/tests/support/service_harness.py
@@ -188,7 +188,7 @@
 
 # The options are those of Popen.
 @contextmanager
-def process(path: Path, text: bytes, **options: Any) -> Iterator[subprocess.Popen]:  # noqa: ANN401
+def controller_process(path: Path, text: bytes, **options: Any) -> Iterator[subprocess.Popen]:  # noqa: ANN401
     """Starts a controller in a process of its own and yields it once it listens."""
     path.write_bytes(text)
     with subprocess.Popen(
