--- a/tests/net/test_process_signals.py
+++ b/tests/net/test_process_signals.py
@@ -12,7 +12,7 @@
 from contextlib import contextmanager, suppress
 from pathlib import Path
 
-from support.service_harness import HELLO, ask, config, controller_process, free_port
+from support.service_harness import HELLO, check_liveness, config, controller_process, free_port
 
 RETURNED = HELLO.replace("cold=1", "cold=0")
 
@@ -108,7 +108,7 @@
         reloaded = lines_until(controller, "reloaded")[-1]
         assert reloaded["discovery"] == "127.0.0.1:10"
         lines_until(controller, "listening")
-        assert ask(port) == b"alive\r\n"
+        assert check_liveness(port) == b"alive\r\n"
         controller.send_signal(signal.SIGTERM)
         last_lines(controller)
 
@@ -176,7 +176,7 @@
                     back[-1].sendall(
                         (RETURNED.replace("=3", f"={len(back) - 1}") + "\r\n").encode()
                     )
-            assert ask(port) == b"alive\r\n"
+            assert check_liveness(port) == b"alive\r\n"
             took.append(time.monotonic() - began)
             if len(took) % 2:
                 controller.kill()
--- a/tests/net/test_process_start_and_end.py
+++ b/tests/net/test_process_start_and_end.py
@@ -10,7 +10,7 @@
 from pathlib import Path
 
 import pytest
-from support.service_harness import ask, config, controller_process, free_port
+from support.service_harness import check_liveness, config, controller_process, free_port
 
 
 @pytest.mark.parametrize(
@@ -38,7 +38,7 @@
         controller_process(tmp_path / "config.json", text) as controller,
         socket.create_connection(("127.0.0.1", port)),
     ):
-        assert ask(port) == b"alive\r\n"
+        assert check_liveness(port) == b"alive\r\n"
         controller.send_signal(signal.SIGTERM)
         lines = [json.loads(line) for line in controller.stderr.read().splitlines()]
         assert controller.wait(60) == 0
@@ -54,9 +54,9 @@
         controller_process(tmp_path / "config.json", text),
         socket.create_connection(("127.0.0.1", port)),
     ):
-        assert ask(port) == b"alive\r\n"
+        assert check_liveness(port) == b"alive\r\n"
     with controller_process(tmp_path / "config.json", text):
-        assert ask(port) == b"alive\r\n"
+        assert check_liveness(port) == b"alive\r\n"
 
 
 def test_no_descriptors_left_for_accepting_is_survived(tmp_path: Path) -> None:
@@ -73,4 +73,4 @@
             pass
         for connection in silent:
             connection.close()
-        assert ask(port) == b"alive\r\n"
+        assert check_liveness(port) == b"alive\r\n"
--- a/tests/support/service_harness.py
+++ b/tests/support/service_harness.py
@@ -211,7 +211,7 @@
         return server.getsockname()[1]
 
 
-def ask(port: int) -> bytes:
+def check_liveness(port: int) -> bytes:
     with socket.create_connection(("127.0.0.1", port), 20) as client:
         client.sendall(b"probe\r\n")
         return client.recv(100)
