--- a/tests/net/test_process_configuration.py
+++ b/tests/net/test_process_configuration.py
@@ -12,7 +12,7 @@
     FakeDiscovery,
     RunningService,
     config,
-    listing,
+    endpoint_list,
     run_scenario,
 )
 
@@ -68,7 +68,7 @@
             assert await elsewhere.request_targets.get() == "/catalog/members?watch=1&after=41"
             watch = await elsewhere.watches.get()
             elsewhere.send(
-                watch, orjson.dumps(listing(42, "s-1", whole=False, state="DRAINING")) + b"\n"
+                watch, orjson.dumps(endpoint_list(42, "s-1", whole=False, state="DRAINING")) + b"\n"
             )
             assert "s-1:0" in await proxy.receive("rows")  # in the same session
             await running.wait_until(
--- a/tests/net/test_watch.py
+++ b/tests/net/test_watch.py
@@ -14,7 +14,7 @@
     FaultyDiscovery,
     run_with_faulty_discovery,
 )
-from support.service_harness import HELLO, RunningService, config, listing, run_scenario
+from support.service_harness import HELLO, RunningService, config, endpoint_list, run_scenario
 
 from plankroute.net.discovery import watch as watch_module
 
@@ -25,7 +25,7 @@
         await proxy.receive("replace=1")
         assert await running.discovery.request_targets.get() == "/catalog/members?watch=1&after=41"
         watch = await running.discovery.watches.get()
-        drained = orjson.dumps(listing(43, "s-1", whole=False, state="DRAINING"))
+        drained = orjson.dumps(endpoint_list(43, "s-1", whole=False, state="DRAINING"))
         running.discovery.send(watch, b"\n" + drained + b"\n\n")
         assert "s-1:0" in await proxy.receive("rows")
         watch.close()
@@ -35,13 +35,13 @@
         # No part of the malformed list was applied.
         assert await running.discovery.request_targets.get() == "/catalog/members?watch=1&after=43"
         watch = await running.discovery.watches.get()
-        running.discovery.send(watch, orjson.dumps(listing(45, "s-1", "s-3")) + b"\n")
+        running.discovery.send(watch, orjson.dumps(endpoint_list(45, "s-1", "s-3")) + b"\n")
         assert "s-2:0" in await proxy.receive("rows")
-        running.discovery.send(watch, orjson.dumps(listing(9, "s-1", whole=False)) + b"\n")
+        running.discovery.send(watch, orjson.dumps(endpoint_list(9, "s-1", whole=False)) + b"\n")
         # Discovery was reset, so the complete list is fetched.
         assert await running.discovery.request_targets.get() == "/catalog/members"
         poll = await running.discovery.watches.get()
-        running.discovery.send(poll, orjson.dumps(listing(9, "s-1")))
+        running.discovery.send(poll, orjson.dumps(endpoint_list(9, "s-1")))
         poll.write(b"0\r\n\r\n")
         assert "s-3:0" in await proxy.receive("rows")
         assert await running.discovery.request_targets.get() == "/catalog/members?watch=1&after=9"
--- a/tests/support/faulty_discovery.py
+++ b/tests/support/faulty_discovery.py
@@ -6,12 +6,12 @@
 
 import orjson
 
-from support.service_harness import FakeDiscovery, RunningService, listing, run_scenario
+from support.service_harness import FakeDiscovery, RunningService, endpoint_list, run_scenario
 
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
 
-DRAINING_HOST_LINE = orjson.dumps(listing(43, "s-1", whole=False, state="DRAINING")) + b"\n"
+DRAINING_HOST_LINE = orjson.dumps(endpoint_list(43, "s-1", whole=False, state="DRAINING")) + b"\n"
 
 
 def chunk(text: bytes) -> bytes:
--- a/tests/support/service_harness.py
+++ b/tests/support/service_harness.py
@@ -49,7 +49,7 @@
 }
 
 
-def listing(rev: int, *hosts: str, whole: bool = True, state: str = "SERVING") -> dict:
+def endpoint_list(rev: int, *hosts: str, whole: bool = True, state: str = "SERVING") -> dict:
     return {
         "rev": rev,
         "all": whole,
@@ -77,7 +77,7 @@
             "discovery": f"127.0.0.1:{discovery}",
             "seed": "8c1f30d27a5be964",
             "limits": {"sockets": 1024},
-            "known": listing(41, "s-1", "s-2", "s-3"),
+            "known": endpoint_list(41, "s-1", "s-2", "s-3"),
             "settings": SETTINGS,
         }
     )
