--- a/tests/net/test_watch.py
+++ b/tests/net/test_watch.py
@@ -72,7 +72,9 @@
     assert logged.count("watch_ended") == 1 and "loop_failed" not in logged
 
 
-@pytest.mark.parametrize("fault", ["hangs in a line", "drips in a line", "hangs after the dial"])
+@pytest.mark.parametrize(
+    "fault", ["hangs in a line", "sends an endless line", "hangs before the response"]
+)
 def test_a_change_arrives_within_the_platforms_limit_after_a_faulty_watch(fault: str) -> None:
     """The idle timeout and the longest pause before a new call: 3.45 s plus the network delay."""
     delays_s = list[float]()
@@ -110,7 +112,9 @@
     run_scenario(scenario)
 
 
-@pytest.mark.parametrize("fault", ["hangs after the dial", "hangs in a line", "drips in a line"])
+@pytest.mark.parametrize(
+    "fault", ["hangs before the response", "hangs in a line", "sends an endless line"]
+)
 def test_a_new_discovery_address_ends_a_hanging_call(
     fault: str, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
--- a/tests/support/faulty_discovery.py
+++ b/tests/support/faulty_discovery.py
@@ -59,32 +59,32 @@
 
 
 FAULTS: dict[str, Callable[[asyncio.StreamWriter], Awaitable[None]]] = {
-    "hangs after the dial": respond(b""),
-    "hangs after the head": respond(HEAD),
+    "hangs before the response": respond(b""),
+    "hangs after the header": respond(HEAD),
     "hangs in a line": respond(HEAD + chunk(DRAINING_HOST_LINE[:30])),
     "hangs after whole lines": respond(HEAD + chunk(b"\n")),
-    "ends after the head": respond(HEAD, "fin"),
+    "ends after the header": respond(HEAD, "fin"),
     "ends in a line": respond(HEAD + chunk(DRAINING_HOST_LINE[:30]), "fin"),
     "is reset in a line": respond(HEAD + chunk(DRAINING_HOST_LINE[:30]), "reset"),
-    "is reset at once": respond(b"", "reset"),
-    "drips in a line": lambda writer: send_repeatedly(writer, HEAD, chunk(b" ")),
-    "drips in the head": lambda writer: send_repeatedly(
+    "is reset before the response": respond(b"", "reset"),
+    "sends an endless line": lambda writer: send_repeatedly(writer, HEAD, chunk(b" ")),
+    "sends an endless header": lambda writer: send_repeatedly(
         writer, b"HTTP/1.1 200 OK\r\nX-Slow: ", b"x"
     ),
-    "drips heads to come": lambda writer: send_repeatedly(
+    "repeats interim responses": lambda writer: send_repeatedly(
         writer, b"", b"HTTP/1.1 100 Continue\r\n\r\n"
     ),
-    "says 503": respond(b"HTTP/1.1 503 No\r\nContent-Length: 2\r\n\r\nno"),
-    "says 503 and hangs": respond(b"HTTP/1.1 503 No\r\nContent-Length: 2\r\n\r\n"),
+    "responds 503": respond(b"HTTP/1.1 503 No\r\nContent-Length: 2\r\n\r\nno"),
+    "responds 503 and hangs": respond(b"HTTP/1.1 503 No\r\nContent-Length: 2\r\n\r\n"),
     "redirects": respond(
         b"HTTP/1.1 302 Found\r\nLocation: http://127.0.0.1:9/\r\nContent-Length: 0\r\n\r\n"
     ),
-    "has a wrong length": respond(
+    "ends before its content length": respond(
         b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n" + DRAINING_HOST_LINE[:5], "fin"
     ),
-    "has a line too long": respond(HEAD + chunk(b"x" * 9_000_000)),
-    "is nonsense": respond(b"\x16\x03\x01\x02\x00\x01\r\n\r\n"),
-    "is no list": respond(HEAD + chunk(b"[3]\n")),
+    "sends an oversized line": respond(HEAD + chunk(b"x" * 9_000_000)),
+    "does not speak HTTP": respond(b"\x16\x03\x01\x02\x00\x01\r\n\r\n"),
+    "sends JSON that is no list": respond(HEAD + chunk(b"[3]\n")),
 }
 
 
