--- a/tests/support/channel_model.py
+++ b/tests/support/channel_model.py
@@ -1,4 +1,4 @@
-"""A plain model of a controller's channel to its proxies, one line behind another."""
+"""A model of a controller's channel to its proxies: a first-in, first-out queue of lines."""
 
 from dataclasses import dataclass
 
@@ -7,12 +7,13 @@
 
 @dataclass(slots=True)
 class QueuedMessage:
-    """A message in the channel.
+    """A message that waits in the channel.
 
     Attributes:
         proxy: The recipient.
-        lines_left: Lines of it that have not left yet.
-        sequence_number: What the proxy acknowledges when all of it has left, if anything.
+        lines_left: Number of its lines that have not left the channel yet.
+        sequence_number: Sequence number that the proxy acknowledges once all lines have left; None
+            if the message requests no acknowledgement.
     """
 
     proxy: int
@@ -22,52 +23,68 @@
 
 @dataclass(frozen=True, slots=True)
 class SentMessage:
-    """A message that the controller wrote."""
+    """A message that the controller wrote.
+
+    Attributes:
+        at_us: When it was written, in microseconds.
+        proxy: The recipient.
+    """
 
     at_us: int
     proxy: int
 
 
 class ChannelModel:
-    """Messages that wait in the channel, and those written of late.
+    """The messages that wait in the channel, and those written within the message window.
 
     Attributes:
-        most_waiting: The most lines that ever waited.
+        peak_queued_lines: The largest number of lines that ever waited at the same time.
     """
 
     def __init__(self, message_window_us: int) -> None:
-        """Starts empty; `message_window_us` is how long messages count as written of late."""
+        """Creates an empty channel.
+
+        Args:
+            message_window_us: Length of the window for which written messages are remembered.
+        """
         self.peak_queued_lines = 0.0
         self._message_window_us = message_window_us
         self._queue: list[QueuedMessage] = []
-        self._sent: list[SentMessage] = []
+        self._recent_messages: list[SentMessage] = []
 
     def send(self, now: int, lines_to: dict[int, int], sequence_number: int | None) -> None:
-        """Writes a message of so many lines to each proxy.
+        """Queues one message for each proxy.
 
         Args:
             now: Clock in microseconds.
-            lines_to: Lines by proxy, with the overhead of a message.
-            sequence_number: What the proxies acknowledge, a line more; or None.
+            lines_to: By proxy, the number of lines of its message, message overhead included.
+            sequence_number: Sequence number that the proxies are to acknowledge, which takes one
+                more line in each message; None to request no acknowledgement.
         """
         acknowledgement_lines = 0 if sequence_number is None else 1
         for proxy, lines in lines_to.items():
             message = QueuedMessage(proxy, lines + acknowledgement_lines, sequence_number)
             self._queue.append(message)
         window_start = now - self._message_window_us
-        self._sent = [sent for sent in self._sent if sent.at_us > window_start]
-        self._sent += [SentMessage(now, proxy) for proxy in lines_to]
+        self._recent_messages = [
+            sent for sent in self._recent_messages if sent.at_us > window_start
+        ]
+        self._recent_messages += [SentMessage(now, proxy) for proxy in lines_to]
         waiting = sum(message.lines_left for message in self._queue)
         self.peak_queued_lines = max(self.peak_queued_lines, waiting)
 
-    def carry(self, capacity: float) -> list[events.Event]:
-        """Lets so many lines leave; returns the acknowledgements of messages that left whole."""
+    def transmit(self, capacity: float) -> list[events.Event]:
+        """Removes up to `capacity` lines from the head of the queue.
+
+        Returns:
+            The acknowledgements of the messages whose last line has left.
+        """
         acknowledged: list[events.Event] = []
         while self._queue and capacity > 0:
             message = self._queue[0]
-            carried = min(capacity, message.lines_left)
-            capacity -= carried
-            message.lines_left -= carried
+            transmitted = min(capacity, message.lines_left)
+            capacity -= transmitted
+            message.lines_left -= transmitted
             if message.lines_left > 0:
                 continue
             del self._queue[0]
@@ -76,9 +93,12 @@
         return acknowledged
 
     def drop(self, proxy: int) -> None:
-        """Drops what waits for a proxy whose stream ended."""
+        """Drops the queued messages of a proxy whose stream ended."""
         self._queue = [message for message in self._queue if message.proxy != proxy]
 
     def messages_since(self, proxy: int, start_us: int) -> int:
-        """Counts the messages written of late to a proxy, from a clock on."""
-        return sum(sent.at_us >= start_us and sent.proxy == proxy for sent in self._sent)
+        """Counts the messages that were written to a proxy at or after a time.
+
+        Messages that were older than the message window at the last `send` are not counted.
+        """
+        return sum(sent.at_us >= start_us and sent.proxy == proxy for sent in self._recent_messages)
--- a/tests/support/controller_bench.py
+++ b/tests/support/controller_bench.py
@@ -1,4 +1,4 @@
-"""Benches that are ready to use, and events that feed them."""
+"""Test benches in common states, and functions that deliver typical events to them."""
 
 import math
 import random
@@ -21,17 +21,22 @@
 
 
 def ready_bench(hosts: int = 6, proxies: int = 4, **facts: object) -> Bench:
+    """Returns a bench with listed hosts that answered their health checks and joined proxies.
+
+    Host ids start at 100. Hosts cycle through three zones and two machine types. `facts` replaces
+    fields of the start facts.
+    """
     bench = Bench(start_facts(**facts))
     bench.deliver(
         full_list(*[entry(100 + i, zone=i % 3, machine_type=i % 2) for i in range(hosts)])
     )
-    asked = checked_hosts(
+    checked = checked_hosts(
         bench.deliver(*[events.ProxyJoined(p, p % 3, 10.0, True) for p in range(proxies)])
     )
     bench.deliver(
         *[
             events.HealthCheckResult(host, HealthCheckOutcome.ANSWERED, 10_000, None)
-            for host in asked
+            for host in checked
         ]
     )
     bench.pass_time(SECOND // 10)
@@ -47,6 +52,17 @@
     skip: tuple[int, ...] = (),
     in_flight: float = 2.0,
 ) -> None:
+    """Reports request statistics of the ready hosts once a turn, and lets each turn pass.
+
+    Args:
+        bench: The bench that receives the statistics.
+        turns: Number of turns, of one second each.
+        time_ms: Returns the mean latency of a host, in milliseconds.
+        failed: Returns the number of failed attempts at a host per turn.
+        attempts: Number of attempts per host and turn.
+        skip: Hosts for which nothing is reported.
+        in_flight: Number of requests in flight that each load report states.
+    """
     for _ in range(turns):
         bench.deliver(
             *[
@@ -67,11 +83,19 @@
 
 
 def checked_hosts(out: list[commands.Command]) -> set[int]:
+    """Returns the hosts whose health check the commands request."""
     return {command.host for command in out if isinstance(command, commands.CheckHealth)}
 
 
 def large_bench(seed: int, channel_line_penalty: float = 0.02) -> tuple[Bench, random.Random]:
-    """All proxies on one steward, whose channel may be slow: every bind is half a hundred lines."""
+    """Returns a bench on which one controller serves all 100 proxies, and its random generator.
+
+    Depending on the seed, the channel runs at 0.7 of its stated speed. A bind takes about 50 lines.
+
+    Args:
+        seed: Seed of the generator.
+        channel_line_penalty: Penalty rate for one line of the channel.
+    """
     rng = random.Random(seed)
     facts = start_facts(
         proxy_count=100,
@@ -86,7 +110,8 @@
     return bench, rng
 
 
-def odd_notes(rng: random.Random) -> list[events.Event]:
+def unexpected_events(rng: random.Random) -> list[events.Event]:
+    """Returns events with unknown ids, impossible counts, and numbers that are not finite."""
     return [
         events.HostRequestStats(9999, 0, 3, 1, 1.0, 0, None),
         events.HostRequestStats(100, 2, 0, 5, 0.0, 0, None),
@@ -103,7 +128,11 @@
 
 
 def run_random_events(bench: Bench, rng: random.Random, steps: int) -> None:
-    """Hosts come, drain, go and restart; proxies join and leave; reports get lost."""
+    """Delivers random events for a number of steps.
+
+    Hosts are added, drained, removed and restarted; proxies join and leave; reports and health
+    checks have random results, arrive irregularly, and may be invalid.
+    """
     zones = {100 + i: rng.randrange(3) for i in range(rng.randint(1, 9))}
     bench.deliver(
         events.HostList(ListKind.CACHED, tuple(entry(h, zone=z) for h, z in zones.items()))
@@ -135,7 +164,7 @@
                 kept = rng.sample(list(zones), rng.randrange(len(zones) + 1))
                 bench.deliver(full_list(*[entry(h, READY, zones[h]) for h in kept]))
             case 6:
-                bench.deliver(*odd_notes(rng))
+                bench.deliver(*unexpected_events(rng))
             case _:
                 report_requests(
                     bench,
--- a/tests/support/controller_model.py
+++ b/tests/support/controller_model.py
@@ -1,6 +1,7 @@
-"""A slow, plain model of proxies, channel and rules, which a controller is run against.
+"""A simple model of proxies and channel, against which tests run a controller.
 
-It applies the controller's commands and fails at the first break of a rule.
+The model applies the controller's commands and raises an AssertionError as soon as a safety rule is
+broken. It favors simplicity over speed.
 """
 
 from collections.abc import Iterable
@@ -23,12 +24,12 @@
 
 SECOND = 1_000_000  # microseconds
 READY, DRAINING, GONE = HostState.READY, HostState.DRAINING, HostState.GONE
-NO_TABLE = -1
+NO_TABLE = -1  # table number of a request class that has no binding
 
 
 def request_class_facts(**changes: Any) -> RequestClassFacts:  # noqa: ANN401 - fields of all types
-    """A plain request class with some fields changed."""
-    plain = RequestClassFacts(
+    """Returns the facts of a default request class with some fields changed."""
+    defaults = RequestClassFacts(
         latency_objective_us=SECOND,
         deadline_us=4 * SECOND,
         value=1.0,
@@ -37,12 +38,12 @@
         deduplication_scope=DeduplicationScope.ALL,
         deduplication_window_us=0,
     )
-    return replace(plain, **changes)
+    return replace(defaults, **changes)
 
 
 def start_facts(**changes: Any) -> StartFacts:  # noqa: ANN401 - fields of all types
-    """Facts of a small site with some fields changed."""
-    plain = StartFacts(
+    """Returns the start facts of a small site with some fields changed."""
+    defaults = StartFacts(
         request_classes=(request_class_facts(),),
         zones=3,
         own_zone=0,
@@ -77,7 +78,7 @@
         slices=0,
         slices_exclusive=False,
     )
-    return replace(plain, **changes)
+    return replace(defaults, **changes)
 
 
 def entry(
@@ -88,55 +89,61 @@
     weight: float = 1.0,
     started_us: int = 0,
 ) -> events.HostEntry:
-    """An entry of a host list; `kind` is the machine type."""
+    """Returns an entry of a host list; by default, a ready host of weight 1 in zone 0."""
     return events.HostEntry(host, state, zone, machine_type, 0, weight, started_us)
 
 
 def full_list(*entries: events.HostEntry) -> events.HostList:
-    """A whole host list."""
+    """Returns a complete host list."""
     return events.HostList(ListKind.FULL, entries)
 
 
 def host_changes(*entries: events.HostEntry) -> events.HostList:
-    """Changes of a host list."""
+    """Returns a list of changed hosts; hosts that it does not name are unchanged."""
     return events.HostList(ListKind.CHANGES, entries)
 
 
 @dataclass(frozen=True, slots=True)
 class RunningTimer:
-    """A timer that the controller has set."""
+    """A timer that the controller has set.
+
+    Attributes:
+        due_us: When it expires, in microseconds.
+        token: The token that its `TimerExpired` event carries.
+    """
 
     due_us: int
     token: int
 
 
 class Bench:
-    """One controller, its channel of a given speed, and proxies that do as their messages say.
+    """A test bench: one controller, its channel, and proxies that follow their messages.
 
-    What a command sets holds at once, but its lines go through the channel.
+    A command takes effect at once, but its lines wait in the channel. The safety rules are checked
+    after each batch of events.
 
     Attributes:
-        facts: What the controller was told at its start.
-        rate: Lines that the channel carries a second; tests change it.
+        facts: The start facts of the controller.
+        channel_lines_per_s: Lines that the channel transmits per second; tests change it.
         controller: The controller under test.
         now: The clock, in microseconds.
-        hosts: The last entry of each host, by id.
-        lines: By table, weight by host.
-        levels: All admission limits that were set, in their order.
+        hosts: The last list entry of each host, by id.
+        tables: By table, weight by host.
+        admission_limits: All admission limits that were set, in order.
         withdrawn: Hosts that are withdrawn.
         bound: Table by proxy and request class.
-        log: All commands, in their order.
+        command_log: All commands, in order.
     """
 
     def __init__(
         self, facts: StartFacts, speed: float = 1.0, controller: Controller | None = None
     ) -> None:
-        """Starts the controller.
+        """Creates a bench without hosts or proxies.
 
         Args:
-            facts: What it is told.
-            speed: Pace of the channel as a multiple of what the facts state.
-            controller: One to use instead.
+            facts: The start facts of the controller.
+            speed: Speed of the channel as a multiple of `facts.channel_lines_per_s`.
+            controller: The controller under test; by default a new one with these facts.
         """
         self.facts = facts
         self.channel_lines_per_s = facts.channel_lines_per_s * speed
@@ -149,15 +156,19 @@
         self.bound: dict[tuple[int, int], int] = {}
         self.command_log: list[commands.Command] = []
         self._request_classes = range(len(facts.request_classes))
-        self._unready_since: dict[int, int] = {}  # by host: since when the controller knows
-        self._zone_of_proxy: dict[int, int] = {}  # joined proxies
-        self._joined_at: dict[int, int] = {}  # by proxy, its last joining
-        self._endpoints_seen_at: dict[tuple[int, int], int] = {}  # by proxy and request class
+        self._unready_since: dict[int, int] = {}  # by host, when it was listed as not ready
+        self._zone_of_proxy: dict[int, int] = {}  # of joined proxies
+        self._joined_at: dict[int, int] = {}  # by proxy, when it last joined
+        self._served_at: dict[tuple[int, int], int] = {}  # last time, by proxy and class
         self._timers: list[RunningTimer] = []
         self._channel = ChannelModel(facts.message_window_us)
 
     def deliver(self, *batch: events.Event) -> list[commands.Command]:
-        """Delivers a batch, applies the commands and checks the rules; returns the commands."""
+        """Delivers a batch of events, applies the resulting commands and checks the rules.
+
+        Returns:
+            The commands.
+        """
         for event in batch:
             self._observe(event)
         out = self.controller.deliver(self.now, list(batch))
@@ -167,24 +178,36 @@
         return out
 
     def pass_time(self, us: int, step: int = 100_000) -> None:
-        """Lets time pass in steps: timers expire, and the channel carries lines."""
+        """Advances the clock in steps, at each of which timers expire and the channel transmits.
+
+        Args:
+            us: How far to advance the clock, in microseconds, rounded up to a whole step.
+            step: Length of a step, in microseconds.
+        """
         end = self.now + us
         while self.now < end:
             self.now += step
             due = [timer for timer in self._timers if timer.due_us <= self.now]
             self._timers = [timer for timer in self._timers if timer.due_us > self.now]
             expired = [events.TimerExpired(timer.token) for timer in due]
-            acknowledged = self._channel.carry(self.channel_lines_per_s * step / SECOND)
+            acknowledged = self._channel.transmit(self.channel_lines_per_s * step / SECOND)
             self.deliver(*expired, *acknowledged)
 
     @property
     def peak_queued_lines(self) -> float:
-        """The most lines that ever waited in the channel."""
+        """The largest number of lines that ever waited in the channel at the same time."""
         return self._channel.peak_queued_lines
 
-    def usable_weights(self, proxy: int, place: int) -> dict[int, float]:
-        """Weights of the hosts that a proxy may send a request class (by index) to."""
-        routes = self.tables.get(self.bound.get((proxy, place), NO_TABLE), {})
+    def usable_weights(self, proxy: int, request_class: int) -> dict[int, float]:
+        """Returns the weights of the hosts to which a proxy may send a request class.
+
+        Withdrawn hosts are left out. Without a bound table, no host is usable.
+
+        Args:
+            proxy: The proxy.
+            request_class: Index of the request class.
+        """
+        routes = self.tables.get(self.bound.get((proxy, request_class), NO_TABLE), {})
         return {host: weight for host, weight in routes.items() if host not in self.withdrawn}
 
     # Events
@@ -203,11 +226,11 @@
                 self._forget_proxy(proxy)
 
     def _observe_list(self, listed: events.HostList) -> None:
-        named = {item.host: item for item in listed.entries}
+        listed_hosts = {item.host: item for item in listed.entries}
         if listed.kind is not ListKind.CHANGES:
             for host, item in self.hosts.items():
-                named.setdefault(host, replace(item, state=GONE))
-        self.hosts |= named
+                listed_hosts.setdefault(host, replace(item, state=GONE))
+        self.hosts |= listed_hosts
         for host, item in self.hosts.items():
             if item.state is READY:
                 self._unready_since.pop(host, None)
@@ -222,7 +245,7 @@
     # Commands
 
     def _apply(self, out: list[commands.Command]) -> None:
-        lines_to: dict[int, int] = {}  # lines of this batch's message to each proxy
+        lines_to: dict[int, int] = {}  # by proxy, lines of this batch's message to it
         sequence_number = None
         for command in out:
             recipients, lines = self._apply_command(command)
@@ -234,7 +257,11 @@
         self._channel.send(self.now, lines_to, sequence_number)
 
     def _apply_command(self, command: commands.Command) -> tuple[set[int], int]:
-        """Applies a command; returns the proxies it writes to, and the lines to each of them."""
+        """Applies a command.
+
+        Returns:
+            The proxies that receive lines of the command, and the number of lines for each.
+        """
         match command:
             case commands.SetTimer(after_us, token):
                 self._timers.append(RunningTimer(self.now + after_us, token))
@@ -275,19 +302,25 @@
         return recipients
 
     def _may_use(self, proxy: int, host: int) -> bool:
-        """Whether the proxy is on unknown tables, or may send to the host by its tables."""
-        is_bound = any((proxy, place) in self.bound for place in self._request_classes)
+        """Whether the proxy may send requests to the host, as far as the controller knows.
+
+        An unbound proxy uses tables that the controller does not know, so it may use any host.
+        """
+        is_bound = any(
+            (proxy, request_class) in self.bound for request_class in self._request_classes
+        )
         return not is_bound or any(
-            host in self.usable_weights(proxy, place) for place in self._request_classes
+            host in self.usable_weights(proxy, request_class)
+            for request_class in self._request_classes
         )
 
     def _bind(self, command: commands.BindProxy) -> tuple[set[int], int]:
         assert command.proxy in self._joined_at
         assert not self.facts.slices
         if command.proxy not in self._zone_of_proxy:
-            return set(), 0  # it left meanwhile: nothing happens
-        for place in command.request_classes or self._request_classes:
-            self.bound[command.proxy, place] = command.table
+            return set(), 0  # the proxy left in the meantime, so the command has no effect
+        for request_class in command.request_classes or self._request_classes:
+            self.bound[command.proxy, request_class] = command.table
         return {command.proxy}, 1 + len(self.tables.get(command.table, {}))
 
     def _users(self, table: int | None) -> set[int]:
@@ -296,57 +329,59 @@
     # The rules
 
     def _check_rules(self) -> None:
-        """Stricter than the rules: commands must settle in half of the time that they allow."""
+        """Checks the safety rules, more strictly than stated: with half of their time limits."""
         assert self.peak_queued_lines <= self.facts.backlog_cap_lines, (
-            "the queue grew past its limit"
+            "the queued lines exceed the backlog cap"
         )
         for proxy in self._zone_of_proxy:
             self._check_message_limit(proxy)
-            for place in self._request_classes:
-                self._check_drained_hosts(proxy, place)
-                self._check_allowed_hosts(proxy, place)
-                self._check_endpoints_left(proxy, place)
+            for request_class in self._request_classes:
+                self._check_drained_hosts(proxy, request_class)
+                self._check_permitted_hosts(proxy, request_class)
+                self._check_usable_hosts(proxy, request_class)
 
     def _check_message_limit(self, proxy: int) -> None:
         limit = self.facts.max_messages_per_window
         sent = self._channel.messages_since(proxy, self._joined_at[proxy])
-        assert not limit or sent <= limit, "too many messages"
+        assert not limit or sent <= limit, "a proxy got more messages than the limit per window"
 
-    def _check_drained_hosts(self, proxy: int, place: int) -> None:
+    def _check_drained_hosts(self, proxy: int, request_class: int) -> None:
         grace_us = self.facts.drain_grace_us / 2
-        for host in self.usable_weights(proxy, place):
+        for host in self.usable_weights(proxy, request_class):
             if host in self._unready_since:
                 known_since = max(self._unready_since[host], self._joined_at[proxy])
-                assert self.now - known_since <= grace_us, "a drained host is still picked"
+                assert self.now - known_since <= grace_us, "a proxy still uses a drained host"
 
-    def _check_allowed_hosts(self, proxy: int, place: int) -> None:
+    def _check_permitted_hosts(self, proxy: int, request_class: int) -> None:
         zone = self._zone_of_proxy[proxy]
-        for host in self.usable_weights(proxy, place):
-            assert self._may_serve(host, place, zone), "a request class where it may not go"
+        for host in self.usable_weights(proxy, request_class):
+            assert self._may_serve(host, request_class, zone), (
+                "a host may not serve the request class"
+            )
 
-    def _check_endpoints_left(self, proxy: int, place: int) -> None:
-        key = (proxy, place)
+    def _check_usable_hosts(self, proxy: int, request_class: int) -> None:
+        key = (proxy, request_class)
         zone = self._zone_of_proxy[proxy]
-        could_serve = self._warm_hosts(place, zone)
-        if self.usable_weights(proxy, place) or not could_serve or key not in self.bound:
-            self._endpoints_seen_at[key] = self.now
-        last_seen = max(self._joined_at[proxy], self._endpoints_seen_at[key])
+        warm_hosts = self._warm_hosts(request_class, zone)
+        if self.usable_weights(proxy, request_class) or not warm_hosts or key not in self.bound:
+            self._served_at[key] = self.now
+        last_served = max(self._joined_at[proxy], self._served_at[key])
         limit_us = self.facts.max_unbound_us / 2
-        assert self.now - last_seen <= limit_us, "a proxy has nobody to pick"
+        assert self.now - last_served <= limit_us, "a proxy had no usable host for too long"
 
-    def _warm_hosts(self, place: int, zone: int) -> Iterable[int]:
+    def _warm_hosts(self, request_class: int, zone: int) -> Iterable[int]:
         return [
             host
             for host, item in self.hosts.items()
             if item.state is READY
             and self.now - item.started_us >= self.facts.warmup_us
-            and self._may_serve(host, place, zone)
+            and self._may_serve(host, request_class, zone)
         ]
 
-    def _may_serve(self, host: int, place: int, proxy_zone: int) -> bool:
-        """Whether the request class may go from proxies of this zone to the host."""
+    def _may_serve(self, host: int, request_class: int, proxy_zone: int) -> bool:
+        """Whether proxies of this zone may send the request class to the host."""
         item = self.hosts[host]
-        facts = self.facts.request_classes[place]
+        facts = self.facts.request_classes[request_class]
         if facts.zones is not None and item.zone not in facts.zones:
             return False
         if facts.machine_types is not None and item.machine_type not in facts.machine_types:
--- a/tests/support/fleet_model.py
+++ b/tests/support/fleet_model.py
@@ -1,7 +1,8 @@
-"""A plain model of proxies that come to one controller with tables of others, message by message.
+"""A model of proxies that join one controller while they hold tables of other controllers.
 
-Commands become messages as on sockets. A message takes effect when its last line has left the
-channel and the longest one-way delay has passed; its proxy holds what it had until then.
+Commands are combined into one message per proxy, as on sockets. A message takes effect when its
+last line has left the channel and the longest one-way delay has passed; until then its proxy keeps
+the routes and withdrawals that it had.
 """
 
 from collections.abc import Iterable
@@ -23,10 +24,10 @@
     """A joined proxy.
 
     Attributes:
-        joined_us: When it joined.
+        joined_us: When it joined, in microseconds.
         routes: By request class, weight by host.
-        withdrawn: Hosts that it keeps out of use.
-        served_us: When each request class last had a host to pick.
+        withdrawn: Hosts that are withdrawn at this proxy.
+        served_us: By request class, when it last had a usable host, in microseconds.
     """
 
     joined_us: int
@@ -35,6 +36,7 @@
     served_us: list[int] = field(default_factory=list)
 
     def apply(self, message: Message) -> None:
+        """Applies the table updates and withdrawals of a message."""
         for update in message.updates:
             for request_class in update.request_classes:
                 if update.complete:
@@ -50,33 +52,43 @@
                 self.withdrawn.discard(host)
 
     def usable_hosts(self, request_class: int) -> set[int]:
+        """Returns the hosts to which the proxy may send a request class."""
         return self.routes[request_class].keys() - self.withdrawn
 
 
 @dataclass(slots=True)
-class InFlight:
-    """A message in the channel, or on its way.
+class InFlightMessage:
+    """A message that waits in the channel or is on its way to the proxy.
 
     Attributes:
-        proxy: The proxy and its stream, by when it joined: a later stream gets nothing of it.
-        lines_left: Lines that have not left the channel.
-        due_us: When it takes effect; 0 while lines are left.
+        stream: The proxy and when it joined, which identifies its stream. A message is lost if the
+            proxy has joined again since.
+        message: The message.
+        lines_left: Number of its lines that have not left the channel yet.
+        due_us: When it takes effect, in microseconds; 0 while lines are left.
     """
 
-    proxy: tuple[int, int]
+    stream: tuple[int, int]
     message: Message
     lines_left: float
     due_us: int = 0
 
 
 class FleetModel:
-    """One controller, its channel and its proxies; fails at the first break of a rule.
+    """One controller, its channel and its proxies.
+
+    Raises an AssertionError as soon as a safety rule is broken.
 
     Attributes:
-        pace: Pace of the channel as a part of the stated one; the rules' times grow as it falls.
-        lines_written: Lines of all messages so far, with their overhead.
-        longest_use_us: The longest that a removed host stayed in use at a proxy after the proxy's
-            controller was notified, or the proxy joined.
+        facts: The start facts of the controller.
+        pace: Speed of the channel as a share of `facts.channel_lines_per_s`. The time limits of the
+            rules are divided by it.
+        now: The clock, in microseconds.
+        controller: The controller under test.
+        proxies: The joined proxies, by id.
+        lines_written: Number of lines of all messages so far, message overhead included.
+        longest_use_us: The longest time for which a proxy used a removed host, in microseconds,
+            counted from the later of the host's removal from the list and the proxy's joining.
     """
 
     def __init__(self, facts: StartFacts, pace: float = 1.0, seed: int = 7) -> None:
@@ -90,13 +102,13 @@
         self._builder = MessageBuilder(len(facts.request_classes))
         self._classes = range(len(facts.request_classes))
         self._timers: list[tuple[int, int]] = []
-        self._channel: list[InFlight] = []
-        self._on_the_way: list[InFlight] = []
-        self._removed_us: dict[int, int] = {}
-        self._started_us: dict[int, int] = {}
+        self._channel: list[InFlightMessage] = []
+        self._in_transit: list[InFlightMessage] = []
+        self._removed_at_us: dict[int, int] = {}
+        self._started_at_us: dict[int, int] = {}
 
     def join(self, proxies: Iterable[int], old_hosts: Iterable[int]) -> None:
-        """Proxies join that hold these hosts in tables of another controller."""
+        """Lets proxies join that hold these hosts in tables of another controller."""
         hosts = dict.fromkeys(old_hosts, 1.0)
         batch: list[events.Event] = []
         for proxy in proxies:
@@ -109,7 +121,7 @@
         self.deliver(*batch)
 
     def deliver(self, *batch: events.Event) -> None:
-        """Delivers a batch of events and puts the messages that follow into the channel."""
+        """Delivers a batch of events and puts the resulting messages into the channel."""
         for event in batch:
             self._builder.observe(event)
             if isinstance(event, events.HostList):
@@ -120,58 +132,62 @@
                 self._timers.append((self.now + command.after_us, command.token))
         for message in self._builder.build(out):
             self._send(message)
-        waiting = sum(one.lines_left for one in self._channel)
-        assert waiting <= self.facts.backlog_cap_lines, "the queue grew past its limit"
+        waiting = sum(message.lines_left for message in self._channel)
+        assert waiting <= self.facts.backlog_cap_lines, "the queued lines exceed the backlog cap"
 
     def pass_time(self, us: int) -> None:
-        """Lets time pass in steps, and checks the rules after each."""
+        """Advances the clock by at least `us` in steps, and checks the rules after each step."""
         end = self.now + us
         while self.now < end:
             self.now += STEP_US
             due = [token for at, token in self._timers if at <= self.now]
             self._timers = [timer for timer in self._timers if timer[0] > self.now]
-            self._carry(self.facts.channel_lines_per_s * self.pace * STEP_US / SECOND)
+            self._transmit(self.facts.channel_lines_per_s * self.pace * STEP_US / SECOND)
             self.deliver(*map(events.TimerExpired, due), *self._arrivals())
             self._check_rules()
 
     def _observe_list(self, listed: events.HostList) -> None:
         for item in listed.entries:
             if item.state is HostState.READY:
-                self._removed_us.pop(item.host, None)
-                self._started_us[item.host] = item.started_us
+                self._removed_at_us.pop(item.host, None)
+                self._started_at_us[item.host] = item.started_us
             else:
-                self._removed_us.setdefault(item.host, self.now)
-                self._started_us.pop(item.host, None)
+                self._removed_at_us.setdefault(item.host, self.now)
+                self._started_at_us.pop(item.host, None)
 
     def _send(self, message: Message) -> None:
         lines = message.line_count() + self.facts.message_overhead_lines
         self.lines_written += lines
         stream = (message.proxy, self.proxies[message.proxy].joined_us)
-        self._channel.append(InFlight(stream, message, lines))
+        self._channel.append(InFlightMessage(stream, message, lines))
 
-    def _carry(self, capacity: float) -> None:
+    def _transmit(self, capacity: float) -> None:
         while self._channel and capacity > 0:
             first = self._channel[0]
-            carried = min(capacity, first.lines_left)
-            capacity -= carried
-            first.lines_left -= carried
+            transmitted = min(capacity, first.lines_left)
+            capacity -= transmitted
+            first.lines_left -= transmitted
             if first.lines_left <= 0:
                 first.due_us = self.now + self.facts.max_one_way_delay_us
-                self._on_the_way.append(self._channel.pop(0))
+                self._in_transit.append(self._channel.pop(0))
 
     def _arrivals(self) -> list[events.Event]:
-        """Applies the messages that are due; returns their acknowledgements."""
-        arrived = [one for one in self._on_the_way if one.due_us <= self.now]
-        self._on_the_way = [one for one in self._on_the_way if one.due_us > self.now]
+        """Applies the messages that are due.
+
+        Returns:
+            Their acknowledgements.
+        """
+        arrived = [item for item in self._in_transit if item.due_us <= self.now]
+        self._in_transit = [item for item in self._in_transit if item.due_us > self.now]
         acknowledged: list[events.Event] = []
-        for one in arrived:
-            number, joined_us = one.proxy
+        for item in arrived:
+            number, joined_us = item.stream
             proxy = self.proxies[number]
             if proxy.joined_us != joined_us:
                 continue
-            proxy.apply(one.message)
-            if one.message.sequence_number is not None:
-                acknowledged.append(events.Acknowledged(number, one.message.sequence_number, 0))
+            proxy.apply(item.message)
+            if item.message.sequence_number is not None:
+                acknowledged.append(events.Acknowledged(number, item.message.sequence_number, 0))
         return acknowledged
 
     # The rules
@@ -179,7 +195,7 @@
     def _check_rules(self) -> None:
         has_warm_host = any(
             self.now - started_us >= self.facts.warmup_us
-            for started_us in self._started_us.values()
+            for started_us in self._started_at_us.values()
         )
         for number, proxy in self.proxies.items():
             for request_class in self._classes:
@@ -188,11 +204,13 @@
                 if usable_hosts or not has_warm_host:
                     proxy.served_us[request_class] = self.now
                 unserved_us = self.now - proxy.served_us[request_class]
-                assert unserved_us <= self.facts.max_unbound_us / self.pace, f"{number}: no host"
+                assert unserved_us <= self.facts.max_unbound_us / self.pace, (
+                    f"proxy {number} had no usable host for too long"
+                )
 
     def _check_drains(self, number: int, proxy: ModelProxy, usable_hosts: set[int]) -> None:
-        for host in usable_hosts & self._removed_us.keys():
-            used_us = self.now - max(self._removed_us[host], proxy.joined_us)
+        for host in usable_hosts & self._removed_at_us.keys():
+            used_us = self.now - max(self._removed_at_us[host], proxy.joined_us)
             self.longest_use_us = max(self.longest_use_us, used_us)
             assert used_us <= self.facts.drain_grace_us / self.pace, (
                 f"proxy {number} uses host {host} {used_us / SECOND:.2f} s after its removal"
