--- a/tests/support/endpoint_lists.py
+++ b/tests/support/endpoint_lists.py
@@ -1,4 +1,4 @@
-"""Endpoint lists in discovery's JSON, and directories that have taken one."""
+"""Endpoint lists in the JSON format of discovery, and directories that have applied one."""
 
 from plankroute.net.discovery.catalogue import list_from
 from plankroute.net.discovery.directory import Directory
@@ -8,7 +8,7 @@
 def host_json(
     uid: str, state: str = "SERVING", az: str = "a", boot_ms: float = 0, **other: object
 ) -> dict:
-    """Returns a host as discovery lists it; `other` replaces any field."""
+    """Returns a host as discovery lists it; `other` replaces or adds fields."""
     return {
         "uid": uid,
         "endpoint": "127.0.0.1:1",
@@ -23,7 +23,7 @@
 
 
 def list_json(*members: dict, rev: int = 41, whole: bool = True) -> dict:
-    """Returns a list as discovery sends it."""
+    """Returns an endpoint list as discovery sends it; without `whole`, the changes of one."""
     return {"rev": rev, "all": whole, "targets": list(members)}
 
 
@@ -33,6 +33,7 @@
 
 
 def directory_of(*uids: str) -> Directory:
-    known = new_directory()
-    known.apply_list(list_from(list_json(*map(host_json, uids))))
-    return known
+    """Returns a directory that has applied a list of these hosts."""
+    directory = new_directory()
+    directory.apply_list(list_from(list_json(*map(host_json, uids))))
+    return directory
--- a/tests/support/faulty_discovery.py
+++ b/tests/support/faulty_discovery.py
@@ -1,4 +1,4 @@
-"""A discovery whose first call meets a fault: it hangs, breaks off, drips or sends nonsense."""
+"""A discovery server that fails its first request: it hangs, disconnects or responds wrongly."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -8,19 +8,23 @@
 
 from support.service_harness import FakeDiscovery, RunningService, endpoint_list, run_scenario
 
-HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-
-
+RESPONSE_HEADER = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 DRAINING_HOST_LINE = orjson.dumps(endpoint_list(43, "s-1", whole=False, state="DRAINING")) + b"\n"
 
 
 def chunk(text: bytes) -> bytes:
-    """Returns a chunk of a chunked body."""
+    """Returns one chunk of a body in chunked transfer coding."""
     return b"%x\r\n%s\r\n" % (len(text), text)
 
 
 class FaultyDiscovery(FakeDiscovery):
-    """Its first call meets the fault; later ones are watches as they should be."""
+    """Answers its first request with a fault, and later requests with a watch.
+
+    Attributes:
+        fault: Function that writes the faulty response.
+        calls: Number of connections so far.
+        request_received: Set once the first request has been received.
+    """
 
     def __init__(self, fault: Callable[[asyncio.StreamWriter], Awaitable[None]]) -> None:
         super().__init__()
@@ -28,6 +32,7 @@
         self.request_received = asyncio.Event()
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        """Serves one connection; after the fault, it waits for the controller to close."""
         self.calls += 1
         if self.calls > 1:
             return await super().serve(reader, writer)
@@ -38,21 +43,28 @@
             await reader.read()
 
 
-async def send_repeatedly(writer: asyncio.StreamWriter, head: bytes, byte: bytes) -> None:
-    """Sends the head and then the byte again and again, until the connection is closed."""
-    writer.write(head)
+async def send_repeatedly(writer: asyncio.StreamWriter, start: bytes, data: bytes) -> None:
+    """Sends `start` once and then `data` every 10 ms until the connection is closed."""
+    writer.write(start)
     while not writer.transport.is_closing():
-        writer.write(byte)
+        writer.write(data)
         await asyncio.sleep(0.01)
 
 
-def respond(data: bytes, then: str = "") -> Callable[[asyncio.StreamWriter], Awaitable[None]]:
+def respond(data: bytes, ending: str = "") -> Callable[[asyncio.StreamWriter], Awaitable[None]]:
+    """Returns a fault that sends `data` and then ends the connection.
+
+    Args:
+        data: What the server sends.
+        ending: "fin" to close the connection, "reset" to abort it, "" to leave it open.
+    """
+
     async def fault(writer: asyncio.StreamWriter) -> None:
         writer.write(data)
         await writer.drain()
-        if then == "fin":
+        if ending == "fin":
             writer.close()
-        elif then == "reset":
+        elif ending == "reset":
             writer.transport.abort()
 
     return fault
@@ -60,14 +72,14 @@
 
 FAULTS: dict[str, Callable[[asyncio.StreamWriter], Awaitable[None]]] = {
     "hangs before the response": respond(b""),
-    "hangs after the header": respond(HEAD),
-    "hangs in a line": respond(HEAD + chunk(DRAINING_HOST_LINE[:30])),
-    "hangs after whole lines": respond(HEAD + chunk(b"\n")),
-    "ends after the header": respond(HEAD, "fin"),
-    "ends in a line": respond(HEAD + chunk(DRAINING_HOST_LINE[:30]), "fin"),
-    "is reset in a line": respond(HEAD + chunk(DRAINING_HOST_LINE[:30]), "reset"),
+    "hangs after the header": respond(RESPONSE_HEADER),
+    "hangs in a line": respond(RESPONSE_HEADER + chunk(DRAINING_HOST_LINE[:30])),
+    "hangs after whole lines": respond(RESPONSE_HEADER + chunk(b"\n")),
+    "ends after the header": respond(RESPONSE_HEADER, "fin"),
+    "ends in a line": respond(RESPONSE_HEADER + chunk(DRAINING_HOST_LINE[:30]), "fin"),
+    "is reset in a line": respond(RESPONSE_HEADER + chunk(DRAINING_HOST_LINE[:30]), "reset"),
     "is reset before the response": respond(b"", "reset"),
-    "sends an endless line": lambda writer: send_repeatedly(writer, HEAD, chunk(b" ")),
+    "sends an endless line": lambda writer: send_repeatedly(writer, RESPONSE_HEADER, chunk(b" ")),
     "sends an endless header": lambda writer: send_repeatedly(
         writer, b"HTTP/1.1 200 OK\r\nX-Slow: ", b"x"
     ),
@@ -82,9 +94,9 @@
     "ends before its content length": respond(
         b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n" + DRAINING_HOST_LINE[:5], "fin"
     ),
-    "sends an oversized line": respond(HEAD + chunk(b"x" * 9_000_000)),
+    "sends an oversized line": respond(RESPONSE_HEADER + chunk(b"x" * 9_000_000)),
     "does not speak HTTP": respond(b"\x16\x03\x01\x02\x00\x01\r\n\r\n"),
-    "sends JSON that is no list": respond(HEAD + chunk(b"[3]\n")),
+    "sends JSON that is no list": respond(RESPONSE_HEADER + chunk(b"[3]\n")),
 }
 
 
@@ -93,7 +105,13 @@
     scenario: Callable[[RunningService, FaultyDiscovery], Awaitable[None]],
     log: list[bytes],
 ) -> None:
-    """The scenario with an agent whose first call meets the fault."""
+    """Runs a scenario in which the first request to discovery meets a fault.
+
+    Args:
+        fault: Key of `FAULTS`.
+        scenario: Coroutine function of the running controller and its faulty discovery.
+        log: List to which the controller's log lines are appended.
+    """
 
     async def inner(running: RunningService) -> None:
         faulty = FaultyDiscovery(FAULTS[fault])
--- a/tests/support/host_snapshots.py
+++ b/tests/support/host_snapshots.py
@@ -1,4 +1,4 @@
-"""Snapshots of hosts, as tests of the warm start use them."""
+"""Snapshots of hosts for tests of the warm start."""
 
 from collections.abc import Iterable
 
@@ -19,11 +19,12 @@
     withdrawn: Iterable[tuple[str, str]] = (),
     controller: str = "n1",
 ) -> Snapshot:
+    """Returns a snapshot that a controller took of these hosts, with a list of age 0."""
     return Snapshot(controller, revision, 0, hosts, tuple(withdrawn))
 
 
 def file_of_version(version: int) -> bytes:
-    """A file that is whole, but of another version of the format."""
+    """Returns an intact snapshot file that states the given format version."""
     data = encode_file(snapshot_of(HEALTHY), 5000)
     body = data[HEADER.size :]
     header = HEADER.pack(MAGIC, version, 0, len(body), 5000, 0)
--- a/tests/support/protocol_lines.py
+++ b/tests/support/protocol_lines.py
@@ -1,4 +1,4 @@
-"""One line of each kind that peers send, without its end."""
+"""One line of each kind that proxies and collectors send, without the line end."""
 
 COLLECTOR_LINE = b"agent locality=a"
 LIVENESS_CHECK_LINE = b"probe"
--- a/tests/support/service_harness.py
+++ b/tests/support/service_harness.py
@@ -1,4 +1,4 @@
-"""A controller on loopback with a stand-in for discovery; tests act as proxies and collectors."""
+"""Runs a controller on loopback with a fake discovery; tests act as proxies and collectors."""
 
 import asyncio
 import os
@@ -50,6 +50,14 @@
 
 
 def endpoint_list(rev: int, *hosts: str, whole: bool = True, state: str = "SERVING") -> dict:
+    """Returns an endpoint list in discovery's JSON format.
+
+    Args:
+        rev: Revision of the list.
+        *hosts: Uids of the listed hosts.
+        whole: Whether the list is complete; otherwise it holds changes.
+        state: State of all listed hosts.
+    """
     return {
         "rev": rev,
         "all": whole,
@@ -70,6 +78,12 @@
 
 
 def config(discovery: int, listen: int = 0) -> bytes:
+    """Returns a configuration file whose known endpoint list holds three hosts.
+
+    Args:
+        discovery: Loopback port of discovery.
+        listen: Loopback port of the controller; 0 for any free port.
+    """
     return orjson.dumps(
         {
             "name": "n1",
@@ -84,49 +98,54 @@
 
 
 class FakeDiscovery:
-    """A stand-in for discovery: the test sends what its watches are to carry."""
+    """A fake discovery server; the test writes the bodies of its responses.
+
+    Attributes:
+        request_targets: Targets of the HTTP requests, in order of arrival.
+        watches: Streams of the responses, in the same order.
+    """
 
     def __init__(self) -> None:
-        self.request_targets: asyncio.Queue[str] = asyncio.Queue()  # of the requests
+        self.request_targets: asyncio.Queue[str] = asyncio.Queue()
         self.watches: asyncio.Queue[asyncio.StreamWriter] = asyncio.Queue()
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Answers a request with a response that has no end."""
+        """Sends the header of a chunked response, whose body the test then writes."""
         try:
             head = await reader.readuntil(b"\r\n\r\n")
         except asyncio.CancelledError:
-            return  # the test's end, which the loop would report as an error of the controller
+            return  # the test ended; the loop would report the exception as a controller error
         writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
         self.request_targets.put_nowait(head.split()[1].decode())
         self.watches.put_nowait(writer)
 
     @staticmethod
     def send(watch: asyncio.StreamWriter, text: bytes) -> None:
-        """Sends a text in two chunks: chunks may end anywhere."""
+        """Sends a text in two chunks, because a chunk may end anywhere within a line."""
         for piece in (text[:7], text[7:]):
             watch.write(b"%x\r\n%s\r\n" % (len(piece), piece))
 
 
 class Client:
-    """A connection to the controller."""
+    """A connection from a proxy or collector to the controller."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader = reader
         self.writer = writer
 
     def send(self, *lines: str) -> None:
-        """Sends lines."""
+        """Sends lines; the line ends are added."""
         self.writer.write("".join(line + "\r\n" for line in lines).encode("latin-1"))
 
     async def receive(self, part: str = "") -> str:
-        """Returns the next line that contains the part."""
+        """Skips lines up to the next one that contains `part`, and returns it without its end."""
         while True:
             line = (await self.reader.readuntil(b"\r\n")).decode()
             if part in line:
                 return line.strip()
 
     async def is_closed(self) -> bool:
-        """Whether nothing came before the connection was closed; waits for it."""
+        """Waits for data or the end of the connection; returns True if no data arrived."""
         try:
             return not await self.reader.read()
         except ConnectionResetError:
@@ -134,7 +153,13 @@
 
 
 class RunningService:
-    """A controller that runs in the test's loop, its discovery, and its counters."""
+    """A controller that runs in the event loop of the test.
+
+    Attributes:
+        service: The controller's service.
+        discovery: The discovery server that it uses.
+        counts: Its counters by name.
+    """
 
     def __init__(self, service: Service, discovery: FakeDiscovery) -> None:
         self.service = service
@@ -142,7 +167,7 @@
         self.counts = service.telemetry.counts
 
     async def connect(self, *lines: str) -> Client:
-        """Opens a connection and sends lines."""
+        """Opens a connection to the controller and sends lines."""
         assert self.service.listener.server
         address = self.service.listener.server.sockets[0].getsockname()
         client = Client(*await asyncio.open_connection(*address))
@@ -150,7 +175,7 @@
         return client
 
     async def wait_until(self, holds: Callable[[], bool]) -> None:
-        """Waits until the condition holds; the scenario's timeout bounds it."""
+        """Polls a condition until it holds or the timeout of the scenario expires."""
         while not holds():
             await asyncio.sleep(0.001)
 
@@ -159,7 +184,15 @@
 
 
 def run_scenario(scenario: Scenario, log: list[bytes] | None = None) -> RunningService:
-    """Runs a controller, the scenario against it, and ends it by SIGTERM."""
+    """Runs a scenario against a controller and then stops the controller by SIGTERM.
+
+    Args:
+        scenario: Coroutine function of the running controller; it may take 20 s with the shutdown.
+        log: List to which the controller's log lines are appended.
+
+    Returns:
+        The controller after its shutdown, with its counters.
+    """
     lines = [] if log is None else log
 
     async def run() -> RunningService:
@@ -176,7 +209,7 @@
             await scenario(running)
             os.kill(os.getpid(), signal.SIGTERM)
             await serving
-            # Log lines are written by a thread: the test may read them now.
+            # A thread writes the log lines; wait for it, so that the test can read them all.
             service.telemetry.log.finish(5.0)
             return running
 
@@ -186,10 +219,18 @@
 HELLO = "hello node=3 locality=a w=21.5 cold=1"
 
 
-# The options are those of Popen.
+# `options` are keyword arguments of Popen, which have many types.
 @contextmanager
 def controller_process(path: Path, text: bytes, **options: Any) -> Iterator[subprocess.Popen]:  # noqa: ANN401
-    """Starts a controller in a process of its own and yields it once it listens."""
+    """Runs a controller in a separate process.
+
+    Yields the process once the controller listens, and kills it when the context ends.
+
+    Args:
+        path: Where the configuration file is written.
+        text: Content of the configuration file.
+        **options: Further keyword arguments of Popen.
+    """
     path.write_bytes(text)
     with subprocess.Popen(
         [sys.executable, "-m", "plankroute"],
@@ -207,11 +248,13 @@
 
 
 def free_port() -> int:
+    """Returns a loopback port that is free at the time of the call."""
     with socket.create_server(("127.0.0.1", 0)) as server:
         return server.getsockname()[1]
 
 
 def check_liveness(port: int) -> bytes:
+    """Sends a liveness check and returns the response, empty if the connection was closed."""
     with socket.create_connection(("127.0.0.1", port), 20) as client:
         client.sendall(b"probe\r\n")
         return client.recv(100)
