--- a/tests/support/service_harness.py
+++ b/tests/support/service_harness.py
@@ -145,7 +145,7 @@
                 return line.strip()
 
     async def is_closed(self) -> bool:
-        """Waits for data or the end of the connection; returns True if no data arrived."""
+        """Waits until the connection is closed; returns whether no data arrived before."""
         try:
             return not await self.reader.read()
         except ConnectionResetError:
