--- a/tests/compatibility/mixed_builds.py
+++ b/tests/compatibility/mixed_builds.py
@@ -2,9 +2,9 @@
 
     python tests/compatibility/mixed_builds.py OLD_TREE NEW_TREE
 
-Each tree is a clone in which the `build` command of its deploy file has run; all controllers are
-started by the `run` command of the old tree's deploy file, with configuration and feature files
-that are the same for both builds. The script uses what leaves a process only: files, sockets and
+Each tree is a clone in which the `build` command of its deploy file has run. All controllers are
+started by the `run` command of the old tree's deploy file, with the same configuration and feature
+files for both builds. The script observes the processes only from outside: by files, sockets and
 log lines. It exits with status 1 if a check fails.
 """
 
@@ -29,7 +29,7 @@
 HOSTS = 20
 FAILING_HOST = 7
 DRAINED_HOST = 3
-KNOWN_HOSTS = HOSTS - 1  # a snapshot leaves out the drained host
+KNOWN_HOSTS = HOSTS - 1  # a snapshot omits the drained host
 PROXY_PORT = 7948
 MEMBERSHIP_PORT = 7946
 LINK_PORT = 7950
@@ -39,7 +39,13 @@
 
 
 class ListService:
-    """Serves the endpoint list to watches, and sends changes to all of them."""
+    """A discovery server that serves the endpoint list to watches and sends them its changes.
+
+    Attributes:
+        revision: Revision of the list.
+        targets: The listed hosts, as in the JSON format of discovery.
+        watches: Streams of the open watches.
+    """
 
     def __init__(self) -> None:
         self.revision = 5
@@ -59,10 +65,12 @@
         self.watches: set[asyncio.StreamWriter] = set()
 
     def chunk(self, is_complete: bool, targets: list[JsonObject]) -> bytes:
+        """Returns a list, or changes of one, as a chunk of an HTTP response."""
         body = orjson.dumps({"rev": self.revision, "all": is_complete, "targets": targets}) + b"\n"
         return b"%x\r\n%s\r\n" % (len(body), body)
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        """Sends the complete list, and keeps the watch open until the controller closes it."""
         try:
             await reader.readuntil(b"\r\n\r\n")
             writer.write(LIST_HEAD + self.chunk(True, self.targets))
@@ -75,13 +83,14 @@
             writer.transport.abort()
 
     def drain(self, host: int) -> None:
-        """Lists a host as draining."""
+        """Lists a host as draining and sends the change to all watches."""
         self.revision += 1
         self.targets[host] = {**self.targets[host], "state": "DRAINING"}
         for writer in self.watches:
             writer.write(self.chunk(False, [self.targets[host]]))
 
     async def send_heartbeats(self) -> None:
+        """Sends an empty line to all watches every 0.5 s."""
         while True:
             await asyncio.sleep(0.5)
             for writer in self.watches:
@@ -90,7 +99,15 @@
 
 @dataclass
 class Controller:
-    """One controller's process and the lines of its log."""
+    """One controller's process and the lines of its log.
+
+    Attributes:
+        name: Name of the controller.
+        address: Its loopback address.
+        environment: Environment variables of the process, apart from PATH.
+        process: The process; None before the first start.
+        lines: Log lines of the process since its last start.
+    """
 
     name: str
     address: str
@@ -99,6 +116,7 @@
     lines: list[JsonObject] = field(default_factory=list)
 
     async def start(self, tree: Path, command: str) -> None:
+        """Starts a process by a shell command in a tree, and forgets earlier log lines."""
         self.lines.clear()
         self.process = await asyncio.create_subprocess_shell(
             command,
@@ -109,6 +127,7 @@
         )
 
     async def read_log(self, on_line: Callable[[JsonObject], None]) -> None:
+        """Reads log lines until the process closes its log, and passes each to `on_line`."""
         assert self.process
         assert self.process.stderr
         async for text in self.process.stderr:
@@ -117,28 +136,45 @@
             on_line(line)
 
     def has_logged(self, event: str, **fields: object) -> bool:
+        """Whether a log line has this event and these fields."""
         return any(
             line["event"] == event and all(line.get(key) == value for key, value in fields.items())
             for line in self.lines
         )
 
     def counters(self) -> JsonObject:
+        """Returns the last line of counters, or an empty object if there is none."""
         lines = [line for line in self.lines if line["event"] == "counters"]
         return lines[-1] if lines else {}
 
-    async def stop(self, number: signal.Signals) -> None:
+    async def stop(self, signal_number: signal.Signals) -> None:
+        """Sends a signal to a running process and waits until it ends."""
         if self.process and self.process.returncode is None:
-            self.process.send_signal(number)
+            self.process.send_signal(signal_number)
             await asyncio.wait_for(self.process.wait(), TIMEOUT_S)
 
 
 class Group:
-    """Controllers of one group, each of the build that `trees` names for it."""
-
-    def __init__(self, trees: list[Path], command: str, net: int, folder: Path) -> None:
+    """Controllers of one group and the discovery server that they use.
+
+    Attributes:
+        trees: The tree of the build that each controller runs.
+        command: Shell command that starts a controller.
+        network: Second byte of the controllers' loopback addresses.
+        folder: Folder of the controllers' files.
+        service: The discovery server.
+        fields_by_event: Names of the fields that were logged with each event.
+        counter_names: Names of all counters that were logged.
+        errors: Log lines of level error.
+        followers: Names of the controllers that were a follower at any time.
+        tasks: Running tasks.
+        controllers: The controllers, by number.
+    """
+
+    def __init__(self, trees: list[Path], command: str, network: int, folder: Path) -> None:
         self.trees = trees
         self.command = command
-        self.net = net
+        self.network = network
         self.folder = folder
         self.service = ListService()
         self.fields_by_event: dict[str, set[str]] = defaultdict(set)
@@ -149,7 +185,8 @@
         self.controllers: list[Controller] = []
 
     def add_controllers(self, discovery: str) -> None:
-        addresses = [f"127.{self.net}.0.{number + 1}" for number in range(CONTROLLERS)]
+        """Writes the files of all controllers, which use the discovery server at this address."""
+        addresses = [f"127.{self.network}.0.{number + 1}" for number in range(CONTROLLERS)]
         for number, address in enumerate(addresses):
             name = f"n{number:04d}"
             configuration = {
@@ -184,7 +221,7 @@
                     "links": {
                         "listen": f"{address}:{LINK_PORT}",
                         "port": LINK_PORT,
-                        "watchers": 1,  # so that controllers of both builds follow another one
+                        "watchers": 1,  # so that controllers of both builds become followers
                     }
                 },
                 "learned": {"folder": str(self.folder), "every_s": 0.2},
@@ -199,6 +236,7 @@
             self.controllers.append(Controller(name, address, environment))
 
     def record(self, line: JsonObject) -> None:
+        """Records event, fields and level of a log line."""
         event = line["event"]
         if event == "counters":
             self.counter_names |= line.keys()
@@ -209,36 +247,52 @@
         if line["level"] == "error":
             self.errors.append(line)
 
-    def run_task(self, work: Coroutine[None, None, None]) -> None:
-        task = asyncio.create_task(work)
+    def run_task(self, coroutine: Coroutine[None, None, None]) -> None:
+        """Runs a coroutine as a task, and keeps the task until it is done."""
+        task = asyncio.create_task(coroutine)
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
     async def start(self, number: int) -> None:
+        """Starts a controller and records its log."""
         controller = self.controllers[number]
         await controller.start(self.trees[number], self.command)
         self.run_task(controller.read_log(self.record))
 
-    async def wait_until(self, what: str, holds: Callable[[], bool]) -> None:
+    async def wait_until(self, awaited: str, holds: Callable[[], bool]) -> None:
+        """Polls a condition until it holds.
+
+        Args:
+            awaited: What is awaited, for the error message.
+            holds: The condition.
+
+        Raises:
+            AssertionError: The condition did not hold within `TIMEOUT_S`.
+        """
         end_s = time.monotonic() + TIMEOUT_S
         while not holds():
             if time.monotonic() > end_s:
-                newest = [controller.lines[-6:] for controller in self.controllers]
-                raise AssertionError(f"{what}: not within {TIMEOUT_S:.0f} s; {newest}")
+                last_lines = [controller.lines[-6:] for controller in self.controllers]
+                raise AssertionError(
+                    f"{awaited}: timed out after {TIMEOUT_S:.0f} s; last log lines: {last_lines}"
+                )
             await asyncio.sleep(POLL_INTERVAL_S)
 
     def all_logged(self, event: str) -> bool:
+        """Whether all controllers have logged an event."""
         return all(controller.has_logged(event) for controller in self.controllers)
 
     def have_joined(self) -> bool:
+        """Whether each controller has logged that each other one joined."""
         return all(
-            one.has_logged("member_joined", member=other.name)
-            for one in self.controllers
+            controller.has_logged("member_joined", member=other.name)
+            for controller in self.controllers
             for other in self.controllers
-            if one is not other
+            if controller is not other
         )
 
-    async def ask_counters(self) -> list[JsonObject]:
+    async def request_counters(self) -> list[JsonObject]:
+        """Makes all controllers log their counters, and returns them."""
         for controller in self.controllers:
             assert controller.process
             controller.lines = [line for line in controller.lines if line["event"] != "counters"]
@@ -249,17 +303,17 @@
         return [controller.counters() for controller in self.controllers]
 
     async def wait_for_counter(self, name: str, at_least: int) -> None:
-        """Waits until a counter of every controller is high enough."""
+        """Waits until a counter of every controller is at least this high."""
         end_s = time.monotonic() + TIMEOUT_S
         while True:
-            counters = await self.ask_counters()
-            if all(one.get(name, 0) >= at_least for one in counters):
+            counters = await self.request_counters()
+            if all(values.get(name, 0) >= at_least for values in counters):
                 return
             assert time.monotonic() < end_s, (name, counters)
             await asyncio.sleep(POLL_INTERVAL_S)
 
     async def report_requests(self, number: int) -> None:
-        """Sends the sums of a collector; one host fails all its requests."""
+        """Sends request statistics to a controller; all requests to `FAILING_HOST` failed."""
         address = self.controllers[number].address
         _, writer = await asyncio.open_connection(address, PROXY_PORT)
         writer.write(b"agent locality=a\r\n")
@@ -272,7 +326,7 @@
         await writer.drain()
 
     async def join_proxy(self, number: int) -> bytes:
-        """Connects a proxy and returns its first table."""
+        """Connects a proxy, acknowledges its first complete table and returns it."""
         reader, writer = await asyncio.open_connection(self.controllers[number].address, PROXY_PORT)
         writer.write(b"hello node=%d locality=a w=1 cold=1\r\n" % number)
         line = await asyncio.wait_for(reader.readline(), TIMEOUT_S)
@@ -284,11 +338,11 @@
         await writer.drain()
         return line
 
-    async def play(self, trees_after_restart: list[Path]) -> None:
-        """Starts the group, shares a list and a drain, restarts each controller once.
+    async def run(self, trees_after_restart: list[Path]) -> None:
+        """Starts the group, drains a host and restarts each controller once, with checks.
 
         Args:
-            trees_after_restart: The build of each controller from its restart on.
+            trees_after_restart: The tree of each controller's build after its restart.
         """
         server = await asyncio.start_server(self.service.serve, "127.0.0.1", 0)
         self.run_task(self.service.send_heartbeats())
@@ -309,7 +363,7 @@
                 self.trees[number] = trees_after_restart[number]
                 await self.restart(number)
             await self.wait_for_counter("warm_start.hosts_provided", 1)
-            self.check_counters(await self.ask_counters())
+            self.check_counters(await self.request_counters())
         finally:
             for controller in self.controllers:
                 await controller.stop(signal.SIGKILL)
@@ -318,21 +372,26 @@
                 task.cancel()
 
     def have_list(self) -> bool:
-        """Whether all controllers have the list's newest revision."""
+        """Whether all controllers have logged the newest revision of the list."""
         return all(
-            one.has_logged("list", revision=self.service.revision) for one in self.controllers
+            controller.has_logged("list", revision=self.service.revision)
+            for controller in self.controllers
         )
 
     def have_files(self) -> bool:
-        return all((self.folder / f"{one.name}.learned").exists() for one in self.controllers)
+        """Whether the snapshot files of all controllers exist."""
+        return all(
+            (self.folder / f"{controller.name}.learned").exists() for controller in self.controllers
+        )
 
     async def restart(self, number: int) -> None:
+        """Restarts a controller, and checks that it hands over and reads back its knowledge."""
         controller = self.controllers[number]
-        await asyncio.sleep(0.5)  # at least one snapshot since the reports
+        await asyncio.sleep(0.5)  # so that at least one snapshot is newer than the reports
         await controller.stop(signal.SIGTERM)
         assert controller.process
         assert controller.process.returncode == 0, controller.process.returncode
-        await asyncio.sleep(POLL_INTERVAL_S)  # for the last lines of the log
+        await asyncio.sleep(POLL_INTERVAL_S)  # so that the last log lines are read
         assert controller.has_logged("warm_start_handed_over"), controller.lines[-6:]
         await self.start(number)
         for event in ("listening", "warm_start_file_read", "warm_start_peer_asked"):
@@ -342,52 +401,54 @@
         assert controller.has_logged("warm_start_file_read", hosts=KNOWN_HOSTS), controller.lines
 
     def check_counters(self, counters: list[JsonObject]) -> None:
-        for one in counters:
-            assert not one.get("core.failed"), one
-            for name, count in one.items():
+        """Checks that nothing failed and that no message of another build was rejected."""
+        for values in counters:
+            assert not values.get("core.failed"), values
+            for name, count in values.items():
                 dropped = ("membership.dropped.malformed", "links.rejected", "links.protocol")
                 assert not (name.startswith(dropped) and count), (name, count)
         assert not self.errors, self.errors
 
 
-def run_group(trees: list[Path], trees_after: list[Path], command: str, net: int) -> Group:
-    """Plays one group in a folder of its own."""
+def run_group(trees: list[Path], trees_after: list[Path], command: str, network: int) -> Group:
+    """Runs a group in a temporary folder and returns it with its records."""
     with tempfile.TemporaryDirectory(prefix="plankroute-mixed-") as folder:
-        group = Group(list(trees), command, net, Path(folder))
-        asyncio.run(group.play(trees_after))
+        group = Group(list(trees), command, network, Path(folder))
+        asyncio.run(group.run(trees_after))
     return group
 
 
-def print_difference(what: str, old: set[str], new: set[str]) -> None:
-    print(f"{what}: {len(old)} old, {len(new)} new")
+def print_difference(title: str, old: set[str], new: set[str]) -> None:
+    """Prints the sizes of two sets and the names that only one of them contains."""
+    print(f"{title}: {len(old)} old, {len(new)} new")
     for name in sorted(old ^ new):
         print(f"  {'only old' if name in old else 'only new'}: {name}")
 
 
 def main() -> int:
-    """Plays groups of one build and of both; returns the exit status."""
+    """Runs groups of one build and of both builds; returns the exit status."""
     old, new = (Path(argument).resolve() for argument in sys.argv[1:3])
     deploy = tomllib.loads((old / "deploy" / "balancer.toml").read_text())
     command = deploy["run"]
     only_old, only_new = [old] * CONTROLLERS, [new] * CONTROLLERS
-    mixed, other_way_round = [old, new] * 2, [new, old] * 2
-    plays = {
+    mixed, swapped = [old, new] * 2, [new, old] * 2
+    builds = {
         "old build alone": (only_old, only_old),
         "new build alone": (only_new, only_new),
-        "mixed, each restarted as the other build": (mixed, other_way_round),
-        "mixed the other way round": (other_way_round, mixed),
+        "mixed, each restarted as the other build": (mixed, swapped),
+        "mixed, with the builds swapped": (swapped, mixed),
     }
     groups: dict[str, Group] = {}
-    for net, (name, (trees, trees_after)) in enumerate(plays.items(), 90):
-        groups[name] = run_group(trees, trees_after, command, net)
-        print(f"{name}: all checks kept; followers of a list: {sorted(groups[name].followers)}")
-    first, second = groups["old build alone"], groups["new build alone"]
-    print_difference("log events", set(first.fields_by_event), set(second.fields_by_event))
-    for event in sorted(first.fields_by_event.keys() & second.fields_by_event.keys()):
-        old_fields, new_fields = first.fields_by_event[event], second.fields_by_event[event]
+    for network, (name, (trees, trees_after)) in enumerate(builds.items(), 90):
+        groups[name] = run_group(trees, trees_after, command, network)
+        print(f"{name}: all checks passed; followers: {sorted(groups[name].followers)}")
+    old_group, new_group = groups["old build alone"], groups["new build alone"]
+    print_difference("log events", set(old_group.fields_by_event), set(new_group.fields_by_event))
+    for event in sorted(old_group.fields_by_event.keys() & new_group.fields_by_event.keys()):
+        old_fields, new_fields = old_group.fields_by_event[event], new_group.fields_by_event[event]
         if old_fields != new_fields:
             print_difference(f"fields of {event}", old_fields, new_fields)
-    print_difference("counters", first.counter_names, second.counter_names)
+    print_difference("counters", old_group.counter_names, new_group.counter_names)
     return 0
 
 
