--- a/tests/net/test_process_configuration.py
+++ b/tests/net/test_process_configuration.py
@@ -7,12 +7,12 @@
 
 import orjson
 import pytest
-from support.service_stage import (
+from support.service_harness import (
     HELLO,
     FakeDiscovery,
     RunningService,
     config,
-    listing,
+    endpoint_list,
     run_scenario,
 )
 
@@ -63,12 +63,12 @@
             path.unlink()
             os.kill(os.getpid(), signal.SIGHUP)
             await running.wait_until(lambda: running.counts["dropped.configurations"] == 7)
-            assert new_discovery.targets.empty() and not old_watch.transport.is_closing()
+            assert new_discovery.request_targets.empty() and not old_watch.transport.is_closing()
             await reload(running, orjson.dumps(moved), "received.configurations")
-            assert await new_discovery.targets.get() == "/catalog/members?watch=1&after=41"
+            assert await new_discovery.request_targets.get() == "/catalog/members?watch=1&after=41"
             watch = await new_discovery.watches.get()
             new_discovery.send(
-                watch, orjson.dumps(listing(42, "s-1", whole=False, state="DRAINING")) + b"\n"
+                watch, orjson.dumps(endpoint_list(42, "s-1", whole=False, state="DRAINING")) + b"\n"
             )
             assert "s-1:0" in await proxy.receive("rows")  # in the existing session
             await running.wait_until(
@@ -77,7 +77,10 @@
             assert running.service.listener.table.limits == resource_limits_for(192, 600)
             # Reloading the same configuration does not restart the watch.
             await reload(running, orjson.dumps(moved), "received.configurations")
-            assert new_discovery.targets.empty() and running.discovery.targets.qsize() == 1
+            assert (
+                new_discovery.request_targets.empty()
+                and running.discovery.request_targets.qsize() == 1
+            )
 
     run_scenario(scenario, log)
     lines = map(orjson.loads, log)
--- a/tests/net/test_process_signals.py
+++ b/tests/net/test_process_signals.py
@@ -12,7 +12,7 @@
 from contextlib import contextmanager, suppress
 from pathlib import Path
 
-from support.service_stage import HELLO, ask, config, free_port, process
+from support.service_harness import HELLO, check_liveness, config, controller_process, free_port
 
 RETURNING_HELLO = HELLO.replace("cold=1", "cold=0")
 
@@ -109,7 +109,7 @@
         reloaded = lines_until(controller, "reloaded")[-1]
         assert reloaded["discovery"] == "127.0.0.1:10"
         lines_until(controller, "listening")
-        assert ask(port) == b"alive\r\n"
+        assert check_liveness(port) == b"alive\r\n"
         controller.send_signal(signal.SIGTERM)
         last_lines(controller)
 
@@ -117,7 +117,7 @@
 def test_a_second_signal_does_not_change_the_exit_status(tmp_path: Path) -> None:
     """Guards against a wrong exit status if a signal arrives while the last lines are written."""
     text = config(discovery=9, listen=free_port())
-    with process(tmp_path / "config.json", text) as controller:
+    with controller_process(tmp_path / "config.json", text) as controller:
         assert controller.stderr
         fcntl.fcntl(controller.stderr, fcntl.F_SETPIPE_SZ, 4096)
         for _ in range(30):  # more than the pipe holds, so that the exit waits for the last lines
@@ -134,7 +134,9 @@
     """A proxy receives complete lines and at most one partial line at the end."""
     port = free_port()
     with (
-        process(tmp_path / "config.json", config(discovery=9, listen=port)) as controller,
+        controller_process(
+            tmp_path / "config.json", config(discovery=9, listen=port)
+        ) as controller,
         socket.create_connection(("127.0.0.1", port)) as proxy,
         socket.create_connection(("127.0.0.1", port)) as partial_hello,
     ):
@@ -179,7 +181,7 @@
                             RETURNING_HELLO.replace("=3", f"={len(reconnected) - 1}") + "\r\n"
                         ).encode()
                     )
-            assert ask(port) == b"alive\r\n"
+            assert check_liveness(port) == b"alive\r\n"
             ready_times_s.append(time.monotonic() - started_at)
             if len(ready_times_s) % 2:
                 controller.kill()
--- a/tests/net/test_process_start_and_end.py
+++ b/tests/net/test_process_start_and_end.py
@@ -10,7 +10,7 @@
 from pathlib import Path
 
 import pytest
-from support.service_stage import ask, config, free_port, process
+from support.service_harness import check_liveness, config, controller_process, free_port
 
 
 @pytest.mark.parametrize(
@@ -35,10 +35,10 @@
     port = free_port()
     text = config(discovery=9, listen=port)
     with (
-        process(tmp_path / "config.json", text) as controller,
+        controller_process(tmp_path / "config.json", text) as controller,
         socket.create_connection(("127.0.0.1", port)),
     ):
-        assert ask(port) == b"alive\r\n"
+        assert check_liveness(port) == b"alive\r\n"
         controller.send_signal(signal.SIGTERM)
         lines = [json.loads(line) for line in controller.stderr.read().splitlines()]
         assert controller.wait(60) == 0
@@ -50,10 +50,13 @@
 def test_a_restart_after_a_kill_listens_at_the_same_address(tmp_path: Path) -> None:
     port = free_port()
     text = config(discovery=9, listen=port)
-    with process(tmp_path / "config.json", text), socket.create_connection(("127.0.0.1", port)):
-        assert ask(port) == b"alive\r\n"
-    with process(tmp_path / "config.json", text):
-        assert ask(port) == b"alive\r\n"
+    with (
+        controller_process(tmp_path / "config.json", text),
+        socket.create_connection(("127.0.0.1", port)),
+    ):
+        assert check_liveness(port) == b"alive\r\n"
+    with controller_process(tmp_path / "config.json", text):
+        assert check_liveness(port) == b"alive\r\n"
 
 
 def test_the_controller_survives_running_out_of_descriptors(tmp_path: Path) -> None:
@@ -64,10 +67,10 @@
         resource.setrlimit(resource.RLIMIT_NOFILE, (24, 24))
 
     path = tmp_path / "config.json"
-    with process(path, text, preexec_fn=allow_few_descriptors) as controller:
+    with controller_process(path, text, preexec_fn=allow_few_descriptors) as controller:
         connections = [socket.create_connection(("127.0.0.1", port)) for _ in range(40)]
         while b'"loop_failed"' not in controller.stderr.readline():
             pass
         for connection in connections:
             connection.close()
-        assert ask(port) == b"alive\r\n"
+        assert check_liveness(port) == b"alive\r\n"
--- a/tests/net/test_watch.py
+++ b/tests/net/test_watch.py
@@ -8,8 +8,13 @@
 
 import orjson
 import pytest
-from support.faulty_discovery import DRAINED, FAULTS, FaultyDiscovery, run_with_faulty_discovery
-from support.service_stage import HELLO, RunningService, config, listing, run_scenario
+from support.faulty_discovery import (
+    DRAINING_HOST_LINE,
+    FAULTS,
+    FaultyDiscovery,
+    run_with_faulty_discovery,
+)
+from support.service_harness import HELLO, RunningService, config, endpoint_list, run_scenario
 
 from plankroute.net.discovery import watch as watch_module
 
@@ -18,28 +23,28 @@
     async def scenario(running: RunningService) -> None:
         proxy = await running.connect(HELLO)
         await proxy.receive("replace=1")
-        assert await running.discovery.targets.get() == "/catalog/members?watch=1&after=41"
+        assert await running.discovery.request_targets.get() == "/catalog/members?watch=1&after=41"
         watch = await running.discovery.watches.get()
-        drained = orjson.dumps(listing(43, "s-1", whole=False, state="DRAINING"))
+        drained = orjson.dumps(endpoint_list(43, "s-1", whole=False, state="DRAINING"))
         running.discovery.send(watch, b"\n" + drained + b"\n\n")
         assert "s-1:0" in await proxy.receive("rows")
         watch.close()
-        assert await running.discovery.targets.get() == "/catalog/members?watch=1&after=43"
+        assert await running.discovery.request_targets.get() == "/catalog/members?watch=1&after=43"
         watch = await running.discovery.watches.get()
         running.discovery.send(watch, b'{"rev": 44, "all": fal\n')
         # No part of the malformed list was applied.
-        assert await running.discovery.targets.get() == "/catalog/members?watch=1&after=43"
+        assert await running.discovery.request_targets.get() == "/catalog/members?watch=1&after=43"
         watch = await running.discovery.watches.get()
-        running.discovery.send(watch, orjson.dumps(listing(45, "s-1", "s-3")) + b"\n")
+        running.discovery.send(watch, orjson.dumps(endpoint_list(45, "s-1", "s-3")) + b"\n")
         assert "s-2:0" in await proxy.receive("rows")
-        running.discovery.send(watch, orjson.dumps(listing(9, "s-1", whole=False)) + b"\n")
+        running.discovery.send(watch, orjson.dumps(endpoint_list(9, "s-1", whole=False)) + b"\n")
         # Discovery was reset, so the complete list is fetched.
-        assert await running.discovery.targets.get() == "/catalog/members"
+        assert await running.discovery.request_targets.get() == "/catalog/members"
         poll = await running.discovery.watches.get()
-        running.discovery.send(poll, orjson.dumps(listing(9, "s-1")))
+        running.discovery.send(poll, orjson.dumps(endpoint_list(9, "s-1")))
         poll.write(b"0\r\n\r\n")
         assert "s-3:0" in await proxy.receive("rows")
-        assert await running.discovery.targets.get() == "/catalog/members?watch=1&after=9"
+        assert await running.discovery.request_targets.get() == "/catalog/members?watch=1&after=9"
 
     run_scenario(scenario)
 
@@ -58,8 +63,8 @@
         )
         proxy = await running.connect(HELLO)
         await proxy.receive("replace=1")
-        assert await faulty.targets.get() == "/catalog/members?watch=1&after=41"
-        faulty.send(await faulty.watches.get(), DRAINED)
+        assert await faulty.request_targets.get() == "/catalog/members?watch=1&after=41"
+        faulty.send(await faulty.watches.get(), DRAINING_HOST_LINE)
         assert "s-1:0" in await proxy.receive("rows")
 
     run_with_faulty_discovery(fault, scenario, log)
@@ -67,7 +72,9 @@
     assert logged.count("watch_ended") == 1 and "loop_failed" not in logged
 
 
-@pytest.mark.parametrize("fault", ["hangs in a line", "drips in a line", "hangs after the dial"])
+@pytest.mark.parametrize(
+    "fault", ["hangs in a line", "sends an endless line", "hangs before the response"]
+)
 def test_a_change_arrives_within_the_platforms_limit_after_a_faulty_watch(fault: str) -> None:
     """The idle timeout and the longest pause before a new call: 3.45 s plus the network delay."""
     delays_s = list[float]()
@@ -75,9 +82,9 @@
     async def scenario(running: RunningService, faulty: FaultyDiscovery) -> None:
         proxy = await running.connect(HELLO)
         await proxy.receive("replace=1")
-        await faulty.met.wait()
+        await faulty.request_received.wait()
         started = time.monotonic()
-        faulty.send(await faulty.watches.get(), DRAINED)
+        faulty.send(await faulty.watches.get(), DRAINING_HOST_LINE)
         assert "s-1:0" in await proxy.receive("rows")
         delays_s.append(time.monotonic() - started)
 
@@ -92,20 +99,22 @@
         proxy = await running.connect(HELLO)
         await proxy.receive("replace=1")
         watch = await running.discovery.watches.get()
-        running.discovery.send(watch, DRAINED)
+        running.discovery.send(watch, DRAINING_HOST_LINE)
         await watch.drain()
         if then == "fin":
             watch.close()
         else:
             watch.transport.abort()
         assert "s-1:0" in await proxy.receive("rows")
-        assert await running.discovery.targets.get() == "/catalog/members?watch=1&after=41"
-        assert await running.discovery.targets.get() == "/catalog/members?watch=1&after=43"
+        assert await running.discovery.request_targets.get() == "/catalog/members?watch=1&after=41"
+        assert await running.discovery.request_targets.get() == "/catalog/members?watch=1&after=43"
 
     run_scenario(scenario)
 
 
-@pytest.mark.parametrize("fault", ["hangs after the dial", "hangs in a line", "drips in a line"])
+@pytest.mark.parametrize(
+    "fault", ["hangs before the response", "hangs in a line", "sends an endless line"]
+)
 def test_a_new_discovery_address_ends_a_hanging_call(
     fault: str, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
@@ -113,7 +122,7 @@
     monkeypatch.setenv("GW_CONFIG", str(path))
 
     async def scenario(running: RunningService, faulty: FaultyDiscovery) -> None:
-        await faulty.met.wait()
+        await faulty.request_received.wait()
         proxy = await running.connect(HELLO)
         await proxy.receive("replace=1")
         path.write_bytes(config(int(running.service.configuration.discovery.rpartition(":")[2])))
@@ -124,7 +133,7 @@
         while not running.discovery.watches.empty():
             running.discovery.watches.get_nowait()
         os.kill(os.getpid(), signal.SIGHUP)
-        running.discovery.send(await running.discovery.watches.get(), DRAINED)
+        running.discovery.send(await running.discovery.watches.get(), DRAINING_HOST_LINE)
         assert "s-1:0" in await proxy.receive("rows")
         assert faulty.calls == 1
 
--- a/tests/policy/test_flow_control.py
+++ b/tests/policy/test_flow_control.py
@@ -4,16 +4,16 @@
 import random
 
 import pytest
-from support.controller_bench import feed, large_bench, ready_bench
+from support.controller_bench import large_bench, ready_bench, report_requests
 from support.controller_model import (
     DRAINING,
     GONE,
     READY,
     SECOND,
     Bench,
-    changes,
     entry,
-    full,
+    full_list,
+    host_changes,
     start_facts,
 )
 
@@ -24,10 +24,12 @@
 
 def test_deferrable_lines_wait_for_acknowledgements_but_drains_do_not() -> None:
     bench = ready_bench(backlog_cap_lines=400)
-    bench.rate = 0.0
-    feed(bench, 20, time_ms=lambda host: random.Random(host + bench.now).uniform(50, 900))
-    assert bench.most_waiting <= 400
-    assert commands.SetRoute(0, 100, 0.0) in bench.give(changes(entry(100, DRAINING)))
+    bench.channel_lines_per_s = 0.0
+    report_requests(
+        bench, 20, time_ms=lambda host: random.Random(host + bench.now).uniform(50, 900)
+    )
+    assert bench.peak_queued_lines <= 400
+    assert commands.SetRoute(0, 100, 0.0) in bench.deliver(host_changes(entry(100, DRAINING)))
 
 
 @pytest.mark.parametrize("grace_s", [2, 4, 30])
@@ -41,8 +43,8 @@
     """
     facts = start_facts(proxy_count=30, drain_grace_us=grace_s * SECOND)
     bench = Bench(facts)
-    bench.give(full(*[entry(100 + i, zone=i % 3) for i in range(12)]))
-    bench.give(*[events.ProxyJoined(p, p % 3, 10.0, False) for p in range(30)])
+    bench.deliver(full_list(*[entry(100 + i, zone=i % 3) for i in range(12)]))
+    bench.deliver(*[events.ProxyJoined(p, p % 3, 10.0, False) for p in range(30)])
     bench.pass_time(SECOND // 2)
     assert not bench.bound  # first weights are not decided yet
     bench.pass_time(min(grace_s, 7) * SECOND - SECOND // 2)
@@ -56,10 +58,10 @@
             one_way_delay_us=0, max_one_way_delay_us=0, drain_grace_us=3 * SECOND, proxy_count=9
         )
     )
-    bench.give(full(*[entry(100 + i, zone=i % 3) for i in range(500)]))
-    bench.give(*[events.ProxyJoined(p, p % 3, 10.0, True) for p in range(9)])
+    bench.deliver(full_list(*[entry(100 + i, zone=i % 3) for i in range(500)]))
+    bench.deliver(*[events.ProxyJoined(p, p % 3, 10.0, True) for p in range(9)])
     bench.pass_time(8 * SECOND)
-    assert len(bench.bound) == 9 and bench.most_waiting <= 2 * 520
+    assert len(bench.bound) == 9 and bench.peak_queued_lines <= 2 * 520
 
 
 @pytest.mark.parametrize("seed", range(3))
@@ -69,12 +71,12 @@
         host = rng.randrange(100, 150)
         match rng.randrange(3):
             case 0:
-                bench.give(
-                    changes(*[entry(host + i, GONE, (host + i - 100) % 3) for i in range(10)])
+                bench.deliver(
+                    host_changes(*[entry(host + i, GONE, (host + i - 100) % 3) for i in range(10)])
                 )
             case 1:
-                bench.give(
-                    changes(
+                bench.deliver(
+                    host_changes(
                         *[
                             entry(host + i, READY, (host + i - 100) % 3, started_us=bench.now)
                             for i in range(10)
@@ -83,9 +85,9 @@
                 )
             case _:
                 rejoining = rng.sample(range(100), 50)
-                bench.give(*[events.ProxyLeft(p) for p in rejoining])
-                bench.give(*[events.ProxyJoined(p, p % 3, 1.0, False) for p in rejoining])
-        feed(bench, 2, time_ms=lambda _: math.exp(rng.gauss(5.5, 1.0)))
+                bench.deliver(*[events.ProxyLeft(p) for p in rejoining])
+                bench.deliver(*[events.ProxyJoined(p, p % 3, 1.0, False) for p in rejoining])
+        report_requests(bench, 2, time_ms=lambda _: math.exp(rng.gauss(5.5, 1.0)))
     bench.pass_time(10 * SECOND)
     assert len(bench.bound) == 100
 
@@ -101,14 +103,16 @@
         health_checks_allowed=False,
     )
     bench = Bench(facts, controller=Controller(facts, 3))
-    bench.give(full(*[entry(100 + n, zone=n % 3) for n in range(60)]))
-    bench.give(*[events.ProxyJoined(p, p % 3, 10.0 / (1 + p), True) for p in range(40)])
+    bench.deliver(full_list(*[entry(100 + n, zone=n % 3) for n in range(60)]))
+    bench.deliver(*[events.ProxyJoined(p, p % 3, 10.0 / (1 + p), True) for p in range(40)])
     drained = []
     for turn in range(14):
         if turn in (2, 4):
             drained += range(100 + 9 * (turn // 2 - 1), 109 + 9 * (turn // 2 - 1))
-            bench.give(changes(*[entry(host, DRAINING, zone=(host - 100) % 3) for host in drained]))
-        bench.give(
+            bench.deliver(
+                host_changes(*[entry(host, DRAINING, zone=(host - 100) % 3) for host in drained])
+            )
+        bench.deliver(
             *[
                 events.HostRequestStats(
                     host, 0, 40, 0, 200_000 * (1 + (host + turn) % 7), SECOND, None
@@ -130,8 +134,8 @@
         max_unbound_us=60 * SECOND,
     )
     bench = Bench(facts)
-    bench.give(full(*[entry(100 + i, zone=i % 3) for i in range(60)]))
-    bench.give(*[events.ProxyJoined(p, p % 3, 5.0, True) for p in range(100)])
+    bench.deliver(full_list(*[entry(100 + i, zone=i % 3) for i in range(60)]))
+    bench.deliver(*[events.ProxyJoined(p, p % 3, 5.0, True) for p in range(100)])
     bench.pass_time(8 * SECOND)
     publisher = bench.controller.publisher
     # As if a message had just been written and its lines were still queued.
@@ -139,6 +143,6 @@
     publisher.channel.charge([0], 1, LineKind.SLOT)
     bench.controller.host_table.ejected[0] = True
     bench.pass_time(SECOND // 2)
-    assert 100 in bench.lines[0]
+    assert 100 in bench.tables[0]
     bench.pass_time(SECOND)
-    assert 100 not in bench.lines[0]
+    assert 100 not in bench.tables[0]
--- a/tests/policy/test_interim_tables.py
+++ b/tests/policy/test_interim_tables.py
@@ -1,14 +1,14 @@
 """Interim tables divide all hosts, and follow hosts that leave, are added or warm up."""
 
 import pytest
-from support.controller_bench import probes
+from support.controller_bench import checked_hosts
 from support.controller_model import (
     DRAINING,
     SECOND,
     Bench,
-    changes,
     entry,
-    full,
+    full_list,
+    host_changes,
     start_facts,
 )
 
@@ -37,12 +37,12 @@
             }
         )
     )
-    bench.give(full(*[entry(host, zone=host % 3) for host in HOSTS]))
-    bench.give(*[events.ProxyJoined(proxy, proxy % 3, 10.0, True) for proxy in range(4)])
+    bench.deliver(full_list(*[entry(host, zone=host % 3) for host in HOSTS]))
+    bench.deliver(*[events.ProxyJoined(proxy, proxy % 3, 10.0, True) for proxy in range(4)])
     bench.pass_time(5 * SECOND)
-    bench.give(changes(*[entry(host, DRAINING, host % 3) for host in HOSTS[:50]]))
+    bench.deliver(host_changes(*[entry(host, DRAINING, host % 3) for host in HOSTS[:50]]))
     bench.pass_time(SECOND)
-    bench.give(
+    bench.deliver(
         *[events.ProxyJoined(proxy, proxy % 3, 5.0 + proxy % 4, False) for proxy in JOINING_PROXIES]
     )
     bench.pass_time(SECOND // 5)
@@ -55,7 +55,7 @@
 
 
 def hosts_in(bench: Bench, table: InterimTable) -> set[int]:
-    return set(bench.lines[table.number])
+    return set(bench.tables[table.number])
 
 
 def test_each_ready_host_is_in_one_interim_table_and_the_load_of_all_is_even() -> None:
@@ -71,13 +71,15 @@
     bench = bench_on_interim_tables()
     publisher = bench.controller.publisher
     drained = min(hosts_in(bench, used_tables(publisher)[0]))
-    bench.give(
-        changes(entry(drained, DRAINING, drained % 3), entry(999, zone=0, started_us=bench.now))
+    bench.deliver(
+        host_changes(
+            entry(drained, DRAINING, drained % 3), entry(999, zone=0, started_us=bench.now)
+        )
     )
     bench.pass_time(2 * SECOND)
     holders = [table for table in used_tables(publisher) if 999 in hosts_in(bench, table)]
     assert len(holders) == 1
-    assert bench.lines[holders[0].number][999] < max(bench.lines[holders[0].number].values())
+    assert bench.tables[holders[0].number][999] < max(bench.tables[holders[0].number].values())
     assert not any(drained in hosts_in(bench, table) for table in publisher.interim_tables)
 
 
@@ -86,7 +88,7 @@
     bench = bench_on_interim_tables()
     table = used_tables(bench.controller.publisher)[0]
     drained = hosts_in(bench, table)
-    bench.give(changes(*[entry(host, DRAINING, host % 3) for host in drained]))
+    bench.deliver(host_changes(*[entry(host, DRAINING, host % 3) for host in drained]))
     bench.pass_time(SECOND)
     assert len(hosts_in(bench, table) - drained) >= len(drained) // 2
 
@@ -106,10 +108,10 @@
     bench = bench_on_interim_tables()
     table = used_tables(bench.controller.publisher)[0]
     host = min(hosts_in(bench, table))
-    bench.give(changes(entry(host, zone=host % 3, started_us=bench.now)))
+    bench.deliver(host_changes(entry(host, zone=host % 3, started_us=bench.now)))
     bench.pass_time(SECOND // 2)
-    usual = max(bench.lines[table.number].values())
-    assert bench.lines[table.number].get(host, 0.0) <= usual / 2
+    usual = max(bench.tables[table.number].values())
+    assert bench.tables[table.number].get(host, 0.0) <= usual / 2
 
 
 @pytest.mark.parametrize("unit", [AdmissionUnit.SHARE, AdmissionUnit.RATE])
@@ -118,7 +120,7 @@
     publisher = bench.controller.publisher
     publisher.handle(commands.SetAdmissionLimit(0, (0,), 0.5, commands.RetryPolicy.IF_NOT_EXECUTED))
     bench.pass_time(2 * SECOND)
-    limited = {limit.table for limit in bench.levels if limit.limit == 0.5}
+    limited = {limit.table for limit in bench.admission_limits if limit.limit == 0.5}
     assert limited >= {0, *(table.number for table in used_tables(publisher))}
 
 
@@ -135,9 +137,9 @@
 def test_a_proxy_that_leaves_is_on_no_interim_table() -> None:
     bench = bench_on_interim_tables()
     publisher = bench.controller.publisher
-    bench.give(*[events.ProxyLeft(proxy) for proxy in JOINING_PROXIES])
+    bench.deliver(*[events.ProxyLeft(proxy) for proxy in JOINING_PROXIES])
     assert not publisher.interim and not used_tables(publisher)
-    assert not probes(bench.log)
+    assert not checked_hosts(bench.command_log)
     assert all(abs(table.rate) < 1e-6 for table in publisher.interim_tables)
 
 
@@ -171,7 +173,9 @@
     bench = bench_on_interim_tables()
     tables = bench.controller.publisher.interim_binder.tables
     table = used_tables(bench.controller.publisher)[0]
-    bench.give(changes(*[entry(900 + n, zone=n % 3, started_us=bench.now) for n in range(20)]))
+    bench.deliver(
+        host_changes(*[entry(900 + n, zone=n % 3, started_us=bench.now) for n in range(20)])
+    )
     bench.pass_time(2 * SECOND)
     slots = dict.fromkeys(table.published, 10)
     cold = {host for host in table.published if tables._is_cold(host)}
--- a/tests/policy/test_weight_controller.py
+++ b/tests/policy/test_weight_controller.py
@@ -1,13 +1,13 @@
 """Weight controller: the weights of hosts follow their fill."""
 
 import pytest
-from support.controller_bench import feed, ready_bench
+from support.controller_bench import ready_bench, report_requests
 from support.controller_model import (
     SECOND,
     Bench,
     entry,
-    full,
-    product,
+    full_list,
+    request_class_facts,
     start_facts,
 )
 
@@ -16,16 +16,16 @@
 
 def test_weight_moves_from_slow_hosts_to_fast_ones() -> None:
     bench = ready_bench()
-    before = dict(bench.lines[0])
-    feed(bench, 12, time_ms=lambda host: 600.0 if host == 100 else 200.0)
-    assert bench.lines[0][100] < before[100] / 2
-    assert sum(bench.lines[0].values()) == pytest.approx(sum(before.values()), abs=3)
+    before = dict(bench.tables[0])
+    report_requests(bench, 12, time_ms=lambda host: 600.0 if host == 100 else 200.0)
+    assert bench.tables[0][100] < before[100] / 2
+    assert sum(bench.tables[0].values()) == pytest.approx(sum(before.values()), abs=3)
 
 
 def test_a_turn_without_new_statistics_leaves_the_control_error_unchanged() -> None:
     """Guards against a derivative that is computed from stale statistics."""
     bench = ready_bench()
-    feed(bench, 4, time_ms=lambda host: 400.0 if host == 100 else 200.0)
+    report_requests(bench, 4, time_ms=lambda host: 400.0 if host == 100 else 200.0)
     host_table = bench.controller.host_table
     assert not any(host_table.heard_since_turn)
     errors = list(host_table.error)
@@ -35,7 +35,7 @@
 
 def test_a_controller_without_statistics_keeps_its_weights() -> None:
     bench = ready_bench()
-    feed(bench, 2, time_ms=lambda host: 900.0 if host == 100 else 200.0)
+    report_requests(bench, 2, time_ms=lambda host: 900.0 if host == 100 else 200.0)
     bench.pass_time(2 * SECOND)  # its changed slots are written
     host_table = bench.controller.host_table
     host_table.integral[:] = [0.0] * len(host_table.integral)
@@ -47,8 +47,8 @@
 def test_turns_run_shortly_after_a_round_of_statistics() -> None:
     """Guards against statistics that wait for up to a turn."""
     bench = ready_bench()
-    feed(bench, 4)
-    bench.give(
+    report_requests(bench, 4)
+    bench.deliver(
         *[events.HostRequestStats(host, 0, 8, 0, 200_000.0, SECOND, None) for host in bench.hosts]
     )
     assert all(bench.controller.host_table.heard_since_turn)
@@ -57,14 +57,19 @@
 
 
 def test_load_from_other_controllers_is_included_in_fill() -> None:
-    bench = Bench(start_facts(request_classes=(product(), product(stays_in_zone=True))))
-    bench.give(
-        full(*[entry(100 + i, zone=i % 3) for i in range(9)]), events.ProxyJoined(0, 1, 10.0, True)
+    bench = Bench(
+        start_facts(
+            request_classes=(request_class_facts(), request_class_facts(stays_in_zone=True))
+        )
+    )
+    bench.deliver(
+        full_list(*[entry(100 + i, zone=i % 3) for i in range(9)]),
+        events.ProxyJoined(0, 1, 10.0, True),
     )
     # This controller's proxy brings few requests to zone 0, whose hosts have three times as many
     # requests in flight as the others.
     for _ in range(8):
-        bench.give(
+        bench.deliver(
             *[
                 events.HostRequestStats(
                     h,
@@ -79,28 +84,30 @@
             ]
         )
         bench.pass_time(SECOND)
-    assert bench.lines[0][100] < bench.lines[0][101]
+    assert bench.tables[0][100] < bench.tables[0][101]
 
 
 def test_a_host_that_fails_fast_gains_no_weight() -> None:
     bench = ready_bench()
-    before = bench.lines[0][101]
-    feed(
+    before = bench.tables[0][101]
+    report_requests(
         bench,
         8,
         time_ms=lambda host: 20.0 if host == 101 else 200.0,
         failed=lambda host: 4 if host == 101 else 0,
     )
-    assert bench.lines[0][101] < before / 2
+    assert bench.tables[0][101] < before / 2
 
 
 def test_hosts_open_to_fewer_request_classes_are_not_starved() -> None:
-    bench = Bench(start_facts(request_classes=(product(), product(zones=(0, 1)))))
-    bench.give(full(*[entry(100 + i, zone=i % 3) for i in range(6)]))
-    bench.give(events.ProxyJoined(0, 0, 10.0, True))
+    bench = Bench(
+        start_facts(request_classes=(request_class_facts(), request_class_facts(zones=(0, 1))))
+    )
+    bench.deliver(full_list(*[entry(100 + i, zone=i % 3) for i in range(6)]))
+    bench.deliver(events.ProxyJoined(0, 0, 10.0, True))
     # Zone 2 gets a third of the attempts, with longer latency, and has fewer requests in flight.
     for _ in range(10):
-        bench.give(
+        bench.deliver(
             *[
                 events.HostRequestStats(
                     h,
@@ -115,15 +122,15 @@
             ]
         )
         bench.pass_time(SECOND)
-    assert bench.lines[0][102] > bench.lines[0][100]
+    assert bench.tables[0][102] > bench.tables[0][100]
 
 
 def test_a_stalled_host_that_is_silent_does_not_count_as_idle() -> None:
     """Guards against a host that answers no request, so has no statistics, but keeps its weight."""
     bench = ready_bench(hosts=9)
-    feed(bench, 6)
-    feed(bench, 1, time_ms=lambda host: 9000.0 if host == 100 else 200.0)
+    report_requests(bench, 6)
+    report_requests(bench, 1, time_ms=lambda host: 9000.0 if host == 100 else 200.0)
     host_table, before = bench.controller.host_table, bench.controller.host_table.weight[0]
     host_table.integral[0] = 0.0
-    feed(bench, 1, skip=(100,))
+    report_requests(bench, 1, skip=(100,))
     assert host_table.weight[0] < 0.9 * before
