--- a/plankroute/cold_start/backoff.py
+++ b/plankroute/cold_start/backoff.py
@@ -1,4 +1,4 @@
-"""Schedules requests to the list service: the first one, retries, and requests after a watch ends.
+"""Schedules requests to the discovery service: the first, retries, and those after a watch ends.
 
 Backoff with jitter (AWS Builders' Library, "Timeouts, retries, and backoff with jitter") within
 time slots by rank. The schedule depends only on the settings and on the outcomes of this
@@ -33,7 +33,7 @@
     Attributes:
         rank: Index of this controller among all controllers, from 0.
         controller_count: Maximum number of controllers.
-        requests_per_second: Requests that the list service answers per second, summed over all
+        requests_per_second: Requests that the discovery service answers per second, summed over all
             controllers.
         max_pause_us: Longest round while requests fail.
         max_retry_after_us: Upper bound of the wait that a Retry-After field can ask for.
--- a/plankroute/cold_start/drain_notices.py
+++ b/plankroute/cold_start/drain_notices.py
@@ -39,7 +39,7 @@
     """The newest accepted notice of each host, by host name, until a list settles it.
 
     Guards against a drain that waits behind a large list on a slow link. The cost: a peer that
-    sends false notices can close half of the hosts until the list service contradicts it or a
+    sends false notices can close half of the hosts until the discovery service contradicts it or a
     minute has passed. False lists of the same peer could do more harm.
 
     Attributes:
@@ -109,7 +109,7 @@
         )
 
     def retract(self, source: str) -> list[str]:
-        """Remove the notices of a source that claimed a revision unknown to the list service.
+        """Remove the notices of a source that claimed a revision unknown to the discovery service.
 
         Returns:
             Names of the hosts whose notice is removed, sorted.
--- a/plankroute/cold_start/election_messages.py
+++ b/plankroute/cold_start/election_messages.py
@@ -12,7 +12,7 @@
         name: Name of this controller.
         group: Name of the group of controllers; the rendezvous hashing key of the election.
         controller_count: Configured number of controllers.
-        watcher_count: Number of controllers that watch the list service.
+        watcher_count: Number of controllers that watch the discovery service.
         stall_timeout_us: A followed controller that sends no frame for longer is replaced.
     """
 
@@ -47,7 +47,7 @@
     Attributes:
         name: Name of the controller.
         revision: Revision of its list; -1 if it has none.
-        age_us: Age of its last contact with the list service.
+        age_us: Age of its last contact with the discovery service.
     """
 
     name: str
@@ -68,7 +68,7 @@
 
     Attributes:
         revision: The revision.
-        from_service: Whether the list service itself, not another controller, has confirmed it.
+        from_service: Whether the discovery service itself has confirmed it, not another controller.
     """
 
     revision: int
@@ -112,7 +112,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SetWatch:
-    """Start or stop watching the list service.
+    """Start or stop watching the discovery service.
 
     Attributes:
         is_enabled: Whether to watch.
@@ -134,13 +134,13 @@
     WATCHER = "watcher"
     FOLLOWER = "follower"
     INDEPENDENT = "independent"
-    LIST_RESTARTED = "list_restarted"  # the list service's revisions restarted from a lower one
+    LIST_RESTARTED = "list_restarted"  # the discovery service restarted its revisions
     LEFT_ENDED = "left_ended"
     LEFT_STALLED = "left_stalled"
     LEFT_SLOW = "left_slow"
     LEFT_STALE = "left_stale"
     LEFT_BEHIND = "left_behind"
-    LEFT_AHEAD = "left_ahead"  # it claimed a revision that the list service has not reached
+    LEFT_AHEAD = "left_ahead"  # it claimed a revision that the discovery service has not reached
 
 
 @dataclass(frozen=True, slots=True)
--- a/plankroute/cold_start/endpoint_list.py
+++ b/plankroute/cold_start/endpoint_list.py
@@ -17,12 +17,12 @@
 DELETED = "DELETED"
 CLOSED_STATES = frozenset({"DRAINING", DELETED})  # states of a closed host
 
-# An entry as the list service wrote it; this module reads only `uid` and `state`.
+# An entry as the discovery service wrote it; this module reads only `uid` and `state`.
 Entry = dict[str, Any]
 
 
 class RawList(TypedDict):
-    """A list as the list service writes it, already validated by the reader."""
+    """A list as the discovery service writes it, already validated by the reader."""
 
     rev: int
     all: bool
--- a/plankroute/cold_start/followed_controllers.py
+++ b/plankroute/cold_start/followed_controllers.py
@@ -97,7 +97,7 @@
         return None
 
     def has_service_contact(self) -> bool:
-        """Whether the main controller is in contact with the list service."""
+        """Whether the main controller is in contact with the discovery service."""
         return any(
             link.has_service_contact() for link in self.links.values() if not link.heartbeats_only
         )
--- a/plankroute/cold_start/followed_links.py
+++ b/plankroute/cold_start/followed_links.py
@@ -8,14 +8,14 @@
 
 from plankroute.units import SECOND_US
 
-# A contact with the list service that is younger is current: the service sends something every 2 s.
+# A younger contact with the discovery service is current: the service sends something every 2 s.
 FRESH_CONTACT_US = 3 * SECOND_US
 NO_CONTACT_AGE_US = 1 << 40  # age that heartbeats carry if there never was a contact
 # A controller whose contact is older than the other controller's by more than this is cut off from
-# the list service. Contacts that are this old themselves are not compared by revision.
+# the discovery service. Revisions are not compared if one of the contacts is this old itself.
 MAX_CONTACT_LAG_US = 5 * SECOND_US
-# If the main controller's contact is older, all followed controllers may be cut off from the list
-# service, and this controller asks the service itself.
+# If the main controller's contact is older, all followed controllers may be cut off from the
+# discovery service, and this controller asks the service itself.
 STALE_CONTACT_US = 10 * SECOND_US
 # Time for the first list: 3 MB on a link of 50 KB/s. One that takes longer never completes.
 MAX_FIRST_LIST_US = 60 * SECOND_US
@@ -32,7 +32,8 @@
         is_full_list: The complete list was requested, whichever revision was held.
         has_frames: Frames have arrived, though perhaps no heartbeat yet.
         revision: Revision in the last heartbeat; None before the first one.
-        age_us: Age of the controller's last contact with the list service, in the last heartbeat.
+        age_us: Age of the controller's last contact with the discovery service, by its last
+            heartbeat.
         last_heartbeat_us: When the last heartbeat arrived.
     """
 
@@ -85,7 +86,7 @@
         )
 
     def has_service_contact(self) -> bool:
-        """Whether the controller counts as in contact with the list service.
+        """Whether the controller counts as in contact with the discovery service.
 
         Guards against watchers that have all lost the service while other controllers can reach it.
         Before the first heartbeat any frame counts, as the first list may still be on its way.
@@ -100,9 +101,9 @@
 
     CONSISTENT = auto()
     MAIN_NEVER_HAD_CONTACT = auto()  # the main controller never had contact, the witness had
-    MAIN_STALE = auto()  # cut off from the list service
+    MAIN_STALE = auto()  # cut off from the discovery service
     WITNESS_STALE = auto()
-    REVISIONS_DECREASED = auto()  # all have contact and a lower revision: the service's restarted
+    REVISIONS_DECREASED = auto()  # all in contact at a lower revision: the service restarted them
     MAIN_BEHIND = auto()  # lower revision than the witness, both in contact
     WITNESS_BEHIND = auto()
 
@@ -136,7 +137,7 @@
 
 
 def compare_contact(main: FollowedLink, witness: FollowedLink, now_us: int) -> Finding:
-    """Compare the ages of the controllers' contacts with the list service."""
+    """Compare the ages of the controllers' contacts with the discovery service."""
     if main.never_had_contact() and not witness.never_had_contact():
         return Finding.MAIN_NEVER_HAD_CONTACT
     if main.lags_contact_of(witness, now_us):
--- a/plankroute/cold_start/link_codec.py
+++ b/plankroute/cold_start/link_codec.py
@@ -74,7 +74,7 @@
 
 
 class Heartbeat(msgspec.Struct, frozen=True, array_like=True, tag=4):
-    """The sender's revision (-1 for none) and the age of its last contact with the list service."""
+    """The sender's revision (-1: none) and age of its last contact with the discovery service."""
 
     revision: int
     age_us: int
--- a/plankroute/cold_start/watcher_election.py
+++ b/plankroute/cold_start/watcher_election.py
@@ -1,8 +1,8 @@
-"""Elects the controllers that watch the list service, and decides which ones are followed.
+"""Elects the controllers that watch the discovery service, and decides which ones are followed.
 
 Watchers are elected by rendezvous hashing over the live controllers, without a vote. Each
-controller decides by its own view of the live controllers; where two views differ, the list service
-gets a few more requests, but no drain is lost.
+controller decides by its own view of the live controllers; where two views differ, the discovery
+service gets a few more requests, but no drain is lost.
 """
 
 from enum import Enum, auto
@@ -33,13 +33,14 @@
 MAX_SETTLE_US = 4 * SECOND_US
 # If another controller is in view and the view has not changed for this long, it is complete.
 STABLE_VIEW_US = 3 * SECOND_US // 2
-# A controller that claimed a revision which the list service has not reached is avoided for longer.
+# A controller is avoided for longer if it claimed a revision that the discovery service has not
+# reached.
 AVOID_FALSE_REVISION_US = 60 * SECOND_US
-# The list service contradicts a claimed revision only if the heartbeat is more recent than this.
+# The discovery service contradicts a claimed revision only if the heartbeat is younger than this.
 RECENT_HEARTBEAT_US = SECOND_US
 # Time that followed controllers' revisions may differ, as a new one may still be on its way.
 MAX_DIFFERENCE_US = 2 * SECOND_US
-# Time without contact through a followed controller until the list service itself is watched.
+# Time without contact through a followed controller until the discovery service itself is watched.
 INDEPENDENT_AFTER_US = 3 * SECOND_US
 # A controller that is no longer elected keeps watching for at least this long, while its successor
 # starts.
@@ -56,11 +57,11 @@
     WAITING = auto()  # until the view of the live controllers is stable
     WATCHER = auto()
     FOLLOWER = auto()
-    INDEPENDENT = auto()  # watches the list service, as no controller can be relied on
+    INDEPENDENT = auto()  # watches the discovery service, as no controller can be relied on
 
 
 class WatcherElection:
-    """Elects watchers, follows two of them, and watches the list service itself where that fails.
+    """Elects watchers, follows two of them, and watches the discovery service if that fails.
 
     Attributes:
         role: The role of this controller.
@@ -70,11 +71,12 @@
         watchers: Names of the elected watchers, in rendezvous order.
         started_us: Time of the first step.
         names_changed_us: When `names` last changed.
-        last_contact_us: When the main controller was last in contact with the list service; at
+        last_contact_us: When the main controller was last in contact with the discovery service; at
             first, when this controller became a follower.
         demoted_us: When this controller stopped being a watcher; None once the handover is over.
-        is_watching: Whether this controller watches the list service.
-        is_asking_service: Whether the list service has to decide between contradicting revisions.
+        is_watching: Whether this controller watches the discovery service.
+        is_asking_service: Whether the discovery service has to decide between conflicting
+            revisions.
         difference_since_us: Since when the followed controllers' revisions differ.
         revision: Revision of this controller's list; -1 if it has none.
         last_step_us: Monotonic time of the last step.
@@ -155,7 +157,7 @@
                 pass
 
     def on_service_revision(self, now_us: int, revision: int) -> None:
-        """Handle a revision that the list service itself has confirmed.
+        """Handle a revision that the discovery service itself has confirmed.
 
         Guards against a peer that claims a revision which the service has not reached.
         """
@@ -189,7 +191,7 @@
             self.act_as_follower(now_us)
 
     def act_as_watcher(self) -> None:
-        """Watch the list service and follow no one; INDEPENDENT if no other controller is live."""
+        """Watch the discovery service, follow no one; INDEPENDENT if no others are live."""
         self.demoted_us = None
         if self.names:
             if self.role is not Role.WATCHER:
@@ -202,7 +204,7 @@
             self.set_watch(True)
 
     def act_as_follower(self, now_us: int) -> None:
-        """Follow two watchers, and watch the list service only where that is not enough."""
+        """Follow two watchers, and watch the discovery service only where that is not enough."""
         if self.role in (Role.WAITING, Role.WATCHER):
             if self.role is Role.WATCHER:
                 self.demoted_us = now_us
@@ -220,13 +222,13 @@
         self.commands.append(ReportTransition(transition))
 
     def set_watch(self, is_enabled: bool, watcher_rank: int | None = None) -> None:
-        """Start or stop watching the list service, unless that is already so."""
+        """Start or stop watching the discovery service, unless that is already so."""
         if is_enabled is not self.is_watching:
             self.is_watching = is_enabled
             self.commands.append(SetWatch(is_enabled, watcher_rank))
 
     def update_service_watch(self, now_us: int) -> None:
-        """Start or stop to watch the list service as a follower.
+        """Start or stop to watch the discovery service as a follower.
 
         It is watched after `INDEPENDENT_AFTER_US` without contact through the main controller, and
         while revisions conflict. A demoted watcher goes on to watch it until `HANDOVER_US` has
@@ -282,7 +284,7 @@
             self.commands.append(ReportTransition(Transition.LIST_RESTARTED, main))
             self.followed.reconnect(now_us, main, full_list=True)
         else:
-            # What a single controller claims is checked with the list service.
+            # What a single controller claims is checked with the discovery service.
             self.is_asking_service = True
 
     def has_difference_persisted(self, now_us: int) -> bool:
--- a/plankroute/net/discovery/backoff_watch.py
+++ b/plankroute/net/discovery/backoff_watch.py
@@ -25,7 +25,7 @@
 
 
 class BackoffDiscovery(Discovery):
-    """Watches the list service with backoff.
+    """Watches the discovery service with backoff.
 
     Call `prepare` before `start`.
     """
--- a/plankroute/net/peers/follower_connection.py
+++ b/plankroute/net/peers/follower_connection.py
@@ -42,7 +42,7 @@
     endpoint_list: EndpointList
 
     def age_us(self) -> int:
-        """Returns the microseconds since the list service last sent something."""
+        """Returns the microseconds since the discovery service last sent something."""
 
     def on_health_checks(self, frame: HealthCheckResults) -> None:
         """Handles health check results of another controller."""
--- a/plankroute/net/peers/frame_handler.py
+++ b/plankroute/net/peers/frame_handler.py
@@ -46,7 +46,7 @@
         """
 
     def on_service_contact(self, age_us: int) -> None:
-        """Handles the microseconds since a followed controller's last contact with the service."""
+        """Handles a followed controller's contact with the discovery service, `age_us` ago."""
 
     def on_health_checks(self, frame: HealthCheckResults) -> None:
         """Handles health check results of a followed controller."""
--- a/plankroute/net/peers/shared_discovery.py
+++ b/plankroute/net/peers/shared_discovery.py
@@ -1,4 +1,4 @@
-"""Discovery shared among controllers: a few watch the list service, the others follow them.
+"""Discovery shared among controllers: a few watch the discovery service, the others follow them.
 
 Who watches and who follows whom is decided in `cold_start.watcher_election`. This module carries
 out its commands with sockets, log events and counters.
@@ -63,7 +63,7 @@
 
 
 class SharedDiscovery(BackoffDiscovery):
-    """Gets the endpoint list from the list service or from other controllers.
+    """Gets the endpoint list from the discovery service or from other controllers.
 
     It needs membership. `prepare_links` has to be called before `start`.
 
@@ -74,7 +74,7 @@
         drain_notices: Applies drain notices to all lists before the controller receives them.
         full_list_from: Names of controllers that were asked for their complete list, which may
             replace a list of a higher revision.
-        request_task: Sends requests to the list service; None while there are none to send.
+        request_task: Sends requests to the discovery service; None while there are none to send.
         open_task: Opens the server for links; None before `start`.
         member_table_version: Version of the member table that the election last received.
         result_listener: Called with health check results of other controllers.
@@ -96,7 +96,7 @@
             facts: Settings of the election.
             listen: Address ("host:port") at which links are accepted.
             port: Port at which all other controllers accept links.
-            backoff: Settings of requests to the list service.
+            backoff: Settings of requests to the discovery service.
             seed: Seed of the jitter.
         """
         self.membership = membership
@@ -161,7 +161,7 @@
     async def watch_forever(self) -> None:
         """Delivers the election's ticks and membership changes, and expires drain notices, forever.
 
-        Requests to the list service run in `request_task`.
+        Requests to the discovery service run in `request_task`.
         """
         while True:
             events: list[Event] = [TickDue()]
@@ -198,7 +198,7 @@
                 self.report(transition, name)
 
     def set_watch(self, is_enabled: bool, watcher_rank: int | None) -> None:
-        """Starts or stops the requests to the list service.
+        """Starts or stops the requests to the discovery service.
 
         Args:
             is_enabled: Whether to send requests.
@@ -208,10 +208,10 @@
             self.request_task.cancel()
             self.request_task = None
         if is_enabled:
-            self.request_task = asyncio.create_task(self.watch_list_service(watcher_rank))
+            self.request_task = asyncio.create_task(self.watch_discovery_service(watcher_rank))
 
-    async def watch_list_service(self, watcher_rank: int | None) -> None:
-        """Watches the list service, forever.
+    async def watch_discovery_service(self, watcher_rank: int | None) -> None:
+        """Watches the discovery service, forever.
 
         A watcher sends its first request after a delay by its rank, and further ones in rounds that
         are as short as the small number of watchers allows. Any other controller waits for its
@@ -240,7 +240,7 @@
     def report(self, transition: Transition, name: str) -> None:
         """Logs and counts a transition of the election.
 
-        If a controller was left because its revision is ahead of the list service's, its drain
+        If a controller was left because its revision is ahead of the discovery service's, its drain
         notices may be false; they are retracted.
         """
         self.telemetry.count(f"election.{transition.value}")
@@ -256,7 +256,7 @@
     # Lists of the service and of other controllers
 
     def record_contact(self) -> None:
-        """Records a contact with the list service.
+        """Records a contact with the discovery service.
 
         While the election waits for the service to confirm a revision, the contact does so: the
         service would not continue a watch from a revision that it does not know.
@@ -266,7 +266,7 @@
             self.deliver([ListUpdated(self.endpoint_list.revision, from_service=True)])
 
     def accept_list(self, text: bytes) -> bool:
-        """Accepts a list from the list service; returns False if it cannot be used."""
+        """Accepts a list from the discovery service; returns False if it cannot be used."""
         if not super().accept_list(text):
             return False
         self.store_list(text, from_service=True)
@@ -282,8 +282,8 @@
         """Accepts a list from another controller.
 
         A lower revision replaces a higher one only if the complete list was requested from this
-        controller. The election requests it when both followed controllers report that the list
-        service restarted its revisions.
+        controller. The election requests it when both followed controllers report that the
+        discovery service restarted its revisions.
 
         Args:
             name: Name of the controller that sent the list.
@@ -310,7 +310,7 @@
     # Content of frames from followed controllers
 
     def on_service_contact(self, age_us: int) -> None:
-        """Counts a followed controller's contact with the list service as this controller's own.
+        """Counts a followed controller's contact with the discovery service as an own contact.
 
         Args:
             age_us: Microseconds since that contact.
--- a/plankroute/net/peers/snapshot_exchange.py
+++ b/plankroute/net/peers/snapshot_exchange.py
@@ -24,7 +24,7 @@
 from plankroute.warm_start.core import SnapshotReceived
 from plankroute.warm_start.snapshot import Snapshot
 
-# After that time, what a controller has observed itself is more informative than a snapshot.
+# After this time, what a controller has observed itself is more informative than a snapshot.
 ASKING_PERIOD_S = 10.0
 MEMBERSHIP_CHECK_INTERVAL_S = 0.05  # between checks for live members that were not asked yet
 # Operators allow 0.7 s after SIGTERM for the handover and the last write of the snapshot file.
@@ -253,7 +253,7 @@
 def asking_order(names: list[str], controller: str) -> list[str]:
     """Returns the other controllers in the order in which a controller asks them.
 
-    It hands over to the first one. The order is by rendezvous hashing over the controller's own
-    name.
+    The controller hands over to the first one. The order is by rendezvous hashing over the
+    controller's own name.
     """
     return rendezvous_order([name for name in names if name != controller], controller)
--- a/plankroute/net/process/startup_file.py
+++ b/plankroute/net/process/startup_file.py
@@ -1,4 +1,4 @@
-"""Reads a file before the event loop runs without remaining a signal that arrives meanwhile.
+"""Reads a file before the event loop runs without missing a signal that arrives meanwhile.
 
 A handler installed with :func:`signal.signal` runs between two instructions of the interpreter. A
 signal that arrives after the interpreter's last check and before a blocking system call is only
--- a/plankroute/net/process/telemetry.py
+++ b/plankroute/net/process/telemetry.py
@@ -135,7 +135,7 @@
     def count_load_report(self, report: LoadReport) -> None:
         """Counts a load report of a host; one without any known field counts as dropped.
 
-        Decisions are made without such a report, which would otherwise go unnoticed.
+        Without the count it would go unnoticed that decisions are made without load reports.
         """
         if report == LoadReport():
             self.log_once("dropped.load_reports")
--- a/plankroute/net/proxies/connection_table.py
+++ b/plankroute/net/proxies/connection_table.py
@@ -35,7 +35,8 @@
         self.sessions = sessions
         self.telemetry = telemetry
         self.limits = limits
-        # Dicts serve as ordered sets, oldest first.
+        # Dicts serve as ordered sets, oldest first. `liveness_checkers` holds the monitors: peers
+        # that have sent liveness checks only.
         self.connections: dict[Connection, None] = {}
         self.unidentified: dict[Connection, None] = {}
         self.liveness_checkers: dict[Connection, None] = {}
--- a/plankroute/warm_start/core.py
+++ b/plankroute/warm_start/core.py
@@ -194,8 +194,8 @@
         """Returns the command that announces the hosts which the snapshot's list withdraws, if any.
 
         A drain does not expire: it holds until a list of its revision or a higher one arrives.
-        A list of `max_age_us` or older is ignored, as it may come from another list service, whose
-        revisions can't be compared.
+        A list of `max_age_us` or older is ignored, as it may come from another discovery service,
+        whose revisions can't be compared.
         """
         snapshot = received.snapshot
         withdrawn = tuple(
--- a/plankroute/warm_start/snapshot.py
+++ b/plankroute/warm_start/snapshot.py
@@ -57,7 +57,7 @@
     Attributes:
         controller: Name of the controller that took the snapshot.
         list_revision: Revision of its endpoint list; -1 if it had none.
-        list_age_us: Microseconds since the last contact with the list service.
+        list_age_us: Microseconds since the last contact with the discovery service.
         hosts: What is known of each host.
         withdrawn: Uids of the hosts that are draining or deleted in that list, with their state as
             the list spells it.
--- a/tests/cold_start/test_backoff_discovery.py
+++ b/tests/cold_start/test_backoff_discovery.py
@@ -1,4 +1,4 @@
-"""Which responses of the list service are a watch that has ended, and which a failed request."""
+"""Which responses of the discovery service end a watch, and which are a failed request."""
 
 import asyncio
 
--- a/tests/cold_start/test_request_backoff.py
+++ b/tests/cold_start/test_request_backoff.py
@@ -1,4 +1,4 @@
-"""Times of requests to the list service: slots by rank, growing rounds, Retry-After."""
+"""Times of requests to the discovery service: slots by rank, growing rounds, Retry-After."""
 
 from itertools import pairwise
 
--- a/tests/cold_start/test_watcher_election.py
+++ b/tests/cold_start/test_watcher_election.py
@@ -1,4 +1,4 @@
-"""Which controllers watch the list service, and which ones the others follow."""
+"""Which controllers watch the discovery service, and which ones the others follow."""
 
 from collections import Counter
 
--- a/tests/warm_start/test_warm_start_core.py
+++ b/tests/warm_start/test_warm_start_core.py
@@ -100,7 +100,7 @@
 
 
 def test_withdrawals_of_a_list_older_than_the_limit_are_not_announced(core: WarmStart) -> None:
-    """Guards against withdrawals in a list that comes from another list service."""
+    """Guards against withdrawals in a list that comes from another discovery service."""
     old = SnapshotReceived("file", snapshot_of(withdrawn=[("x", "DRAINING")]), 10**15)
     assert not any(isinstance(command, AnnounceWithdrawals) for command in core.deliver(0, old))
 
