--- a/plankroute/events/commands.py
+++ b/plankroute/events/commands.py
@@ -139,12 +139,12 @@
 
 @dataclass(frozen=True, slots=True)
 class PollHostList:
-    """Requests the host list once; a `HostList` follows."""
+    """Requests the endpoint list once; a `HostList` follows."""
 
 
 @dataclass(frozen=True, slots=True)
 class SubscribeHostList:
-    """Subscribes to the host list and its changes, or ends the subscription.
+    """Subscribes to the endpoint list and its changes, or ends the subscription.
 
     Attributes:
         enabled: True to subscribe, False to end the subscription.
--- a/plankroute/events/events.py
+++ b/plankroute/events/events.py
@@ -13,7 +13,7 @@
 
 
 class HostState(Enum):
-    """State of a host in the host list; values are sent between controllers."""
+    """State of a host in the endpoint list; values are sent between controllers."""
 
     READY = "ready"
     DRAINING = "draining"  # shutting down: takes no new requests
@@ -21,7 +21,7 @@
 
 
 class ListKind(Enum):
-    """What a host list contains; values appear in the log."""
+    """What an endpoint list contains; values appear in the log."""
 
     CACHED = "cached"  # a stored copy of the complete list, possibly out of date
     FULL = "full"  # the complete current list
@@ -62,7 +62,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HostEntry:
-    """The entry of one host in the host list.
+    """The entry of one host in the endpoint list.
 
     Attributes:
         host: Id of the host.
@@ -88,7 +88,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HostList:
-    """The host list, or changes to it.
+    """The endpoint list, or changes to it.
 
     Attributes:
         kind: What `entries` contains. A host that a complete list leaves out is gone.
--- a/plankroute/events/facts.py
+++ b/plankroute/events/facts.py
@@ -118,7 +118,7 @@
         gone_hosts_stay_usable: Whether proxies may go on using hosts that are no longer listed.
             They must stop using hosts listed as draining in any case.
         list_poll_deadline_us: If `must_subscribe` is set, time within which a controller without a
-            subscription must request the host list.
+            subscription must request the endpoint list.
         admission_unit: How proxies read an admission limit.
         default_retry: Retry policy of proxies without an admission limit, as a `RetryPolicy` value.
         retry_wait_factor: Under a policy that retries after any failure, proxies wait this multiple
@@ -127,7 +127,7 @@
         peer_messages_allowed: Whether the controller may send messages to other controllers.
         report_source: Where load reports come from.
         report_period_us: Time between two sets of request statistics.
-        must_subscribe: Whether the host list is subscribed to instead of polled.
+        must_subscribe: Whether the endpoint list is subscribed to instead of polled.
         slices: Number of slices of the request key space; 0 for sites without slices.
         slices_exclusive: Whether each slice belongs to one controller only.
     """
--- a/plankroute/membership/ping_handler.py
+++ b/plankroute/membership/ping_handler.py
@@ -74,7 +74,7 @@
     def end_probe(self, sequence_number: int) -> None:
         """End the probe with that sequence number, and forget this member's own suspicion.
 
-        The state in the record stays: if it is suspected, the member itself has to refute that.
+        The record stays unchanged: a suspected member has to refute the suspicion itself.
         """
         index = self.detector.on_ack(sequence_number)
         if index is not None:
--- a/plankroute/policy/binding.py
+++ b/plankroute/policy/binding.py
@@ -12,7 +12,7 @@
 
 
 class Binder:
-    """Binds proxies to complete tables, once per connection and not before any slot is set."""
+    """Binds proxies to complete tables, once per stream and not before any slot is set."""
 
     def __init__(
         self,
@@ -36,7 +36,8 @@
 
         Args:
             withdrawn: Withdrawn hosts, each of which costs an additional line in a bind.
-            slots_wait: Whether slots wait, so that binds may use the whole allowance.
+            slots_wait: Whether deferrable slots are held back, so that binds may use the whole
+                allowance.
         """
         registry = self.registry
         has_slots = any(table.published for table in registry.tables)
--- a/plankroute/policy/drains.py
+++ b/plankroute/policy/drains.py
@@ -1,7 +1,7 @@
-"""Drains: withdraws hosts that drain or were removed from the proxies, before all other changes.
+"""Drains: withdraws draining and removed hosts from the proxies, before all other changes.
 
 If one table holds the host, its slots are removed from that table. Proxies that are not bound yet,
-and all proxies if several tables hold the host, get a command to withdraw it, once per connection.
+and all proxies if several tables hold the host, get a command to withdraw it, once per stream.
 A withdrawn host is reinstated when it is ready again and no table holds it.
 """
 
@@ -52,7 +52,7 @@
         self.last_written_us = -message_window_us
         self._last_sweep_us = -message_window_us
         self._has_deferred = False  # some withdrawals did not fit
-        # When the first of the waiting proxies joined that were not notified of removed hosts.
+        # When the first of those waiting proxies joined that are not notified of removed hosts yet.
         self._unnotified_since_us: int | None = None
 
     def on_entry(self, entry: events.HostEntry) -> None:
@@ -64,7 +64,7 @@
             self.pending.add(index)
 
     def on_proxy_joined(self) -> None:
-        """Records that a proxy waits which may use removed hosts."""
+        """Records that a waiting proxy may use removed hosts."""
         now = self.registry.scheduler.now
         self._unnotified_since_us = self._unnotified_since_us or now
 
--- a/plankroute/policy/first_weights.py
+++ b/plankroute/policy/first_weights.py
@@ -144,8 +144,8 @@
 def weights_by_attempts(hosts: list[int], attempts: list[float], mean: float) -> dict[int, float]:
     """Returns weights derived from the attempts that old tables bring to hosts of a machine type.
 
-    The weight of a host and that of its machine type are shrunk towards the mean, as far as few
-    attempts have been counted.
+    The weight of a host and that of its machine type are shrunk towards the mean. The effect
+    decreases with the number of attempts.
 
     Args:
         hosts: Hosts of one machine type.
--- a/plankroute/policy/flow_control.py
+++ b/plankroute/policy/flow_control.py
@@ -34,7 +34,7 @@
 
 
 class FlowControl:
-    """Limits on queued lines and the price of a line, all derived from the start-up facts.
+    """Limits on queued lines and the price of a line, all derived from the start facts.
 
     Attributes:
         lines_per_us: Pace of the channel.
--- a/plankroute/policy/slot_changes.py
+++ b/plankroute/policy/slot_changes.py
@@ -142,7 +142,7 @@
         )
 
     def _is_urgent(self, table: RoutingTable, host: int, count: int) -> bool:
-        """Whether a host leaves and not just the subset, or is warming and loses many slots."""
+        """Whether a host leaves other than by the subset, or is warming and loses many slots."""
         published = table.published.get(host, 0)
         is_warming = self.host_table.weight_cap[host] < NO_CAP
         has_large_reduction = is_warming and count < URGENT_REDUCTION_RATIO * published
--- a/plankroute/policy/subsetting.py
+++ b/plankroute/policy/subsetting.py
@@ -57,7 +57,7 @@
         """Stores the inputs of the subset size.
 
         Args:
-            facts: Start-up facts.
+            facts: The start facts.
             message_overhead: Lines that each message costs in addition to its content.
             lines_per_us: Pace of the channel, in lines per microsecond.
         """
--- a/plankroute/simulator/__main__.py
+++ b/plankroute/simulator/__main__.py
@@ -20,7 +20,7 @@
 
 
 class InstancePool:
-    """The instances (controllers) of this process. They share only the decoder's host lists.
+    """The instances (controllers) of this process. They share only the decoder's endpoint lists.
 
     Attributes:
         decoder: Decodes the events of all instances.
--- a/plankroute/simulator/event_records.py
+++ b/plankroute/simulator/event_records.py
@@ -148,7 +148,7 @@
     """Decoder of event records, with the state that it keeps between batches.
 
     Attributes:
-        lists: Host lists by number, shared by all instances.
+        lists: Endpoint lists by number, shared by all instances.
         report_fields: By instance, the fields of its load reports as `parse_settings` returns them.
     """
 
@@ -176,7 +176,7 @@
     def decode(self, records: bytes) -> Iterator[InstanceEvent]:
         """Decodes the records of a batch in order.
 
-        A record that defines a host list yields nothing.
+        A record that defines an endpoint list yields nothing.
 
         Raises:
             WireError: A record has an unknown code, is truncated, or has invalid content.
--- a/plankroute/state/host_statistics.py
+++ b/plankroute/state/host_statistics.py
@@ -32,13 +32,13 @@
 
     Attributes:
         index_of: Index by host id, in the order in which hosts were added.
-        free_indices: Indexes of removed hosts, which are not ready and in no zone.
+        free_indexes: Indexes of removed hosts, which are not ready and in no zone.
         host_ids: Host id.
         name_order: Sort key of the host's name, the same at every controller.
-        state: State in the host list.
-        zone: Zone in the host list.
-        machine_type: Machine type in the host list.
-        listed_weight: Weight in the host list, 1 where the list states none.
+        state: State in the endpoint list.
+        zone: Zone in the endpoint list.
+        machine_type: Machine type in the endpoint list.
+        listed_weight: Weight in the endpoint list, 1 where the list states none.
         weight: Weight set by the control loop; the mean is 1.
         error: Control error of the last turn with statistics, or None before the first.
         integral: Decayed sum of past control errors.
@@ -73,11 +73,11 @@
 
     def __init__(self) -> None:
         self.index_of: dict[int, int] = {}
-        self.free_indices: list[int] = []
+        self.free_indexes: list[int] = []
         # Identity
         self.host_ids: list[int] = []
         self.name_order: list[int] = []
-        # From the host list
+        # From the endpoint list
         self.state: list[HostState] = []
         self.zone: list[int] = []
         self.machine_type: list[int] = []
@@ -120,7 +120,7 @@
         Returns:
             The index of the host.
         """
-        index = self.free_indices.pop() if self.free_indices else len(self.host_ids)
+        index = self.free_indexes.pop() if self.free_indexes else len(self.host_ids)
         self.index_of[entry.host] = index
         weight = entry.listed_weight or 1.0
         _store(self.host_ids, index, entry.host)
@@ -161,7 +161,7 @@
             The index that the host had, which may now be reused.
         """
         index = self.index_of.pop(host)
-        self.free_indices.append(index)
+        self.free_indexes.append(index)
         self.zone[index] = NO_ZONE
         return index
 
