--- a/plankroute/policy/drains.py
+++ b/plankroute/policy/drains.py
@@ -52,7 +52,7 @@
         self.last_written_us = -message_window_us
         self._last_sweep_us = -message_window_us
         self._has_deferred = False  # some withdrawals did not fit
-        # When the first of those waiting proxies joined that are not notified of removed hosts yet.
+        # Join time of the first waiting proxy that was not notified of removed hosts.
         self._unnotified_since_us: int | None = None
 
     def on_entry(self, entry: events.HostEntry) -> None:
--- a/plankroute/policy/publisher.py
+++ b/plankroute/policy/publisher.py
@@ -21,9 +21,9 @@
 from plankroute.state.publishing_status import PublishingStatus
 from plankroute.state.scheduler import Scheduler, Tick
 
-# Share of removed hosts in a zone above which waiting proxies there may have no endpoint left: the
+# Share of removed hosts in a zone above which waiting proxies there may have no usable host: the
 # table that a proxy starts with holds only a few hosts, drawn from its zone.
-REMOVED_SHARE_WITHOUT_ENDPOINTS = 0.1
+MAX_REMOVED_SHARE = 0.1
 
 
 class Publisher(ProxyRegistry):
@@ -69,7 +69,7 @@
         )
         self.last_message_us = -facts.message_window_us
         self.pending_limits: dict[LimitKey, commands.SetAdmissionLimit] = {}
-        self._proxies_may_lack_endpoints = False
+        self._proxies_may_lack_hosts = False
         for limit in open_limits(self.tables, facts.admission_unit):
             self.interim_binder.record_limit(limit)
             scheduler.out.append(limit)
@@ -140,9 +140,8 @@
     def on_tick(self, is_turn: bool) -> None:
         """Updates the channel, interim binding and drains, then writes and binds what is due."""
         self.channel.advance(self.scheduler.now)
-        self._proxies_may_lack_endpoints = any(
-            self.host_table.removed_share(zone) > REMOVED_SHARE_WITHOUT_ENDPOINTS
-            for zone in self.unbound_zones()
+        self._proxies_may_lack_hosts = any(
+            self.host_table.removed_share(zone) > MAX_REMOVED_SHARE for zone in self.unbound_zones()
         )
         self.interim_binder.update()
         self.drains.uses_interim_tables = self.interim_binder.is_active
@@ -154,7 +153,7 @@
         if not self.bound and not self.first_weights.is_waiting:
             self._fill_unused_tables()
         if not self.interim_binder.is_active:
-            self.binder.bind_waiting(self.withdrawn, self._proxies_may_lack_endpoints)
+            self.binder.bind_waiting(self.withdrawn, self._proxies_may_lack_hosts)
 
     def write(self, is_turn: bool) -> None:
         """Writes urgent changes as soon as possible, and deferrable ones with them or on turns."""
@@ -178,7 +177,7 @@
         if is_turn:
             self.interim_binder.write_batch()
         may_write_deferrable = is_turn and since_us >= 2 * self.flow.min_message_interval_us
-        if self.channel.batch or (may_write_deferrable and not self._proxies_may_lack_endpoints):
+        if self.channel.batch or (may_write_deferrable and not self._proxies_may_lack_hosts):
             deferrable_budget = (
                 self.flow.available_lines(self, self.flow.allowance) - overhead_lines
             )
--- a/plankroute/policy/slot_changes.py
+++ b/plankroute/policy/slot_changes.py
@@ -135,7 +135,7 @@
     def _keeps_warm_host(self, table: RoutingTable, slots: dict[int, int]) -> bool:
         """Whether a warm host that is published stays in the table.
 
-        If none stays, all changes are urgent, so that proxies are not left without an endpoint.
+        If none stays, all changes are urgent, so that proxies are not left without a host.
         """
         return any(
             host in slots and self.host_table.weight_cap[host] == NO_CAP for host in table.published
