--- a/plankroute/cli/state.py
+++ b/plankroute/cli/state.py
@@ -13,7 +13,7 @@
     WarmStartRequest,
     encode_frame,
 )
-from plankroute.net.peers.link_frames import read_views
+from plankroute.net.peers.link_frames import read_snapshots
 from plankroute.net.process.address import host_and_port
 from plankroute.net.process.file_store import Disk
 from plankroute.text_table import text_table
@@ -102,7 +102,7 @@
         reader, writer = await asyncio.open_connection(*host_and_port(address))
         try:
             writer.write(encode_frame(WarmStartRequest(LINK_VERSION, group, REQUESTER_NAME)))
-            async for _, age_us, data in read_views(reader, FrameDecoder(), MAX_FILE_BYTES):
+            async for _, age_us, data in read_snapshots(reader, FrameDecoder(), MAX_FILE_BYTES):
                 snapshot = decode_snapshot(data)
                 if snapshot is not None:
                     found.append(AgedSnapshot(snapshot, age_us))
--- a/plankroute/cold_start/link_codec.py
+++ b/plankroute/cold_start/link_codec.py
@@ -138,7 +138,7 @@
     name: str
 
 
-class WarmStartView(msgspec.Struct, frozen=True, array_like=True, tag=9):
+class WarmStartSnapshot(msgspec.Struct, frozen=True, array_like=True, tag=9):
     """Announces a snapshot, whose bytes follow in a `ListStart` and `ListPart` frames.
 
     Attributes:
@@ -159,7 +159,7 @@
     | DrainNoticeFrame
     | WarmStartRequest
     | WarmStartHandover
-    | WarmStartView
+    | WarmStartSnapshot
 )
 ENCODER = msgspec.msgpack.Encoder()
 DECODER = msgspec.msgpack.Decoder(Frame)
--- a/plankroute/net/peers/link_frames.py
+++ b/plankroute/net/peers/link_frames.py
@@ -1,6 +1,6 @@
-"""Content of links that is split over several frames: views of hosts, and drain notices.
+"""Content of links that is split over several frames: snapshots of hosts, and drain notices.
 
-A view is an encoded snapshot of what one controller knows about the hosts (`warm_start.snapshot`).
+A snapshot holds what one controller knows about the hosts (`warm_start.snapshot`).
 """
 
 import asyncio
@@ -14,21 +14,21 @@
     FrameDecoder,
     ListPart,
     ListStart,
-    WarmStartView,
+    WarmStartSnapshot,
     encode_frame,
 )
 from plankroute.cold_start.list_receiver import ListReceiver, ListTransferError
 
 READ_BYTES = 65536  # maximum size of one read from a socket
-VIEW_REVISION = 0  # placeholder in `ListStart`: a view has no revision of its own
+SNAPSHOT_REVISION = 0  # placeholder in `ListStart`: a snapshot has no revision of its own
 
 
-class ReceivedView(NamedTuple):
-    """A view of the hosts as received over a link.
+class TransferredSnapshot(NamedTuple):
+    """A snapshot as received over a link.
 
     Attributes:
-        name: Name of the controller whose view it is.
-        age_us: Microseconds between the time the view was taken and the time it was sent.
+        name: Name of the controller whose snapshot it is.
+        age_us: Microseconds between the time the snapshot was taken and the time it was sent.
         data: The encoded snapshot.
     """
 
@@ -37,20 +37,20 @@
     data: bytes
 
 
-def view_frames(name: str, age_us: int, data: bytes) -> list[bytes]:
-    """Encodes a view as frames; `data` is split into parts, as a list is, to bound the frame size.
+def snapshot_frames(name: str, age_us: int, data: bytes) -> list[bytes]:
+    """Encodes a snapshot as frames; as with a list, parts of `data` bound the frame size.
 
     Args:
-        name: Name of the controller whose view it is.
-        age_us: Microseconds since the view was taken.
+        name: Name of the controller whose snapshot it is.
+        age_us: Microseconds since the snapshot was taken.
         data: The encoded snapshot.
 
     Returns:
         The encoded frames in the order in which they are to be sent.
     """
     frames: list[Frame] = [
-        WarmStartView(name, age_us),
-        ListStart(VIEW_REVISION, True, len(data), crc32(data)),
+        WarmStartSnapshot(name, age_us),
+        ListStart(SNAPSHOT_REVISION, True, len(data), crc32(data)),
     ]
     frames += [
         ListPart(data[start : start + PART_BYTES]) for start in range(0, len(data), PART_BYTES)
@@ -58,33 +58,33 @@
     return [encode_frame(frame) for frame in frames]
 
 
-async def read_views(
+async def read_snapshots(
     reader: asyncio.StreamReader, decoder: FrameDecoder, max_bytes: int
-) -> AsyncIterator[ReceivedView]:
-    """Yields each view once it is complete, until the stream ends or violates the protocol.
+) -> AsyncIterator[TransferredSnapshot]:
+    """Yields each snapshot once it is complete, until the stream ends or violates the protocol.
 
     There is no time limit; the caller has to set one.
 
     Args:
         reader: The stream to read from.
         decoder: The stream's decoder; its unread frames come first.
-        max_bytes: Size limit of a view; a larger one ends the iteration.
+        max_bytes: Size limit of a snapshot; a larger one ends the iteration.
     """
     receiver = ListReceiver(max_bytes)
-    header = WarmStartView("", 0)
+    header = WarmStartSnapshot("", 0)
     frames = decoder.take_unread()
     while True:
         for frame in frames:
             try:
                 match frame:
-                    case WarmStartView():
+                    case WarmStartSnapshot():
                         header = frame
                     case ListStart(offset=0):
                         receiver.start(frame)
                     case ListPart(part):
                         data = receiver.add(part)
                         if data is not None:
-                            yield ReceivedView(header.name, header.age_us, data)
+                            yield TransferredSnapshot(header.name, header.age_us, data)
                     case _:
                         return
             except ListTransferError:
--- a/plankroute/net/peers/link_server.py
+++ b/plankroute/net/peers/link_server.py
@@ -1,6 +1,6 @@
 """The server side of links: accepts TCP connections from other controllers.
 
-Serves followers, and controllers that request or hand over views of the hosts. Who follows whom is
+Serves followers, and controllers that request or hand over snapshots. Who follows whom is
 decided in `cold_start.watcher_election`.
 """
 
@@ -25,7 +25,7 @@
     FollowerConnection,
     LinkOwner,
 )
-from plankroute.net.peers.link_frames import READ_BYTES, read_views, view_frames
+from plankroute.net.peers.link_frames import READ_BYTES, read_snapshots, snapshot_frames
 from plankroute.net.process.address import host_and_port
 
 HELLO_TIMEOUT_S = 2.0
@@ -39,24 +39,24 @@
 FirstFrame = Hello | WarmStartRequest | WarmStartHandover
 
 
-class ViewStore(Protocol):
-    """Provides views of the hosts and stores handovers; implemented by `SnapshotExchange`.
+class SnapshotStore(Protocol):
+    """Provides snapshots and stores handovers; implemented by `SnapshotExchange`.
 
     Attributes:
-        max_view_bytes: Size limit of a view that is read from a link.
+        max_snapshot_bytes: Size limit of a snapshot that is read from a link.
     """
 
-    max_view_bytes: int
+    max_snapshot_bytes: int
 
-    def views_for(self, name: str) -> list[tuple[str, int, bytes]]:
-        """Returns the views to send to a controller.
+    def snapshots_for(self, name: str) -> list[tuple[str, int, bytes]]:
+        """Returns the snapshots to send to a controller.
 
-        Each has the name of the controller whose view it is, its age in microseconds and the
+        Each has the name of the controller whose snapshot it is, its age in microseconds and the
         encoded snapshot.
         """
 
     def keep_handover(self, name: str, data: bytes) -> None:
-        """Stores the view that a controller hands over for its successor of the same name."""
+        """Stores the snapshot that a controller hands over for its successor of the same name."""
 
 
 class LinkServer:
@@ -65,7 +65,7 @@
     Attributes:
         followers: The followers that are connected, in the order in which they connected.
         open_links: Number of accepted connections that have not ended.
-        views: Provides views of the hosts; None: links that request or hand over views are
+        snapshot_store: Provides snapshots; None: links that request or hand over snapshots are
             rejected.
     """
 
@@ -74,7 +74,7 @@
         self.server: asyncio.Server | None = None
         self.followers: dict[FollowerConnection, None] = {}
         self.open_links = 0
-        self.views: ViewStore | None = None
+        self.snapshot_store: SnapshotStore | None = None
 
     async def open(self, address: str) -> None:
         """Starts to listen.
@@ -154,7 +154,7 @@
             case Hello():
                 await self.serve_follower(first_frame, reader, writer, decoder)
             case WarmStartRequest() | WarmStartHandover():
-                await self.serve_views(first_frame, reader, writer, decoder)
+                await self.serve_snapshots(first_frame, reader, writer, decoder)
 
     async def read_first_frame(
         self, reader: asyncio.StreamReader, decoder: FrameDecoder
@@ -163,8 +163,9 @@
 
         Returns:
             The frame; None if the stream ends before it, or if it does not open a link, is of
-            another protocol version or another group, or concerns views of the hosts while `views`
-            is None. The caller then closes the link before any other data from it is used.
+            another protocol version or another group, or concerns snapshots while
+            `snapshot_store` is None. The caller then closes the link before any other data from it
+            is used.
 
         Raises:
             OSError: The link broke.
@@ -181,35 +182,37 @@
         decoder.unread += frames[1:]
         if not isinstance(first_frame, Hello | WarmStartRequest | WarmStartHandover):
             return None
-        if not isinstance(first_frame, Hello) and self.views is None:
+        if not isinstance(first_frame, Hello) and self.snapshot_store is None:
             return None
         is_compatible = (
             first_frame.version == LINK_VERSION and first_frame.group == self.owner.group
         )
         return first_frame if is_compatible else None
 
-    async def serve_views(
+    async def serve_snapshots(
         self,
         first_frame: WarmStartRequest | WarmStartHandover,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
         decoder: FrameDecoder,
     ) -> None:
-        """Sends the requested views of the hosts, or receives the views that are handed over.
+        """Sends the requested snapshots, or receives the snapshots that are handed over.
 
         Raises:
             OSError: The link broke.
-            TimeoutError: The whole exchange took longer than `WRITE_TIMEOUT_S`. Views that were
+            TimeoutError: The whole exchange took longer than `WRITE_TIMEOUT_S`. Snapshots that were
                 handed over completely by then are kept.
         """
-        assert self.views
+        assert self.snapshot_store
         async with asyncio.timeout(WRITE_TIMEOUT_S):
             if isinstance(first_frame, WarmStartHandover):
-                async for view in read_views(reader, decoder, self.views.max_view_bytes):
-                    self.views.keep_handover(first_frame.name, view.data)
+                async for snapshot in read_snapshots(
+                    reader, decoder, self.snapshot_store.max_snapshot_bytes
+                ):
+                    self.snapshot_store.keep_handover(first_frame.name, snapshot.data)
                 return
-            for name, age_us, data in self.views.views_for(first_frame.name):
-                for frame in view_frames(name, age_us, data):
+            for name, age_us, data in self.snapshot_store.snapshots_for(first_frame.name):
+                for frame in snapshot_frames(name, age_us, data):
                     writer.write(frame)
                     await writer.drain()
             writer.close()
--- a/plankroute/net/peers/snapshot_exchange.py
+++ b/plankroute/net/peers/snapshot_exchange.py
@@ -17,7 +17,7 @@
     encode_frame,
 )
 from plankroute.cold_start.rendezvous import rendezvous_order
-from plankroute.net.peers.link_frames import read_views, view_frames
+from plankroute.net.peers.link_frames import read_snapshots, snapshot_frames
 from plankroute.net.process.clock import monotonic_us
 from plankroute.net.process.telemetry import Telemetry
 from plankroute.warm_start.codec import MAX_FILE_BYTES, decode_snapshot, encode_snapshot
@@ -72,7 +72,7 @@
         own_host: Local address of outgoing links.
         current_snapshot: Returns the snapshot of this controller.
         on_snapshot: Called with each snapshot that a peer sent.
-        max_view_bytes: Size limit of a snapshot that is read from a link.
+        max_snapshot_bytes: Size limit of a snapshot that is read from a link.
         handovers: Snapshots that other controllers handed over, by controller, oldest first.
         peers: Returns the live controllers in the order in which they are asked; none by default.
     """
@@ -92,13 +92,13 @@
         self.telemetry = telemetry
         self.current_snapshot = current_snapshot
         self.on_snapshot = on_snapshot
-        self.max_view_bytes = MAX_FILE_BYTES
+        self.max_snapshot_bytes = MAX_FILE_BYTES
         self.handovers: dict[str, Handover] = {}
         self.peers: Callable[[], list[Peer]] = list
 
-    # Serving others: implements the protocol `ViewStore` of the link server.
+    # Serving others: implements the protocol `SnapshotStore` of the link server.
 
-    def views_for(self, name: str) -> list[EncodedSnapshot]:
+    def snapshots_for(self, name: str) -> list[EncodedSnapshot]:
         """Returns the snapshots to send to a controller that requests them.
 
         These are this controller's own snapshot and, if there is one, the snapshot that the
@@ -194,7 +194,7 @@
         reader, writer = await self.connect(peer.address)
         try:
             writer.write(encode_frame(WarmStartRequest(LINK_VERSION, self.group, self.controller)))
-            async for snapshot in read_views(reader, FrameDecoder(), self.max_view_bytes):
+            async for snapshot in read_snapshots(reader, FrameDecoder(), self.max_snapshot_bytes):
                 snapshots.append(snapshot)
         finally:
             writer.transport.abort()
@@ -243,7 +243,7 @@
         data = encode_snapshot(self.current_snapshot())
         writer.write(encode_frame(WarmStartHandover(LINK_VERSION, self.group, self.controller)))
         await writer.drain()
-        for frame in view_frames(self.controller, 0, data):
+        for frame in snapshot_frames(self.controller, 0, data):
             writer.write(frame)
             await writer.drain()
         writer.close()
--- a/plankroute/net/process/optional_features.py
+++ b/plankroute/net/process/optional_features.py
@@ -197,7 +197,7 @@
         )
         self.warm_start.attach(controller, directory, discovery, drain_notices)
         if shared:
-            shared.server.views = self.warm_start.exchange
+            shared.server.snapshot_store = self.warm_start.exchange
             self.warm_start.exchange.peers = self.peers
 
     def peers(self) -> list["Peer"]:
--- a/plankroute/policy/publisher.py
+++ b/plankroute/policy/publisher.py
@@ -54,7 +54,8 @@
             self.flow.lines_per_us,
             facts.max_one_way_delay_us + POLL_INTERVAL_US,
         )
-        # If request keys are divided into slices, the store maintains the tables.
+        # If request keys are divided into slices, no tables are written: the store of the slices
+        # keeps the routes (`events.SliceRoute`).
         tables = [] if facts.slices else build_tables(facts)
         super().__init__(scheduler, tables, channel)
         self.host_table = host_table
--- a/tests/cold_start/test_cold_start_golden.py
+++ b/tests/cold_start/test_cold_start_golden.py
@@ -44,7 +44,7 @@
     SharedHealthCheck,
     WarmStartHandover,
     WarmStartRequest,
-    WarmStartView,
+    WarmStartSnapshot,
     encode_frame,
 )
 from plankroute.cold_start.watcher_election import WatcherElection
@@ -79,7 +79,7 @@
     ),
     "warm start request": (WarmStartRequest(2, "g", "n1"), "00000008940702a167a26e31"),
     "warm start handover": (WarmStartHandover(2, "g", "n1"), "00000008940802a167a26e31"),
-    "warm start view": (WarmStartView("n1", 40), "000000069309a26e3128"),
+    "warm start snapshot": (WarmStartSnapshot("n1", 40), "000000069309a26e3128"),
 }
 
 
--- a/tests/warm_start/test_snapshot_exchange.py
+++ b/tests/warm_start/test_snapshot_exchange.py
@@ -10,8 +10,8 @@
 from support.controller_model import SECOND
 from support.host_snapshots import HEALTHY, UNHEALTHY, snapshot_of
 
-from plankroute.cold_start.link_codec import ListPart, ListStart, WarmStartView, encode_frame
-from plankroute.net.peers.link_frames import view_frames
+from plankroute.cold_start.link_codec import ListPart, ListStart, WarmStartSnapshot, encode_frame
+from plankroute.net.peers.link_frames import snapshot_frames
 from plankroute.net.peers.snapshot_exchange import Peer, SnapshotExchange
 from plankroute.net.process.telemetry import EventLog, Telemetry
 from plankroute.warm_start.codec import decode_snapshot, encode_snapshot
@@ -45,7 +45,7 @@
 
 
 MANY_HOSTS = [msgspec.structs.replace(HEALTHY, uid=f"h{host}") for host in range(900)]
-ALL_FRAMES = view_frames("n1", 5, encode_snapshot(snapshot_of(HEALTHY, *MANY_HOSTS)))
+ALL_FRAMES = snapshot_frames("n1", 5, encode_snapshot(snapshot_of(HEALTHY, *MANY_HOSTS)))
 
 
 @pytest.mark.parametrize(
@@ -63,17 +63,20 @@
             id="sends too large a part",
         ),
         pytest.param(
-            [encode_frame(WarmStartView("n1", 0)), encode_frame(ListStart(0, True, 1 << 40, 1))],
+            [
+                encode_frame(WarmStartSnapshot("n1", 0)),
+                encode_frame(ListStart(0, True, 1 << 40, 1)),
+            ],
             False,
             0,
             id="announces a terabyte",
         ),
         pytest.param([b"\xff" * 50], False, 0, id="sends invalid bytes"),
         pytest.param(
-            [*view_frames("n1", 0, b"no view at all")], True, 0, id="sends an invalid snapshot"
+            [*snapshot_frames("n1", 0, b"no view at all")], True, 0, id="sends an invalid snapshot"
         ),
         pytest.param(
-            [*view_frames("n9", 0, encode_snapshot(snapshot_of(HEALTHY)))],
+            [*snapshot_frames("n9", 0, encode_snapshot(snapshot_of(HEALTHY)))],
             True,
             0,
             id="sends a snapshot under another controller's name",
