--- a/plankroute/controller/controller.py
+++ b/plankroute/controller/controller.py
@@ -23,7 +23,7 @@
     """Tokens of the timers that a controller sets."""
 
     TURN = 1  # starts the next turn of the control loop
-    HOST_LIST = 2  # repeats a failed poll of the endpoint list, or subscription to it
+    HOST_LIST = 2  # repeats a failed poll of, or subscription to, the endpoint list
     PUBLISHER_CHECK = 3  # makes the publisher write what it can between two turns
 
 
--- a/plankroute/membership/detector.py
+++ b/plankroute/membership/detector.py
@@ -21,7 +21,7 @@
 INDIRECT_PINGS_PER_RETRY = 1
 # Direct pings are sent alone first: they cost a quarter of indirect ones and are usually enough.
 INDIRECT_PING_DELAY_US = 3 * PING_INTERVAL_US
-# With fewer living members than this, each member probes each other one once per second.
+# With fewer living members than this, each member probes every other one once per second.
 SMALL_GROUP_SIZE = 6
 # Expected number of members that probe a suspect as soon as they hear of the suspicion: twice
 # `suspicion.MAX_CONFIRMATIONS_NEEDED`.
--- a/plankroute/net/discovery/http_client.py
+++ b/plankroute/net/discovery/http_client.py
@@ -73,7 +73,7 @@
         self.progress = CallProgress.NOT_CONNECTED
         self.status = 0
         self.retry_after: bytes | None = None  # raw header value, None if absent
-        self.started_at = 0.0  # this and the next: monotonic clock, in seconds
+        self.started_at = 0.0  # this and `requested_at`: monotonic clock, in seconds
         self.requested_at = 0.0
         self.connect_s = 0.0
         self.idle_deadline = 0.0  # on the event loop's clock
--- a/plankroute/net/peers/follower_connection.py
+++ b/plankroute/net/peers/follower_connection.py
@@ -104,7 +104,7 @@
         """Sends the changes since the follower's revision, or the complete list.
 
         The complete list is sent where not all of these changes are known any more. If the follower
-        already has a part of this very list, the transfer resumes after that part.
+        already has a part of exactly this list, the transfer resumes after that part.
         """
         telemetry = self.owner.telemetry
         revision = endpoint_list.revision
--- a/plankroute/net/process/optional_features.py
+++ b/plankroute/net/process/optional_features.py
@@ -171,7 +171,7 @@
         }
 
     def attach(self, controller: Controller, directory: Directory, discovery: Discovery) -> None:
-        """Creates the warm start and connects it to the core and to discovery.
+        """Creates the warm-start service and connects it to the core and to discovery.
 
         Must be called after `make_discovery` and before the first endpoint list arrives.
         """
