--- a/plankroute/net/peers/snapshot_exchange.py
+++ b/plankroute/net/peers/snapshot_exchange.py
@@ -17,14 +17,14 @@
     encode_frame,
 )
 from plankroute.cold_start.rendezvous import rendezvous_order
-from plankroute.net.peers.link_frames import read_views, view_frames
+from plankroute.net.peers.link_frames import read_snapshots, snapshot_frames
 from plankroute.net.process.clock import monotonic_us
 from plankroute.net.process.telemetry import Telemetry
 from plankroute.warm_start.codec import MAX_FILE_BYTES, decode_snapshot, encode_snapshot
 from plankroute.warm_start.core import SnapshotReceived
 from plankroute.warm_start.snapshot import Snapshot
 
-# After that time, what a controller has observed itself is more informative than a snapshot.
+# After this time, what a controller has observed itself is more informative than a snapshot.
 ASKING_PERIOD_S = 10.0
 MEMBERSHIP_CHECK_INTERVAL_S = 0.05  # between checks for live members that were not asked yet
 # Operators allow 0.7 s after SIGTERM for the handover and the last write of the snapshot file.
@@ -72,7 +72,7 @@
         own_host: Local address of outgoing links.
         current_snapshot: Returns the snapshot of this controller.
         on_snapshot: Called with each snapshot that a peer sent.
-        max_view_bytes: Size limit of a snapshot that is read from a link.
+        max_snapshot_bytes: Size limit of a snapshot that is read from a link.
         handovers: Snapshots that other controllers handed over, by controller, oldest first.
         peers: Returns the live controllers in the order in which they are asked; none by default.
     """
@@ -92,13 +92,13 @@
         self.telemetry = telemetry
         self.current_snapshot = current_snapshot
         self.on_snapshot = on_snapshot
-        self.max_view_bytes = MAX_FILE_BYTES
+        self.max_snapshot_bytes = MAX_FILE_BYTES
         self.handovers: dict[str, Handover] = {}
         self.peers: Callable[[], list[Peer]] = list
 
-    # Serving others: implements the protocol `ViewStore` of the link server.
+    # Serving others: implements the protocol `SnapshotStore` of the link server.
 
-    def views_for(self, name: str) -> list[EncodedSnapshot]:
+    def snapshots_for(self, name: str) -> list[EncodedSnapshot]:
         """Returns the snapshots to send to a controller that requests them.
 
         These are this controller's own snapshot and, if there is one, the snapshot that the
@@ -194,7 +194,7 @@
         reader, writer = await self.connect(peer.address)
         try:
             writer.write(encode_frame(WarmStartRequest(LINK_VERSION, self.group, self.controller)))
-            async for snapshot in read_views(reader, FrameDecoder(), self.max_view_bytes):
+            async for snapshot in read_snapshots(reader, FrameDecoder(), self.max_snapshot_bytes):
                 snapshots.append(snapshot)
         finally:
             writer.transport.abort()
@@ -243,7 +243,7 @@
         data = encode_snapshot(self.current_snapshot())
         writer.write(encode_frame(WarmStartHandover(LINK_VERSION, self.group, self.controller)))
         await writer.drain()
-        for frame in view_frames(self.controller, 0, data):
+        for frame in snapshot_frames(self.controller, 0, data):
             writer.write(frame)
             await writer.drain()
         writer.close()
@@ -253,7 +253,7 @@
 def asking_order(names: list[str], controller: str) -> list[str]:
     """Returns the other controllers in the order in which a controller asks them.
 
-    It hands over to the first one. The order is by rendezvous hashing over the controller's own
-    name.
+    The controller hands over to the first one. The order is by rendezvous hashing over the
+    controller's own name.
     """
     return rendezvous_order([name for name in names if name != controller], controller)
