--- a/plankroute/testbed/cold_start_cases.py
+++ b/plankroute/testbed/cold_start_cases.py
@@ -50,14 +50,14 @@
     Attributes:
         play: Acts and checks after the controllers have started.
         script: Makes the script, from the indexes of the watchers.
-        absent: Controllers that are not started with the others; the play may start them later.
+        started_later: Controllers that `ColdStart.begin` does not start; the play may start them.
     """
 
     play: CaseSteps
     script: ScriptMaker = no_faults
     hosts: int = 500
     behaviour: Behaviour = Behaviour()
-    absent: tuple[int, ...] = ()
+    started_later: tuple[int, ...] = ()
     with_hosts: bool = False
     known: int | None = None
     padding: int = 0
@@ -117,7 +117,9 @@
         known=900,
         padding=5000,
     ),
-    "good": ColdCase(plays.drain_and_late_start, hosts=100, absent=(LAST_MEMBER,), with_hosts=True),
+    "good": ColdCase(
+        plays.drain_and_late_start, hosts=100, started_later=(LAST_MEMBER,), with_hosts=True
+    ),
     "twice": ColdCase(plays.second_power_failure),
     "began anew": ColdCase(plays.discovery_restart),
     "lied to": ColdCase(plays.misbehaving_watcher),
@@ -155,7 +157,7 @@
             cold_host_share=case.cold_part,
         )
     )
-    start.started_later = case.absent
+    start.started_later = case.started_later
     return start
 
 
