--- a/plankroute/testbed/cold_start_cases.py
+++ b/plankroute/testbed/cold_start_cases.py
@@ -59,7 +59,7 @@
     behaviour: Behaviour = Behaviour()
     started_later: tuple[int, ...] = ()
     with_hosts: bool = False
-    known: int | None = None
+    known_revision: int | None = None
     padding: int = 0
     load: float = 0.0
     cold_part: float = 1.0
@@ -114,7 +114,7 @@
         only_slow_links,
         hosts=200,
         with_hosts=True,
-        known=900,
+        known_revision=900,
         padding=5000,
     ),
     "good": ColdCase(
@@ -123,9 +123,9 @@
     "twice": ColdCase(plays.second_power_failure),
     "began anew": ColdCase(plays.discovery_restart),
     "lied to": ColdCase(plays.misbehaving_watcher),
-    "changed since": ColdCase(plays.changes_only, hosts=100, with_hosts=True, known=1000),
+    "changed since": ColdCase(plays.changes_only, hosts=100, with_hosts=True, known_revision=1000),
     "known from before": ColdCase(
-        plays.discovery_restart_while_down, hosts=100, with_hosts=True, known=5000
+        plays.discovery_restart_while_down, hosts=100, with_hosts=True, known_revision=5000
     ),
     "all cold": ColdCase(plays.cold_hosts, hosts=100, with_hosts=True, load=0.8),
     "half cold": ColdCase(plays.cold_hosts, hosts=100, with_hosts=True, load=0.8, cold_part=0.5),
@@ -151,7 +151,7 @@
             cold_start_section={"list_old_s": LIST_OLD_S},
             script=case.script(watchers()),
             with_hosts=case.with_hosts,
-            known_revision=case.known,
+            known_revision=case.known_revision,
             padding=case.padding,
             load=case.load,
             cold_host_share=case.cold_part,
