--- a/plankroute/testbed/cold_start_cases.py
+++ b/plankroute/testbed/cold_start_cases.py
@@ -62,7 +62,7 @@
     known_revision: int | None = None
     padding: int = 0
     load: float = 0.0
-    cold_part: float = 1.0
+    cold_host_share: float = 1.0
 
 
 def slow_links(*rules: Rule, steps: tuple[Step, ...] = ()) -> Script:
@@ -128,7 +128,9 @@
         plays.discovery_restart_while_down, hosts=100, with_hosts=True, known_revision=5000
     ),
     "all cold": ColdCase(plays.cold_hosts, hosts=100, with_hosts=True, load=0.8),
-    "half cold": ColdCase(plays.cold_hosts, hosts=100, with_hosts=True, load=0.8, cold_part=0.5),
+    "half cold": ColdCase(
+        plays.cold_hosts, hosts=100, with_hosts=True, load=0.8, cold_host_share=0.5
+    ),
 }
 
 
@@ -154,7 +156,7 @@
             known_revision=case.known_revision,
             padding=case.padding,
             load=case.load,
-            cold_host_share=case.cold_part,
+            cold_host_share=case.cold_host_share,
         )
     )
     start.started_later = case.started_later
