--- a/plankroute/testbed/cold_start_cases.py
+++ b/plankroute/testbed/cold_start_cases.py
@@ -134,12 +134,12 @@
 }
 
 
-def make_cold_start(case: ColdCase, net: int) -> ColdStart:
+def make_cold_start(case: ColdCase, loopback_net: int) -> ColdStart:
     """Returns the cold start of a case, not yet begun.
 
     Args:
         case: The case.
-        net: Second or third byte of its loopback addresses.
+        loopback_net: Second or third octet of its loopback addresses.
     """
     start = ColdStart(
         ColdStartCase(
@@ -148,7 +148,7 @@
             hosts=case.hosts,
             behaviour=case.behaviour,
             seed=1,
-            loopback_net=net,
+            loopback_net=loopback_net,
             limit_s=LIMIT_S,
             cold_start_section={"list_old_s": LIST_OLD_S},
             script=case.script(watchers()),
@@ -163,19 +163,19 @@
     return start
 
 
-async def run_cold_case(name: str, net: int) -> tuple[Problems, dict[str, Any]]:
+async def run_cold_case(name: str, loopback_net: int) -> tuple[Problems, dict[str, Any]]:
     """Runs a case; its processes end also after an exception.
 
     Args:
         name: Its name in `CASES`.
-        net: Second or third byte of its loopback addresses.
+        loopback_net: Second or third octet of its loopback addresses.
 
     Returns:
         Problems, with up to `MAX_REPORTED_FAILURES` log lines that report an internal failure,
         and the figures of the start.
     """
     case = CASES[name]
-    start = make_cold_start(case, net)
+    start = make_cold_start(case, loopback_net)
     cut = InterruptedRelay(start, PARTITION_FROM_S, PARTITION_UNTIL_S)
     if name == PARTITION_CASE:
         start.discovery_relays = dict.fromkeys(small_side(), cut)
--- a/plankroute/testbed/scenarios.py
+++ b/plankroute/testbed/scenarios.py
@@ -102,7 +102,7 @@
 }
 
 
-async def run_one(name: str, members: int, seed: int, full: bool, net: int) -> Result:
+async def run_one(name: str, members: int, seed: int, full: bool, loopback_net: int) -> Result:
     """Runs a scenario. Its processes are killed at the end, also after an exception.
 
     Args:
@@ -110,10 +110,10 @@
         members: Number of controllers.
         seed: Seed of the faults.
         full: Whether pauses go on for as long as operators have seen them.
-        net: Second byte of the controllers' loopback addresses.
+        loopback_net: Second octet of the controllers' loopback addresses.
     """
     scenario = SCENARIOS[name]
-    plan = msgspec.structs.replace(scenario.plan(members, seed, full), loopback_net=net)
+    plan = msgspec.structs.replace(scenario.plan(members, seed, full), loopback_net=loopback_net)
     run = ScenarioRun(ControllerProcesses(plan))
     try:
         if not await run.processes.launch():
@@ -154,9 +154,9 @@
     """Runs scenarios, up to `CONCURRENT_SCENARIOS` at once, each on addresses of its own."""
     slots = asyncio.Semaphore(CONCURRENT_SCENARIOS)
 
-    async def run_in_slot(name: str, net: int) -> Result:
+    async def run_in_slot(name: str, loopback_net: int) -> Result:
         async with slots:
-            return await run_one(name, members, seed, full, net)
+            return await run_one(name, members, seed, full, loopback_net)
 
     runs = [run_in_slot(name, FIRST_NET + place) for place, name in enumerate(names)]
     return list(await asyncio.gather(*runs))
--- a/tests/cold_start/test_cold_start_processes.py
+++ b/tests/cold_start/test_cold_start_processes.py
@@ -90,9 +90,9 @@
     async def run() -> list[Outcome]:
         slots = asyncio.Semaphore(MAX_PARALLEL_CASES)
 
-        async def one(name: str, net: int) -> Outcome:
+        async def one(name: str, loopback_net: int) -> Outcome:
             async with slots:
-                return await run_cold_case(name, net)
+                return await run_cold_case(name, loopback_net)
 
         return await asyncio.gather(*(one(name, 140 + index) for index, name in enumerate(CASES)))
 
--- a/tests/warm_start/test_warm_restart_processes.py
+++ b/tests/warm_start/test_warm_restart_processes.py
@@ -63,7 +63,7 @@
 class ControllerGroup:
     """Three controllers with snapshot files, links and a list of hosts in their configuration."""
 
-    def __init__(self, folder: str, net: int) -> None:
+    def __init__(self, folder: str, loopback_net: int) -> None:
         targets = [
             {
                 "uid": f"h{host}",
@@ -81,7 +81,7 @@
             Plan(
                 3,
                 Script(1),
-                net,
+                loopback_net,
                 sections={"coldstart": {}, "learned": {"folder": folder, "every_s": 0.2}},
                 configuration={"known": {"rev": 5, "all": True, "targets": targets}},
                 has_links=True,
@@ -130,12 +130,12 @@
 
 
 def run_with_group(
-    folder: Path, net: int, scenario: Callable[[ControllerGroup], Awaitable[None]]
+    folder: Path, loopback_net: int, scenario: Callable[[ControllerGroup], Awaitable[None]]
 ) -> None:
     """Runs a scenario; its processes are killed even if it fails."""
 
     async def run() -> None:
-        group = ControllerGroup(str(folder), net)
+        group = ControllerGroup(str(folder), loopback_net)
         try:
             await scenario(group)
         finally:
