--- a/plankroute/testbed/cold_start.py
+++ b/plankroute/testbed/cold_start.py
@@ -240,8 +240,8 @@
         """Marks a share of the hosts as started just now, and starts the simulated load."""
         cold_hosts = round(self.case.cold_host_share * self.case.hosts)
         boot_s: dict[str, float | None] = {}
-        for place, entry in enumerate(self.service.targets):
-            is_cold = place < cold_hosts
+        for index, entry in enumerate(self.service.targets):
+            is_cold = index < cold_hosts
             boot_s[entry["uid"]] = time.monotonic() if is_cold else None
             if is_cold:
                 entry["boot_ms"] = round(time.time() * 1000)
--- a/plankroute/testbed/heartbeats.py
+++ b/plankroute/testbed/heartbeats.py
@@ -37,7 +37,7 @@
             incarnation=START_WALL_CLOCK_US + process_number,
             instance_id=process_number,
         )
-        self.member_by_name = {record.name: place for place, record in enumerate(self.records)}
+        self.member_by_name = {record.name: index for index, record in enumerate(self.records)}
         self.last_heartbeat_us: list[int] | None = None  # by member; None before the first delivery
         self.failed: set[int] = set()
         self.next_heartbeat_us = 0
--- a/plankroute/testbed/scenarios.py
+++ b/plankroute/testbed/scenarios.py
@@ -158,7 +158,7 @@
         async with slots:
             return await run_one(name, members, seed, full, loopback_net)
 
-    runs = [run_in_slot(name, FIRST_NET + place) for place, name in enumerate(names)]
+    runs = [run_in_slot(name, FIRST_NET + index) for index, name in enumerate(names)]
     return list(await asyncio.gather(*runs))
 
 
--- a/plankroute/testbed/warm_restart.py
+++ b/plankroute/testbed/warm_restart.py
@@ -310,8 +310,8 @@
     """
     trials = [
         msgspec.structs.replace(
-            common, knowledge_source=source, loopback_net=common.loopback_net + place
+            common, knowledge_source=source, loopback_net=common.loopback_net + index
         )
-        for place, source in enumerate(sources)
+        for index, source in enumerate(sources)
     ]
     return list(await asyncio.gather(*(run_trial(trial) for trial in trials)))
--- a/tests/warm_start/test_prior_knowledge_policy.py
+++ b/tests/warm_start/test_prior_knowledge_policy.py
@@ -29,7 +29,7 @@
 
 def listed_hosts(count: int = 10) -> events.HostList:
     """Hosts 100, 101, ... over three zones."""
-    return full(*[entry(100 + place, zone=place % 3) for place in range(count)])
+    return full(*[entry(100 + index, zone=index % 3) for index in range(count)])
 
 
 def health_check(host: int, outcome: HealthCheckOutcome) -> events.HealthCheckResult:
