--- a/plankroute/testbed/cold_start_cases.py
+++ b/plankroute/testbed/cold_start_cases.py
@@ -181,14 +181,14 @@
         start.discovery_relays = dict.fromkeys(small_side(), cut)
     try:
         await start.begin()
-        objections = await case.play(start)
+        problems = await case.play(start)
         failures = [
             str(line)
             for lines in start.processes.log_lines
             for line in lines
             if line.get("event") in FAILURE_EVENTS
         ]
-        return objections + failures[:MAX_REPORTED_FAILURES], msgspec.to_builtins(start.result())
+        return problems + failures[:MAX_REPORTED_FAILURES], msgspec.to_builtins(start.result())
     finally:
         await start.close()
         cut.close()
