--- a/plankroute/testbed/fleet_stage.py
+++ b/plankroute/testbed/fleet_stage.py
@@ -23,7 +23,7 @@
 from plankroute.testbed.processes import STREAM_PORT, ControllerProcesses
 from plankroute.testbed.roaming_proxies import RoamingProxy
 
-LOOK_INTERVAL_S = 0.05  # between checks of the rules
+CHECK_INTERVAL_S = 0.05  # between checks of the rules
 READY_TIMEOUT_S = 30.0
 INITIAL_HOSTS = 6  # in a proxy's table before any controller has sent one
 LIST_REVISION = 1000
@@ -287,4 +287,4 @@
         loop = asyncio.get_running_loop()
         while True:
             self.rules.check(loop.time())
-            await asyncio.sleep(LOOK_INTERVAL_S)
+            await asyncio.sleep(CHECK_INTERVAL_S)
