--- a/tests/cold_start/test_cold_start_processes.py
+++ b/tests/cold_start/test_cold_start_processes.py
@@ -60,8 +60,8 @@
         assert seen.calls <= 3 * CONTROLLERS
 
 
-@pytest.mark.parametrize("way", ["peers", "alone"])
-def test_a_survey_of_all_hosts_is_shared_among_controllers(way: str) -> None:
+@pytest.mark.parametrize("variant", ["peers", "alone"])
+def test_a_survey_of_all_hosts_is_shared_among_controllers(variant: str) -> None:
     """Guards against health checks of each host by each controller, as without sharing.
 
     Real controllers with a stub proxy each; stub hosts count the health checks.
@@ -69,13 +69,18 @@
     seen = asyncio.run(
         run_case(
             ColdStartCase(
-                way, 10, 60, Behaviour(20.0), loopback_net=160 + (way == "alone"), with_hosts=True
+                variant,
+                10,
+                60,
+                Behaviour(20.0),
+                loopback_net=160 + (variant == "alone"),
+                with_hosts=True,
             )
         )
     )
     assert seen.served == 10 and seen.notes["connections_most"] <= 10
     assert 2 <= seen.notes["probes_a_host_mean"] <= 4.5
-    if way == "peers":
+    if variant == "peers":
         assert seen.notes["probes_a_host_most"] <= 5
 
 
--- a/tests/warm_start/test_warm_restart_processes.py
+++ b/tests/warm_start/test_warm_restart_processes.py
@@ -19,11 +19,11 @@
 FAILING_HOST = 7
 STARTED_MS = 1_764_700_000_123  # Unix time of the start of every second host; the rest have 0
 
-OutcomeByWay = dict[str, Outcome]
+OutcomeBySource = dict[str, Outcome]
 
 
 @pytest.fixture(scope="module")
-def outcomes() -> tuple[OutcomeByWay, OutcomeByWay]:
+def outcomes() -> tuple[OutcomeBySource, OutcomeBySource]:
     """Restarts by SIGKILL together with the proxies, and by SIGTERM while the proxies stay."""
 
     async def run() -> tuple[list[Outcome], list[Outcome]]:
@@ -39,21 +39,21 @@
     return {one.knowledge_source: one for one in fresh}, {one.knowledge_source: one for one in stay}
 
 
-@pytest.mark.parametrize("way", ["snapshot", "peer"])
+@pytest.mark.parametrize("source", ["snapshot", "peer"])
 def test_a_restart_with_prior_knowledge_costs_at_most_a_quarter(
-    outcomes: tuple[OutcomeByWay, OutcomeByWay], way: str
+    outcomes: tuple[OutcomeBySource, OutcomeBySource], source: str
 ) -> None:
     fresh, stay = outcomes
     assert fresh["nothing"].failures > 50, (
         "no requests failed without prior knowledge: the run shows nothing"
     )
-    assert fresh[way].failures <= fresh["nothing"].failures / 4
-    assert fresh[way].hosts_provided >= 40
-    assert stay[way].failures <= fresh["nothing"].failures / 4
+    assert fresh[source].failures <= fresh["nothing"].failures / 4
+    assert fresh[source].hosts_provided >= 40
+    assert stay[source].failures <= fresh["nothing"].failures / 4
 
 
 def test_wrong_prior_knowledge_costs_little(
-    outcomes: tuple[OutcomeByWay, OutcomeByWay],
+    outcomes: tuple[OutcomeBySource, OutcomeBySource],
 ) -> None:
     """A generous limit for one seed; docs/warm-start.md has the figure over many seeds."""
     fresh, _ = outcomes
