--- a/plankroute/testbed/cold_host_load.py
+++ b/plankroute/testbed/cold_host_load.py
@@ -42,7 +42,10 @@
 
 
 class TickLoad(NamedTuple):
-    """What a host received and what it could serve in one tick, in units of `ColdHostLoad.rate`."""
+    """What a host received and what it could serve in one tick.
+
+    The unit is what a warm host serves in a second.
+    """
 
     received: float
     capacity: float
--- a/plankroute/testbed/cold_start_faults.py
+++ b/plankroute/testbed/cold_start_faults.py
@@ -22,7 +22,7 @@
 
 
 class MisbehavingWatcher:
-    """Replaces a watcher, and sends invalid frames to its followers, others on each link.
+    """Replaces a watcher, and sends its followers invalid frames, different ones on each link.
 
     Attributes:
         links_served: Number of links that were accepted.
--- a/plankroute/testbed/list_service.py
+++ b/plankroute/testbed/list_service.py
@@ -213,7 +213,7 @@
             asyncio.IncompleteReadError,
             asyncio.CancelledError,
         ):
-            pass  # the client has closed the connection or sent no valid request, or we are closing
+            pass  # the client has closed or sent no valid request, or the testbed is closing
         finally:
             self.watches.discard(writer)
             writer.transport.abort()
--- a/plankroute/testbed/membership_measurements.py
+++ b/plankroute/testbed/membership_measurements.py
@@ -127,7 +127,7 @@
 
 
 def count_failed_members(reports: list[StatusReport]) -> int:
-    """Returns the number of subjects; one that refuted a report counts again for the next one."""
+    """Counts the subjects; one that refuted a report counts again if it is reported again."""
     return len({(report.subject, report.incarnation) for report in reports})
 
 
--- a/plankroute/testbed/membership_scenarios.py
+++ b/plankroute/testbed/membership_scenarios.py
@@ -100,7 +100,8 @@
 class CutOff(Scenario):
     """The datagrams of one member are cut, one way.
 
-    All other members reach the same verdict on it and keep it, and all agree after the cut.
+    All other members reach the same verdict on this member and keep it, and all members agree after
+    the cut.
 
     Attributes:
         may_fail: Whether the others may report the member as failed.
--- a/plankroute/testbed/swim.py
+++ b/plankroute/testbed/swim.py
@@ -84,7 +84,7 @@
 
     With Lifeguard, a member that misses acks lengthens its own timeouts (local health multiplier),
     the timeout of a suspicion shrinks with each confirmation, and a ping to a suspected member
-    carries the suspicion, so that it can refute it soon.
+    carries the suspicion, so that this member can refute the suspicion soon.
     """
 
     def __init__(
--- a/plankroute/testbed/write_kills.py
+++ b/plankroute/testbed/write_kills.py
@@ -182,7 +182,7 @@
 
 
 def check_file(path: Path, counts: WriteKillCounts) -> None:
-    """Checks that a start would read one complete snapshot, and counts it otherwise."""
+    """Checks that a start would read one complete snapshot; adds any other result to `counts`."""
     data = Disk().read(path, MAX_FILE_BYTES)
     if data is None:
         counts.missing_files += 1
