--- a/tests/cold_start/test_links.py
+++ b/tests/cold_start/test_links.py
@@ -70,7 +70,7 @@
 
 @pytest.mark.parametrize("heartbeats_only", [False, True])
 def test_a_drain_notice_overtakes_a_large_list(heartbeats_only: bool) -> None:
-    """Guards against a drain that waits until a list of 4 MB was sent over a slow link."""
+    """Guards against a drain that waits until a list of 4 MB has been sent over a slow link."""
 
     async def run() -> list:
         owner = StubLinkOwner(1000, 4000)
--- a/tests/cold_start/test_list_transfers.py
+++ b/tests/cold_start/test_list_transfers.py
@@ -24,7 +24,7 @@
 
 
 def test_a_link_keeps_the_size_limit_of_its_first_frame() -> None:
-    """Guards against a limit that is read once: it may change while the controller runs."""
+    """Guards against a size limit that is read once for all links, although it may change."""
     limits = [50, 200]
     transfers = ListTransfers(lambda: limits[0])
     start = ListStart(7, True, len(LIST), crc32(LIST))
--- a/tests/cold_start/test_request_backoff.py
+++ b/tests/cold_start/test_request_backoff.py
@@ -36,7 +36,10 @@
 
 
 def test_in_an_outage_each_controller_fails_at_most_twice_and_is_served_soon_after() -> None:
-    """Guards against simultaneous requests when the service recovers: all use the same rounds."""
+    """Guards against simultaneous requests when the service recovers.
+
+    The rounds of all controllers start at the same time.
+    """
     refused, served = [], []
     for scheduler in schedulers(100):
         due, times = scheduler.deliver(0, Started()).due_us, 0
--- a/tests/policy/test_interim_tables.py
+++ b/tests/policy/test_interim_tables.py
@@ -22,7 +22,7 @@
 
 
 def bench_on_interim_tables(**facts: object) -> Bench:
-    """Returns a controller with few proxies, which those of others join while many hosts drain."""
+    """Returns a controller that proxies of other controllers join while many hosts drain."""
     bench = Bench(
         start_facts(
             **{
--- a/tests/policy/test_subsetting.py
+++ b/tests/policy/test_subsetting.py
@@ -117,7 +117,8 @@
             bench.pass_time(SECOND)
             held += bench.lines[0]
         sizes[count] = {held.count(host) for host in range(100, 300)}
-    assert sizes == {5: {3}, 2: {2}}  # two use no subsets: either may be left with all proxies
+    # Two controllers use no subsets, since either may be left with all proxies.
+    assert sizes == {5: {3}, 2: {2}}
 
 
 def test_hosts_outside_the_subset_are_not_suspected_when_they_have_no_statistics() -> None:
--- a/tests/testbed/test_controller_processes.py
+++ b/tests/testbed/test_controller_processes.py
@@ -66,9 +66,10 @@
 
 
 def test_two_groups_with_members_command_and_reloaded_seeds() -> None:
-    """Guards against a group that accepts datagrams of another group, which has it as a seed.
+    """Guards against a group that accepts datagrams of another group.
 
-    The other group first rejects invalid seeds on SIGHUP, then accepts its own address as a seed.
+    The other group has a member of this group as its seed. It first rejects invalid
+    seeds on SIGHUP, then accepts its own address as a seed.
     """
 
     async def run() -> None:
--- a/tests/warm_start/test_prior_knowledge_policy.py
+++ b/tests/warm_start/test_prior_knowledge_policy.py
@@ -110,7 +110,7 @@
 
 
 def test_with_published_tables_prior_knowledge_may_only_lower_a_weight() -> None:
-    """Guards against requests to an avoided host that wrong knowledge records as healthy."""
+    """Guards against requests to a host that old tables avoid and wrong knowledge favours."""
     bench = Bench(start_facts())
     bench.give(
         listed_hosts(),
--- a/tests/warm_start/test_warm_restart_processes.py
+++ b/tests/warm_start/test_warm_restart_processes.py
@@ -145,7 +145,10 @@
 
 
 def test_three_controllers_restarted_one_after_another_and_then_all_at_once(tmp_path: Path) -> None:
-    """Restarted controllers recover knowledge from file and peer, all at once from files alone."""
+    """Restarted controllers recover knowledge from their files and from peers.
+
+    After all of them were killed at once, only the files are left.
+    """
     members = range(3)
 
     async def restart_and_wait(group: ControllerGroup, member: int) -> None:
