--- a/plankroute/testbed/cold_start_cases.py
+++ b/plankroute/testbed/cold_start_cases.py
@@ -50,19 +50,19 @@
     Attributes:
         play: Acts and checks after the controllers have started.
         script: Makes the script, from the indexes of the watchers.
-        absent: Controllers that are not started with the others; the play may start them later.
+        started_later: Controllers that `ColdStart.begin` does not start; the play may start them.
     """
 
     play: CaseSteps
     script: ScriptMaker = no_faults
     hosts: int = 500
     behaviour: Behaviour = Behaviour()
-    absent: tuple[int, ...] = ()
+    started_later: tuple[int, ...] = ()
     with_hosts: bool = False
-    known: int | None = None
+    known_revision: int | None = None
     padding: int = 0
     load: float = 0.0
-    cold_part: float = 1.0
+    cold_host_share: float = 1.0
 
 
 def slow_links(*rules: Rule, steps: tuple[Step, ...] = ()) -> Script:
@@ -114,28 +114,32 @@
         only_slow_links,
         hosts=200,
         with_hosts=True,
-        known=900,
+        known_revision=900,
         padding=5000,
     ),
-    "good": ColdCase(plays.drain_and_late_start, hosts=100, absent=(LAST_MEMBER,), with_hosts=True),
+    "good": ColdCase(
+        plays.drain_and_late_start, hosts=100, started_later=(LAST_MEMBER,), with_hosts=True
+    ),
     "twice": ColdCase(plays.second_power_failure),
     "began anew": ColdCase(plays.discovery_restart),
     "lied to": ColdCase(plays.misbehaving_watcher),
-    "changed since": ColdCase(plays.changes_only, hosts=100, with_hosts=True, known=1000),
+    "changed since": ColdCase(plays.changes_only, hosts=100, with_hosts=True, known_revision=1000),
     "known from before": ColdCase(
-        plays.discovery_restart_while_down, hosts=100, with_hosts=True, known=5000
+        plays.discovery_restart_while_down, hosts=100, with_hosts=True, known_revision=5000
     ),
     "all cold": ColdCase(plays.cold_hosts, hosts=100, with_hosts=True, load=0.8),
-    "half cold": ColdCase(plays.cold_hosts, hosts=100, with_hosts=True, load=0.8, cold_part=0.5),
+    "half cold": ColdCase(
+        plays.cold_hosts, hosts=100, with_hosts=True, load=0.8, cold_host_share=0.5
+    ),
 }
 
 
-def make_cold_start(case: ColdCase, net: int) -> ColdStart:
+def make_cold_start(case: ColdCase, loopback_net: int) -> ColdStart:
     """Returns the cold start of a case, not yet begun.
 
     Args:
         case: The case.
-        net: Second or third byte of its loopback addresses.
+        loopback_net: Second or third octet of its loopback addresses.
     """
     start = ColdStart(
         ColdStartCase(
@@ -144,47 +148,47 @@
             hosts=case.hosts,
             behaviour=case.behaviour,
             seed=1,
-            loopback_net=net,
+            loopback_net=loopback_net,
             limit_s=LIMIT_S,
             cold_start_section={"list_old_s": LIST_OLD_S},
             script=case.script(watchers()),
             with_hosts=case.with_hosts,
-            known_revision=case.known,
+            known_revision=case.known_revision,
             padding=case.padding,
             load=case.load,
-            cold_host_share=case.cold_part,
+            cold_host_share=case.cold_host_share,
         )
     )
-    start.started_later = case.absent
+    start.started_later = case.started_later
     return start
 
 
-async def run_cold_case(name: str, net: int) -> tuple[Problems, dict[str, Any]]:
+async def run_cold_case(name: str, loopback_net: int) -> tuple[Problems, dict[str, Any]]:
     """Runs a case; its processes end also after an exception.
 
     Args:
         name: Its name in `CASES`.
-        net: Second or third byte of its loopback addresses.
+        loopback_net: Second or third octet of its loopback addresses.
 
     Returns:
         Problems, with up to `MAX_REPORTED_FAILURES` log lines that report an internal failure,
         and the figures of the start.
     """
     case = CASES[name]
-    start = make_cold_start(case, net)
+    start = make_cold_start(case, loopback_net)
     cut = InterruptedRelay(start, PARTITION_FROM_S, PARTITION_UNTIL_S)
     if name == PARTITION_CASE:
         start.discovery_relays = dict.fromkeys(small_side(), cut)
     try:
         await start.begin()
-        objections = await case.play(start)
+        problems = await case.play(start)
         failures = [
             str(line)
             for lines in start.processes.log_lines
             for line in lines
             if line.get("event") in FAILURE_EVENTS
         ]
-        return objections + failures[:MAX_REPORTED_FAILURES], msgspec.to_builtins(start.result())
+        return problems + failures[:MAX_REPORTED_FAILURES], msgspec.to_builtins(start.result())
     finally:
         await start.close()
         cut.close()
--- a/tests/cold_start/test_cold_start_processes.py
+++ b/tests/cold_start/test_cold_start_processes.py
@@ -60,8 +60,8 @@
         assert seen.calls <= 3 * CONTROLLERS
 
 
-@pytest.mark.parametrize("way", ["peers", "alone"])
-def test_a_survey_of_all_hosts_is_shared_among_controllers(way: str) -> None:
+@pytest.mark.parametrize("variant", ["peers", "alone"])
+def test_a_survey_of_all_hosts_is_shared_among_controllers(variant: str) -> None:
     """Guards against health checks of each host by each controller, as without sharing.
 
     Real controllers with a stub proxy each; stub hosts count the health checks.
@@ -69,13 +69,18 @@
     seen = asyncio.run(
         run_case(
             ColdStartCase(
-                way, 10, 60, Behaviour(20.0), loopback_net=160 + (way == "alone"), with_hosts=True
+                variant,
+                10,
+                60,
+                Behaviour(20.0),
+                loopback_net=160 + (variant == "alone"),
+                with_hosts=True,
             )
         )
     )
     assert seen.served == 10 and seen.notes["connections_most"] <= 10
     assert 2 <= seen.notes["probes_a_host_mean"] <= 4.5
-    if way == "peers":
+    if variant == "peers":
         assert seen.notes["probes_a_host_most"] <= 5
 
 
@@ -90,9 +95,9 @@
     async def run() -> list[Outcome]:
         slots = asyncio.Semaphore(MAX_PARALLEL_CASES)
 
-        async def one(name: str, net: int) -> Outcome:
+        async def one(name: str, loopback_net: int) -> Outcome:
             async with slots:
-                return await run_cold_case(name, net)
+                return await run_cold_case(name, loopback_net)
 
         return await asyncio.gather(*(one(name, 140 + index) for index, name in enumerate(CASES)))
 
--- a/tests/warm_start/test_prior_knowledge_policy.py
+++ b/tests/warm_start/test_prior_knowledge_policy.py
@@ -37,7 +37,7 @@
 
 def listed_hosts(count: int = 10) -> events.HostList:
     """Hosts 100, 101, ... over three zones."""
-    return full_list(*[entry(100 + place, zone=place % 3) for place in range(count)])
+    return full_list(*[entry(100 + index, zone=index % 3) for index in range(count)])
 
 
 def health_check(host: int, outcome: HealthCheckOutcome) -> events.HealthCheckResult:
@@ -118,7 +118,7 @@
 
 
 def test_with_published_tables_prior_knowledge_may_only_lower_a_weight() -> None:
-    """Guards against requests to an avoided host that wrong knowledge records as healthy."""
+    """Guards against requests to a host that old tables avoid and wrong knowledge favours."""
     bench = Bench(start_facts())
     bench.deliver(
         listed_hosts(),
--- a/tests/warm_start/test_warm_restart_processes.py
+++ b/tests/warm_start/test_warm_restart_processes.py
@@ -19,11 +19,11 @@
 FAILING_HOST = 7
 STARTED_MS = 1_764_700_000_123  # Unix time of the start of every second host; the rest have 0
 
-OutcomeByWay = dict[str, Outcome]
+OutcomeBySource = dict[str, Outcome]
 
 
 @pytest.fixture(scope="module")
-def outcomes() -> tuple[OutcomeByWay, OutcomeByWay]:
+def outcomes() -> tuple[OutcomeBySource, OutcomeBySource]:
     """Restarts by SIGKILL together with the proxies, and by SIGTERM while the proxies stay."""
 
     async def run() -> tuple[list[Outcome], list[Outcome]]:
@@ -39,21 +39,21 @@
     return {one.knowledge_source: one for one in fresh}, {one.knowledge_source: one for one in stay}
 
 
-@pytest.mark.parametrize("way", ["snapshot", "peer"])
+@pytest.mark.parametrize("source", ["snapshot", "peer"])
 def test_a_restart_with_prior_knowledge_costs_at_most_a_quarter(
-    outcomes: tuple[OutcomeByWay, OutcomeByWay], way: str
+    outcomes: tuple[OutcomeBySource, OutcomeBySource], source: str
 ) -> None:
     fresh, stay = outcomes
     assert fresh["nothing"].failures > 50, (
         "no requests failed without prior knowledge: the run shows nothing"
     )
-    assert fresh[way].failures <= fresh["nothing"].failures / 4
-    assert fresh[way].hosts_provided >= 40
-    assert stay[way].failures <= fresh["nothing"].failures / 4
+    assert fresh[source].failures <= fresh["nothing"].failures / 4
+    assert fresh[source].hosts_provided >= 40
+    assert stay[source].failures <= fresh["nothing"].failures / 4
 
 
 def test_wrong_prior_knowledge_costs_little(
-    outcomes: tuple[OutcomeByWay, OutcomeByWay],
+    outcomes: tuple[OutcomeBySource, OutcomeBySource],
 ) -> None:
     """A generous limit for one seed; docs/warm-start.md has the figure over many seeds."""
     fresh, _ = outcomes
@@ -63,7 +63,7 @@
 class ControllerGroup:
     """Three controllers with snapshot files, links and a list of hosts in their configuration."""
 
-    def __init__(self, folder: str, net: int) -> None:
+    def __init__(self, folder: str, loopback_net: int) -> None:
         targets = [
             {
                 "uid": f"h{host}",
@@ -81,7 +81,7 @@
             Plan(
                 3,
                 Script(1),
-                net,
+                loopback_net,
                 sections={"coldstart": {}, "learned": {"folder": folder, "every_s": 0.2}},
                 configuration={"known": {"rev": 5, "all": True, "targets": targets}},
                 has_links=True,
@@ -130,12 +130,12 @@
 
 
 def run_with_group(
-    folder: Path, net: int, scenario: Callable[[ControllerGroup], Awaitable[None]]
+    folder: Path, loopback_net: int, scenario: Callable[[ControllerGroup], Awaitable[None]]
 ) -> None:
     """Runs a scenario; its processes are killed even if it fails."""
 
     async def run() -> None:
-        group = ControllerGroup(str(folder), net)
+        group = ControllerGroup(str(folder), loopback_net)
         try:
             await scenario(group)
         finally:
@@ -145,7 +145,10 @@
 
 
 def test_three_controllers_restarted_one_after_another_and_then_all_at_once(tmp_path: Path) -> None:
-    """Restarted controllers recover knowledge from file and peer, all at once from files alone."""
+    """Restarted controllers recover knowledge from their files and from peers.
+
+    After all of them were killed at once, only the files are left.
+    """
     members = range(3)
 
     async def restart_and_wait(group: ControllerGroup, member: int) -> None:
