--- a/tests/net/test_core_runner.py
+++ b/tests/net/test_core_runner.py
@@ -4,9 +4,9 @@
 
 import orjson
 import pytest
-from support.controller_model import SECOND, entry, full, start_facts
+from support.controller_model import SECOND, entry, full_list, start_facts
 from support.endpoint_lists import directory_of, host_json, list_json
-from support.service_stage import HELLO, RunningService, run_scenario
+from support.service_harness import HELLO, RunningService, run_scenario
 
 from plankroute.controller.controller import Controller, TimerToken
 from plankroute.controller.message_builder import MessageBuilder
@@ -31,7 +31,7 @@
             telemetry,
             min_batch_interval_us=0,
         )
-        runner.submit(full(entry(100)))
+        runner.submit(full_list(entry(100)))
         runner.flush()
         tokens = sorted(token for _, _, token in runner.timers.heap)
         assert tokens == [TimerToken.TURN, TimerToken.PUBLISHER_CHECK]
--- a/tests/policy/test_first_weights.py
+++ b/tests/policy/test_first_weights.py
@@ -4,14 +4,14 @@
 import random
 
 import pytest
-from support.controller_bench import probes, ready_bench
+from support.controller_bench import checked_hosts, ready_bench
 from support.controller_model import (
     DRAINING,
     SECOND,
     Bench,
-    changes,
     entry,
-    full,
+    full_list,
+    host_changes,
     start_facts,
 )
 
@@ -23,13 +23,17 @@
 def test_a_restarted_controller_takes_over_the_weights_of_old_tables() -> None:
     """Guards against equal weights after a restart, although attempts show the weights in use."""
     bench = Bench(start_facts(proxy_count=30, drain_grace_us=7 * SECOND))
-    bench.give(
-        full(*[entry(100 + i, zone=i % 3, kind=i % 2) for i in range(12)], entry(200), entry(201))
+    bench.deliver(
+        full_list(
+            *[entry(100 + i, zone=i % 3, machine_type=i % 2) for i in range(12)],
+            entry(200),
+            entry(201),
+        )
     )
-    bench.give(*[events.ProxyJoined(p, p % 3, 10.0, False) for p in range(30)])
+    bench.deliver(*[events.ProxyJoined(p, p % 3, 10.0, False) for p in range(30)])
     for host in (200, 201):
         assert not bench.bound
-        bench.give(
+        bench.deliver(
             *[
                 events.HostRequestStats(host, 0, 9 if host % 2 else 3, 0, 2e5, SECOND, None)
                 for host in range(100, 112)
@@ -38,12 +42,12 @@
         bench.pass_time(SECOND // 2)
         # As if the channel were busy with withdrawals.
         bench.controller.publisher.flow.round_trip_lines = 100.0
-        bench.give(changes(entry(host, DRAINING)))
-        bench.rate = 0.0
+        bench.deliver(host_changes(entry(host, DRAINING)))
+        bench.channel_lines_per_s = 0.0
         bench.pass_time(SECOND // 2)
     # The first binds include the weights.
-    assert bench.bound and bench.lines[0][101] > 2 * bench.lines[0][100]
-    bench.rate = bench.facts.channel_lines_per_s
+    assert bench.bound and bench.tables[0][101] > 2 * bench.tables[0][100]
+    bench.channel_lines_per_s = bench.facts.channel_lines_per_s
     bench.pass_time(SECOND)
     assert len(bench.bound) == 30
     new_bench = ready_bench(proxies=2)
@@ -56,19 +60,21 @@
 ) -> None:
     """Guards against equal weights until the first statistics, seconds after the first requests."""
     bench = Bench(start_facts(health_checks_allowed=health_checks_allowed))
-    bench.give(full(*[entry(100 + i, kind=i % 2, weight=weight * (1 + i)) for i in range(6)]))
-    checked = probes(bench.give(events.ProxyJoined(0, 0, 10.0, True)))
+    bench.deliver(
+        full_list(*[entry(100 + i, machine_type=i % 2, weight=weight * (1 + i)) for i in range(6)])
+    )
+    checked = checked_hosts(bench.deliver(events.ProxyJoined(0, 0, 10.0, True)))
     assert checked == (bench.hosts.keys() if health_checks_allowed and not weight else set())
     # Host 100 appears to answer at once.
     took_us = {host: 10_000 + host % 2 * 15_000 for host in checked} | {100: 1}
-    bench.give(
+    bench.deliver(
         *[
             events.HealthCheckResult(host, HealthCheckOutcome.ANSWERED, took_us[host], None)
             for host in checked
         ]
     )
     bench.pass_time(SECOND // 10)
-    lines = bench.lines[0]
+    lines = bench.tables[0]
     assert (
         bench.bound
         and (lines[102] > 1.5 * lines[101]) is bool(checked)
@@ -78,9 +84,9 @@
 
 def test_a_first_health_check_without_an_answer_does_not_delay_binds_for_long() -> None:
     bench = Bench(start_facts())
-    bench.give(full(*[entry(100 + i) for i in range(6)]))
-    checked = probes(bench.give(events.ProxyJoined(0, 0, 10.0, True)))
-    bench.give(
+    bench.deliver(full_list(*[entry(100 + i) for i in range(6)]))
+    checked = checked_hosts(bench.deliver(events.ProxyJoined(0, 0, 10.0, True)))
+    bench.deliver(
         *[
             events.HealthCheckResult(host, HealthCheckOutcome.ANSWERED, 10_000, None)
             for host in checked - {100}
@@ -89,23 +95,23 @@
     bench.pass_time(SECOND // 10)
     assert not bench.bound
     bench.pass_time(SECOND // 4)
-    assert bench.bound and 0 < bench.lines[0][100] < bench.lines[0][101]
+    assert bench.bound and 0 < bench.tables[0][100] < bench.tables[0][101]
 
 
 def test_a_restarted_controller_without_reports_in_time_uses_health_checks() -> None:
     """Guards against equal weights after a restart if the drain grace is too short for reports."""
     bench = Bench(start_facts(drain_grace_us=2 * SECOND))
-    bench.give(full(*[entry(100 + i, kind=i % 2) for i in range(6)]))
-    checked = probes(bench.give(events.ProxyJoined(0, 0, 10.0, False)))
+    bench.deliver(full_list(*[entry(100 + i, machine_type=i % 2) for i in range(6)]))
+    checked = checked_hosts(bench.deliver(events.ProxyJoined(0, 0, 10.0, False)))
     took_us = {host: 10_000 + host % 2 * 20_000 for host in checked}
-    bench.give(
+    bench.deliver(
         *[
             events.HealthCheckResult(host, HealthCheckOutcome.ANSWERED, took_us[host], None)
             for host in checked
         ]
     )
     bench.pass_time(2 * SECOND)
-    assert checked == set(range(100, 106)) and bench.lines[0][100] > 2 * bench.lines[0][101]
+    assert checked == set(range(100, 106)) and bench.tables[0][100] > 2 * bench.tables[0][101]
 
 
 def test_first_weights_use_the_health_checks_that_were_answered_in_time() -> None:
@@ -115,27 +121,27 @@
     when binds can wait no longer.
     """
     bench = Bench(start_facts())
-    bench.give(full(*[entry(100 + i, kind=i % 2) for i in range(20)]))
-    bench.give(events.ProxyJoined(0, 0, 10.0, True))
+    bench.deliver(full_list(*[entry(100 + i, machine_type=i % 2) for i in range(20)]))
+    bench.deliver(events.ProxyJoined(0, 0, 10.0, True))
     took_us = {host: 10_000 for host in range(100, 120) if host % 2 == 0 or host < 108} | {100: 1}
-    bench.give(
+    bench.deliver(
         *[
             events.HealthCheckResult(host, HealthCheckOutcome.ANSWERED, took_us[host], None)
             for host in took_us
         ]
     )
     bench.pass_time(SECOND // 2)
-    lines = bench.lines[0]
+    lines = bench.tables[0]
     assert len(lines) == 20 and max(lines.values()) <= 2 * min(lines.values())
 
 
 def test_a_controller_with_too_few_reports_to_take_weights_over_does_not_wait_forever() -> None:
     bench = Bench(start_facts())
-    bench.give(full(entry(100), entry(101)), events.ProxyJoined(0, 0, 1.0, False))
-    bench.give(changes(entry(100, DRAINING)))  # withdrawn although binds wait
-    assert commands.WithdrawHost(100, True) in bench.log
+    bench.deliver(full_list(entry(100), entry(101)), events.ProxyJoined(0, 0, 1.0, False))
+    bench.deliver(host_changes(entry(100, DRAINING)))  # withdrawn although binds wait
+    assert commands.WithdrawHost(100, True) in bench.command_log
     bench.pass_time(7 * SECOND)
-    assert bench.bound and bench.lines[0][101] > 0
+    assert bench.bound and bench.tables[0][101] > 0
 
 
 def test_first_tables_of_many_controllers_do_not_favour_the_same_few_hosts() -> None:
@@ -150,9 +156,11 @@
             start_facts(controller_count=20),
             controller=Controller(start_facts(controller_count=20), seed),
         )
-        bench.give(full(*[entry(host, zone=host % 3, started_us=bench.now) for host in total]))
-        bench.give(*[events.ProxyJoined(p, p % 3, 10.0, True) for p in range(4)])
-        bench.give(
+        bench.deliver(
+            full_list(*[entry(host, zone=host % 3, started_us=bench.now) for host in total])
+        )
+        bench.deliver(*[events.ProxyJoined(p, p % 3, 10.0, True) for p in range(4)])
+        bench.deliver(
             *[
                 events.HealthCheckResult(
                     host, HealthCheckOutcome.ANSWERED, took_us[host], None, age_us=SECOND
@@ -162,7 +170,7 @@
             ]
         )
         bench.pass_time(SECOND)
-        lines = bench.lines[0]
+        lines = bench.tables[0]
         for host, weight in lines.items():
             total[host] += weight / sum(lines.values())
     mean = sum(total.values()) / len(total)
--- a/tests/policy/test_joins_during_release.py
+++ b/tests/policy/test_joins_during_release.py
@@ -8,10 +8,10 @@
     DRAINING,
     GONE,
     SECOND,
-    changes,
     entry,
-    full,
-    product,
+    full_list,
+    host_changes,
+    request_class_facts,
     start_facts,
 )
 from support.fleet_model import FleetModel
@@ -26,11 +26,13 @@
 OLD_TABLE_SIZE = 100  # number of hosts in the tables that joining proxies hold
 
 
-PLAIN_CLASSES = (product(), product(), product())
+PLAIN_CLASSES = (request_class_facts(), request_class_facts(), request_class_facts())
 SITE_FACTS: dict[str, dict[str, Any]] = {
     "one table": {"request_classes": PLAIN_CLASSES},
     "with limits": {"request_classes": PLAIN_CLASSES, "admission_unit": AdmissionUnit.SHARE},
-    "two tables": {"request_classes": (product(), product(stays_in_zone=True))},
+    "two tables": {
+        "request_classes": (request_class_facts(), request_class_facts(stays_in_zone=True))
+    },
 }
 
 
@@ -78,8 +80,8 @@
         new = range(self.next_new, self.next_new + BATCH)
         self.next_new += BATCH
         started_us = self.fleet.now
-        self.fleet.give(
-            changes(*drained, *removed, *[host_entry(host, started_us) for host in new])
+        self.fleet.deliver(
+            host_changes(*drained, *removed, *[host_entry(host, started_us) for host in new])
         )
 
 
@@ -100,7 +102,7 @@
     """Guards against drained hosts in old tables while withdrawals and binds delay each other."""
     rng = random.Random(seed)
     fleet = build_fleet(site, pace, seed)
-    fleet.give(full(*[host_entry(host) for host in range(HOSTS)]))
+    fleet.deliver(full_list(*[host_entry(host) for host in range(HOSTS)]))
     own = range(PROXIES // CONTROLLERS)
     fleet.join(own, range(HOSTS))
     fleet.pass_time(int(8 * SECOND / pace))
