--- a/plankroute/cold_start/link_codec.py
+++ b/plankroute/cold_start/link_codec.py
@@ -74,7 +74,7 @@
 
 
 class Heartbeat(msgspec.Struct, frozen=True, array_like=True, tag=4):
-    """The sender's revision (-1 for none) and the age of its last contact with the list service."""
+    """The sender's revision (-1: none) and age of its last contact with the discovery service."""
 
     revision: int
     age_us: int
@@ -138,7 +138,7 @@
     name: str
 
 
-class WarmStartView(msgspec.Struct, frozen=True, array_like=True, tag=9):
+class WarmStartSnapshot(msgspec.Struct, frozen=True, array_like=True, tag=9):
     """Announces a snapshot, whose bytes follow in a `ListStart` and `ListPart` frames.
 
     Attributes:
@@ -159,7 +159,7 @@
     | DrainNoticeFrame
     | WarmStartRequest
     | WarmStartHandover
-    | WarmStartView
+    | WarmStartSnapshot
 )
 ENCODER = msgspec.msgpack.Encoder()
 DECODER = msgspec.msgpack.Decoder(Frame)
--- a/plankroute/policy/slot_changes.py
+++ b/plankroute/policy/slot_changes.py
@@ -135,14 +135,14 @@
     def _keeps_warm_host(self, table: RoutingTable, slots: dict[int, int]) -> bool:
         """Whether a warm host that is published stays in the table.
 
-        If none stays, all changes are urgent, so that proxies are not left without an endpoint.
+        If none stays, all changes are urgent, so that proxies are not left without a host.
         """
         return any(
             host in slots and self.host_table.weight_cap[host] == NO_CAP for host in table.published
         )
 
     def _is_urgent(self, table: RoutingTable, host: int, count: int) -> bool:
-        """Whether a host leaves and not just the subset, or is warming and loses many slots."""
+        """Whether a host leaves other than by the subset, or is warming and loses many slots."""
         published = table.published.get(host, 0)
         is_warming = self.host_table.weight_cap[host] < NO_CAP
         has_large_reduction = is_warming and count < URGENT_REDUCTION_RATIO * published
