--- a/tests/events/test_settings.py
+++ b/tests/events/test_settings.py
@@ -238,6 +238,12 @@
         parse_settings(raw)
 
 
+def test_an_infinite_whole_number_raises_settings_error() -> None:
+    """Guards against a start that ends with a traceback for `1e999` in the settings."""
+    with pytest.raises(SettingsError):
+        parse_settings({"familyInfo": {"queueCap": float("inf")}})
+
+
 def test_load_reports_leave_out_unknown_negative_and_non_finite_fields() -> None:
     pairs = [
         ("in_flight", 7.0),
