--- a/tests/cold_start/test_links.py
+++ b/tests/cold_start/test_links.py
@@ -20,6 +20,8 @@
     ListStart,
     encode_frame,
 )
+from plankroute.net.peers.frame_handler import decode_closed_hosts
+from plankroute.net.peers.link_client import LinkError
 from plankroute.net.peers.link_frames import json_array_chunks
 from plankroute.net.peers.link_server import LinkServer
 from plankroute.net.process.telemetry import EventLog, Telemetry
@@ -48,6 +50,19 @@
     assert decoded in ([], [None]) and len(broken.buffer) <= 70_000
 
 
+def test_a_frame_with_invalid_utf8_stops_decoding() -> None:
+    """Guards against an exception from bytes that a peer sends: a group that is not UTF-8."""
+    body = b"\x94\x08\x02\xa1\x80\xa1A"
+    decoder = FrameDecoder()
+    assert decoder.feed(len(body).to_bytes(4) + body) == [None] and decoder.is_broken
+
+
+def test_a_drain_notice_with_invalid_utf8_raises_link_error() -> None:
+    """Guards against another exception than the one that closes the link."""
+    with pytest.raises(LinkError):
+        decode_closed_hosts(b'[{"uid": "\x80", "state": "DRAINING"}]')
+
+
 class StubLinkOwner:
     """Stub of the `LinkOwner` of a link server, with a list of padded entries."""
 
--- a/tests/membership/test_membership_codec.py
+++ b/tests/membership/test_membership_codec.py
@@ -1,6 +1,8 @@
 """Invalid datagrams are rejected with the reason."""
 
-from plankroute.membership.codec import HEADER, Codec, Rejection
+from zlib import crc32
+
+from plankroute.membership.codec import HEADER, VERSION, Codec, Rejection
 from plankroute.membership.messages import Gossip
 from plankroute.membership.records import MemberRecord
 
@@ -25,3 +27,13 @@
             ),
             Rejection,
         )
+
+
+def test_a_datagram_with_invalid_utf8_is_malformed() -> None:
+    """Guards against an exception from a datagram of the group: a name that is not UTF-8."""
+    codec = Codec("g")
+    message = Gossip((MemberRecord("nn", "a:1", "z", 1, 1),))
+    body = codec.encoder.encode(message).replace(b"\xa2nn", b"\xa2\x80\x80")
+    checksum = crc32(body, codec.group_checksum)
+    datagram = HEADER.pack(VERSION, codec.group_checksum, checksum) + body
+    assert codec.decode(datagram) is Rejection.MALFORMED
--- a/tests/warm_start/test_snapshot_codec.py
+++ b/tests/warm_start/test_snapshot_codec.py
@@ -101,6 +101,11 @@
     assert isinstance(decode_file(noise, "n1", 0), FileProblem)
 
 
+def test_a_snapshot_with_invalid_utf8_is_rejected() -> None:
+    """Guards against an exception from bytes that a peer sends: a name that is not UTF-8."""
+    assert decode_snapshot(b"\x95\xa3\x00\x00\x80") is None
+
+
 def test_a_snapshot_with_a_present_day_boot_time_can_be_decoded() -> None:
     host = msgspec.structs.replace(HEALTHY, boot_ms=1_764_700_000_123.0)
     stored = decode_file(encode_file(snapshot_of(host), 5000), "n1", 7000)
