--- a/tests/cold_start/test_watcher_election.py
+++ b/tests/cold_start/test_watcher_election.py
@@ -141,7 +141,8 @@
         ]
         follower.core.deliver(follower.now, [*heartbeats])
     follower.repeat(3)
-    assert SetWatch(True, None) in follower.repeat(14)  # without a pause, the others are silent
+    # Without a pause of this controller, the others do count as stalled.
+    assert SetWatch(True, None) in follower.repeat(14)
 
 
 def test_watchers_that_have_all_lost_the_service_do_not_count_as_contact() -> None:
--- a/tests/controller/test_message_builder.py
+++ b/tests/controller/test_message_builder.py
@@ -28,7 +28,7 @@
 
 
 class CommandReplay:
-    """Reference model: what joined proxies should do after each command, by its definition.
+    """Reference model: the state of joined proxies that the definitions of the commands require.
 
     Attributes:
         tables: By table, weight by host.
